--- a/onyxpass/core/send_preconditions.py
+++ b/onyxpass/core/send_preconditions.py
@@ -107,6 +107,6 @@
             return True
         here = attempt.endpoint
         return here is not None and all(
-            other.endpoint is not None and scope.joins(here, other.endpoint)
+            other.endpoint is not None and scope.covers_both(here, other.endpoint)
             for other in may_have_run
         )
--- a/onyxpass/invariants/rules.py
+++ b/onyxpass/invariants/rules.py
@@ -229,7 +229,7 @@
             return True
         here = self._servers.get(send.server)
         return here is not None and all(
-            sent.endpoint is not None and scope.joins(here, sent.endpoint) for sent in ran
+            sent.endpoint is not None and scope.covers_both(here, sent.endpoint) for sent in ran
         )
 
     def _violated(self, rule: Rule, detail: str) -> Verdict:
--- a/onyxpass/net/request_parser.py
+++ b/onyxpass/net/request_parser.py
@@ -114,7 +114,7 @@
         prefix=attrs.get("prefix") or None,
         prefix_tokens=min(size, whole_number(attrs.get("prefix_len"), "prefix_len", 0)),
         tenant=named.get(b"x-tenant-id", b"").decode("latin-1") or None,
-        hint_us=min(HINT_MOST_US, whole_number(hint, "X-Cost")) if hint else None,
+        expected_stream_us=min(HINT_MOST_US, whole_number(hint, "X-Cost")) if hint else None,
         is_retry=retried == b"1",
         resumed=retried == b"again",
     )
--- a/onyxpass/scheduling/candidates.py
+++ b/onyxpass/scheduling/candidates.py
@@ -37,7 +37,7 @@
             if expired or traffic_class.idempotency is Idempotency.NONE:
                 return []
             scope = traffic_class.deduplication_scope
-            servers = [server for server in servers if scope.joins(server.endpoint, where)]
+            servers = [server for server in servers if scope.covers_both(server.endpoint, where)]
         name = traffic_class.name
         servers = [
             server
--- a/onyxpass/scheduling/contract/events.py
+++ b/onyxpass/scheduling/contract/events.py
@@ -67,7 +67,7 @@
     """A client's request; the router owes it exactly one final answer by ``deadline_us``.
 
     ``prefix`` names what its prompt shares with others at the start, ``prefix_tokens`` its length.
-    ``hint_us`` is how long the client expects its answer to stream.
+    ``expected_stream_us`` is how long the client expects its answer to stream.
     """
 
     id: int
@@ -79,7 +79,7 @@
     prefix: str | None = None
     prefix_tokens: int = 0
     tenant: str | None = None
-    hint_us: int | None = None
+    expected_stream_us: int | None = None
     is_retry: bool = False
     resumed: bool = False
 
--- a/onyxpass/scheduling/contract/settings.py
+++ b/onyxpass/scheduling/contract/settings.py
@@ -21,7 +21,7 @@
     ZONE = "zone"
     CELL = "cell"
 
-    def joins(self, here: Endpoint, there: Endpoint) -> bool:
+    def covers_both(self, here: Endpoint, there: Endpoint) -> bool:
         """Whether the two servers discard each other's duplicates."""
         if self is DeduplicationScope.ALL:
             return True
--- a/onyxpass/scheduling/outcome_recorder.py
+++ b/onyxpass/scheduling/outcome_recorder.py
@@ -11,7 +11,7 @@
 from onyxpass.scheduling.prefix_affinity import PrefixAffinityTable
 from onyxpass.scheduling.request_state import RequestState
 from onyxpass.scheduling.server_pool import ServerPool
-from onyxpass.scheduling.server_state import BASE_TOKENS, ServerState
+from onyxpass.scheduling.server_state import PREFILL_OVERHEAD_TOKENS, ServerState
 from onyxpass.scheduling.slow_start import SlowStart
 
 
@@ -76,7 +76,9 @@
             if peer.endpoint.kind == kind
         ]
         self._slow_start.record_answer(kind, server.slow_start_factor(now_us), factors, now_us)
-        us_per_token = elapsed_us / max(BASE_TOKENS, request.tokens_ahead - cached_tokens)
+        us_per_token = elapsed_us / max(
+            PREFILL_OVERHEAD_TOKENS, request.tokens_ahead - cached_tokens
+        )
         server.record_success(us_per_token, now_us)
         if is_slow_outlier(server, self._peer_latencies(server.role)):
             server.eject(now_us, unresponsive=False)
--- a/onyxpass/scheduling/prefill_selection.py
+++ b/onyxpass/scheduling/prefill_selection.py
@@ -10,7 +10,7 @@
 from onyxpass.scheduling.rendezvous import rank_by_rendezvous
 from onyxpass.scheduling.request_state import RequestState
 from onyxpass.scheduling.server_pool import ServerPool
-from onyxpass.scheduling.server_state import BASE_TOKENS, ServerState
+from onyxpass.scheduling.server_state import PREFILL_OVERHEAD_TOKENS, ServerState
 
 # Sends beyond the median before a match is passed by; 4 and 4 / routers measured worse overall.
 MIN_QUEUE_EXCESS = 2.0
@@ -80,7 +80,7 @@
             for server in ready
         }
         # A prompt's own length is no queue.
-        least_us = min(baselines.values()) * (BASE_TOKENS + tokens)
+        least_us = min(baselines.values()) * (PREFILL_OVERHEAD_TOKENS + tokens)
         left_us = max(self._time_left_us(request, now_us), least_us)
         # Prevents queues: what can't be in time at its match goes to the quickest server, else it
         # waits.
--- a/onyxpass/scheduling/request_state.py
+++ b/onyxpass/scheduling/request_state.py
@@ -5,7 +5,7 @@
 
 from onyxpass.scheduling import contract
 from onyxpass.scheduling.contract import AttemptStatus, Role
-from onyxpass.scheduling.server_state import BASE_TOKENS, ServerState
+from onyxpass.scheduling.server_state import PREFILL_OVERHEAD_TOKENS, ServerState
 
 
 class RequestState:
@@ -47,8 +47,8 @@
             traffic_class.latency_objective_us
             + traffic_class.latency_objective_us_per_1k_tokens * arrival.prompt_tokens // 1000
         )
-        if arrival.hint_us and traffic_class.token_objective_us:
-            answer_tokens = arrival.hint_us // traffic_class.token_objective_us
+        if arrival.expected_stream_us and traffic_class.token_objective_us:
+            answer_tokens = arrival.expected_stream_us // traffic_class.token_objective_us
         else:
             answer_tokens = arrival.max_tokens // 2
         # What its stream will use of a decode server's memory.
@@ -78,7 +78,7 @@
         self.silence_deadline_us = silence_deadline_us
         self.attempts += 1
         self.overtaken = 0
-        self.tokens_ahead = BASE_TOKENS + tokens + sum(server.pending_tokens.values())
+        self.tokens_ahead = PREFILL_OVERHEAD_TOKENS + tokens + sum(server.pending_tokens.values())
 
     def record_possible_run(self, server: ServerState, status: AttemptStatus) -> None:
         """Note the attempt that has ended, if it is the first that may have run."""
--- a/onyxpass/scheduling/server_state.py
+++ b/onyxpass/scheduling/server_state.py
@@ -12,7 +12,7 @@
 from onyxpass.scheduling.slow_start import slow_start_factor
 from onyxpass.scheduling.stable_hash import stable_hash
 
-BASE_TOKENS = 1_500  # what a prefill costs besides its own tokens
+PREFILL_OVERHEAD_TOKENS = 1_500  # what a prefill costs besides its own tokens
 DEFAULT_MEMORY_TOKENS = 150_000  # memory of a server whose kind does not say
 MAX_UTILIZATION = 2.0  # above which a report makes no sense
 
@@ -86,7 +86,7 @@
         else:
             freshness = 0.5 ** ((now_us - self.last_answer_us) / QUEUE_HALF_LIFE_US)
         us_per_token = least + max(0.0, self.us_per_token - least) * freshness
-        return us_per_token * (BASE_TOKENS + tokens + sum(self.pending_tokens.values()))
+        return us_per_token * (PREFILL_OVERHEAD_TOKENS + tokens + sum(self.pending_tokens.values()))
 
     def slow_start_factor(self, now_us: int) -> float:
         """Return the share of its capacity that the server has at least (1.0: warm)."""
--- a/onyxpass/simulator_adapter.py
+++ b/onyxpass/simulator_adapter.py
@@ -88,7 +88,7 @@
         tenant=e[4] or None,
         session=str(e[5]),
         deadline_us=int(e[6]),
-        hint_us=int(e[7]) if e[7] is not None else None,
+        expected_stream_us=int(e[7]) if e[7] is not None else None,
         prefix=e[8] or None,
         prompt_tokens=int(e[9] or 0),
         prefix_tokens=int(e[10] or 0),
--- a/tests/scheduling/test_affinity_and_projection.py
+++ b/tests/scheduling/test_affinity_and_projection.py
@@ -136,7 +136,7 @@
 
 def test_writer_is_chosen_when_the_read_has_ended_and_gets_the_hinted_length() -> None:
     drive = Drive()
-    drive.ask(1, hint_us=6 * S)
+    drive.ask(1, expected_stream_us=6 * S)
     assert len(drive.sent[1]) == 1
     drive.end(1, contract.AttemptStatus.PREFILLED)
     writer = drive.router.servers[drive.sent[1][1]]
--- a/tests/scheduling/test_overload_defences.py
+++ b/tests/scheduling/test_overload_defences.py
@@ -735,7 +735,7 @@
         drive = Drive(fleet(2, 4), classes=settings, routers=routers)
         for host in drive.router.servers.values():
             host.us_per_token, host.sample_count, host.last_answer_us = (
-                1.2 * S / (server_state.BASE_TOKENS + 3_000),
+                1.2 * S / (server_state.PREFILL_OVERHEAD_TOKENS + 3_000),
                 3,
                 drive.now,
             )
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -360,11 +360,13 @@
     assert fresh.expected_prefill_us(3_000, d.now) == 0.0, "by its own answers nothing is known"
     guessed = fresh.expected_prefill_us(3_000, d.now, known.us_per_token)
     assert guessed == pytest.approx(
-        known.us_per_token / SETTINGS.slow_start_initial_factor * (server_state.BASE_TOKENS + 6_000)
+        known.us_per_token
+        / SETTINGS.slow_start_initial_factor
+        * (server_state.PREFILL_OVERHEAD_TOKENS + 6_000)
     )
     fresh.record_success(known.us_per_token * 2, d.now)
     assert fresh.expected_prefill_us(3_000, d.now, known.us_per_token) == pytest.approx(
-        fresh.us_per_token * (server_state.BASE_TOKENS + 6_000)
+        fresh.us_per_token * (server_state.PREFILL_OVERHEAD_TOKENS + 6_000)
     )
     d.router.candidates.sample_warming = lambda request, servers, now_us, holder: servers  # type: ignore
     sent = []
