--- a/onyxpass/core/outcomes.py
+++ b/onyxpass/core/outcomes.py
@@ -72,7 +72,7 @@
         request = attempt.request
         status = self._close(attempt, status)
         if status in INTERRUPTED and not attempt.delivered and not note:
-            note = contract.NOT_ARRIVED
+            note = contract.DELIVERY_UNCONFIRMED
         held_us = self._reservations.reserved_for_us(request) if request.has_reserved_state else 0
         self._reservations.attempt_ended(attempt, status, note)
         self._log_end(attempt, status, reason, held_us)
--- a/onyxpass/net/replica.py
+++ b/onyxpass/net/replica.py
@@ -21,7 +21,7 @@
 from onyxpass.net.http import BODY_LIMIT, HOP_BY_HOP, Broken, Wire, body, header
 from onyxpass.net.response_reader import Events, Incoming, Nudged, Part, Spoilt, framed
 from onyxpass.scheduling.contract import (
-    IDLE_CONNECTION_BROKE,
+    STALE_CONNECTION,
     STATE_LOST,
     AttemptStatus,
     HealthCheckResult,
@@ -256,7 +256,7 @@
                 and wire.kept_us >= 0
                 and now_us - written_us < KEPT_BROKE_US
             ):
-                note = IDLE_CONNECTION_BROKE
+                note = STALE_CONNECTION
         except asyncio.CancelledError:
             proven = not written or (wire is not None and wire.unsent)
             status = AttemptStatus.NOT_SENT if proven else AttemptStatus.CANCELLED
@@ -270,7 +270,7 @@
                 if written and wire.kept_us >= 0:
                     self.budget.met(
                         self.core.clock.now_us(),
-                        note == IDLE_CONNECTION_BROKE and status is AttemptStatus.RESET,
+                        note == STALE_CONNECTION and status is AttemptStatus.RESET,
                     )
                 if reason and wire.kept_us >= 0:
                     reason += f" (kept for {wire.kept_us // 1000} ms)"
--- a/onyxpass/scheduling/contract/__init__.py
+++ b/onyxpass/scheduling/contract/__init__.py
@@ -20,8 +20,8 @@
     WatchEndpoints,
 )
 from onyxpass.scheduling.contract.events import (
-    IDLE_CONNECTION_BROKE,
-    NOT_ARRIVED,
+    DELIVERY_UNCONFIRMED,
+    STALE_CONNECTION,
     STATE_LOST,
     Arrival,
     AttemptOutcome,
@@ -55,8 +55,8 @@
 )
 
 __all__ = [
-    "IDLE_CONNECTION_BROKE",
-    "NOT_ARRIVED",
+    "DELIVERY_UNCONFIRMED",
+    "STALE_CONNECTION",
     "STATE_LOST",
     "Action",
     "Arrival",
--- a/onyxpass/scheduling/contract/events.py
+++ b/onyxpass/scheduling/contract/events.py
@@ -9,9 +9,9 @@
 # Notes of an AttemptOutcome
 STATE_LOST = 1  # with OVERLOADED or RESET: there is no prefilled state left to fetch
 # with RESET: an idle connection from the pool broke, which says nothing of the server
-IDLE_CONNECTION_BROKE = 2
+STALE_CONNECTION = 2
 # with TIMED_OUT, CANCELLED or RESET: nothing shows that the server ever got the attempt
-NOT_ARRIVED = 3
+DELIVERY_UNCONFIRMED = 3
 
 
 class AttemptStatus(Enum):
--- a/onyxpass/scheduling/outlier_detection.py
+++ b/onyxpass/scheduling/outlier_detection.py
@@ -57,7 +57,7 @@
         return None
     if event.status is AttemptStatus.CANCELLED and overtaken >= OVERTAKEN_LIMIT:
         return None  # only its connection was lost
-    if event.status is AttemptStatus.RESET and event.note == contract.IDLE_CONNECTION_BROKE:
+    if event.status is AttemptStatus.RESET and event.note == contract.STALE_CONNECTION:
         return None
     return FAILURE_KINDS.get(event.status, FailureKind.NO_ANSWER)
 
--- a/onyxpass/scheduling/retry_policy.py
+++ b/onyxpass/scheduling/retry_policy.py
@@ -57,8 +57,8 @@
             request.state_holder = server if prefilled else None
             request.attempted_servers = set()
         not_arrived = not prefilled and event.note in (
-            contract.IDLE_CONNECTION_BROKE,
-            contract.NOT_ARRIVED,
+            contract.STALE_CONNECTION,
+            contract.DELIVERY_UNCONFIRMED,
         )
         unsent = event.status in (AttemptStatus.UNREACHABLE, AttemptStatus.NOT_SENT)
         if not not_arrived and not unsent:
--- a/tests/test_state_reservations.py
+++ b/tests/test_state_reservations.py
@@ -151,5 +151,5 @@
     bed.step([contract.Fail(7)])
     outcome = bed.script.heard[-1]
     assert isinstance(outcome, contract.AttemptOutcome)
-    assert outcome.note == contract.NOT_ARRIVED
+    assert outcome.note == contract.DELIVERY_UNCONFIRMED
     assert request.reserved_since_us == reserved_since_us, "its clock has run on"
