--- a/benchmarks/guard.py
+++ b/benchmarks/guard.py
@@ -33,18 +33,18 @@
 def guard_us() -> float:
     """Of one request: a read, a write, the first event, the answer."""
     guard = InvariantChecker(read_settings(SETTINGS))
-    guard.listed([contract.Endpoint(name, "reader") for name in ("r0", "w0")], True, 0)
+    guard.record_endpoints([contract.Endpoint(name, "reader") for name in ("r0", "w0")], True, 0)
     began = time.process_time()
     for number in range(ROUNDS):
         request = f"r{number}"
-        guard.taken(request, "part-lookup", 6_000_000)
-        guard.sending(request, 0, "r0", False, 5_000_000, 1_000)
-        guard.ended(request, 0, contract.AttemptStatus.PREFILLED)
-        guard.sending(request, 1, "w0", True, 5_000_000, 2_000)
-        guard.committing(request, 1)
-        guard.ended(request, 1, contract.AttemptStatus.COMPLETED)
-        guard.answering(request)
-        guard.forgotten(request)
+        guard.record_request(request, "part-lookup", 6_000_000)
+        guard.check_send(request, 0, "r0", False, 5_000_000, 1_000)
+        guard.record_attempt_end(request, 0, contract.AttemptStatus.PREFILLED)
+        guard.check_send(request, 1, "w0", True, 5_000_000, 2_000)
+        guard.check_commit(request, 1)
+        guard.record_attempt_end(request, 1, contract.AttemptStatus.COMPLETED)
+        guard.check_answer(request)
+        guard.record_removal(request)
     assert not guard.violations
     return (time.process_time() - began) / ROUNDS * 1e6
 
--- a/onyxpass/admin/server.py
+++ b/onyxpass/admin/server.py
@@ -18,7 +18,12 @@
 
 from onyxpass.admin.drain import DEADLINE_US, NOTICE_US, Drain, DrainStep, OpenRequests
 from onyxpass.admin.running import ConfigurationChange, ConfigurationTable, RunningConfiguration
-from onyxpass.config.platform_file import ADMIN, GENERATION, LAUNCH, ConfigError
+from onyxpass.config.platform_file import (
+    ADMIN_VARIABLE,
+    GENERATION_VARIABLE,
+    LAUNCH_VARIABLE,
+    ConfigError,
+)
 from onyxpass.core.dispatcher import RequestDispatcher
 from onyxpass.core.timer_wheel import TimerWheel
 from onyxpass.net.http_server import (
@@ -73,13 +78,13 @@
     kind = JSON
 
     def __init__(self, managed: ManagedProgram, wheel: TimerWheel) -> None:
-        self.path = Path(os.environ[ADMIN])
+        self.path = Path(os.environ[ADMIN_VARIABLE])
         super().__init__(wheel, str(self.path))
         self.managed, self.drain = managed, Drain()
-        told = os.environ.get(GENERATION, "0")
+        told = os.environ.get(GENERATION_VARIABLE, "0")
         generation = int(told) if told.isdigit() else 0
         self.running = RunningConfiguration(managed.values(), generation)
-        self.launch = os.environ.get(LAUNCH, "")
+        self.launch = os.environ.get(LAUNCH_VARIABLE, "")
         self.started_s = time.time()
 
     def listen(self) -> Listener:
--- a/onyxpass/admin/values.py
+++ b/onyxpass/admin/values.py
@@ -21,7 +21,7 @@
         "sockets": config.sockets,
         "connect_timeout_us": config.connect_timeout_us,
         "conn_idle_us": config.conn_idle_us,
-        "servers_file": str(config.servers) if config.servers else None,
+        "servers_file": str(config.servers_file) if config.servers_file else None,
         **settings_values(config.settings),
     }
 
--- a/onyxpass/agent/config.py
+++ b/onyxpass/agent/config.py
@@ -43,19 +43,19 @@
     kind: Kind
     config: str  # relative to the agent's file
     env: dict[str, str] = Field(default_factory=dict)
-    check: toml_config.PlaceText | None = None  # where it must take connections while it runs
+    check: toml_config.ConnectAddress | None = None  # where it must take connections while it runs
 
 
 class AgentFile(toml_config.Model):  # noqa: D101 - a docstring is part of the schema
     name: Name
     state: str | None = None  # the folder that outlives the agent; without one, nothing does
-    listen: toml_config.AddressText | None = None  # the agent's own address
+    listen: toml_config.ListenAddress | None = None  # the agent's own address
     key: str | None = None  # the file with the key that callers must show
     store: StoreTable | None = None
     restart: RestartTable = Field(default_factory=RestartTable)
     instances: list[InstanceTable]
 
-    def faults(self) -> Iterable[tuple[tuple[toml_config.Step, ...], str]]:
+    def faults(self) -> Iterable[tuple[tuple[toml_config.PathPart, ...], str]]:
         """Yield each fault that spans several keys, with its place."""
         names: set[str] = set()
         for number, instance in enumerate(self.instances):
--- a/onyxpass/agent/instance.py
+++ b/onyxpass/agent/instance.py
@@ -38,7 +38,7 @@
 )
 from onyxpass.agent.process import Identity, Process, find_by_launch, rotate_log
 from onyxpass.agent.state_store import StateStore, StateStoreBusyError
-from onyxpass.config.platform_file import ADMIN, GENERATION, LAUNCH
+from onyxpass.config.platform_file import ADMIN_VARIABLE, GENERATION_VARIABLE, LAUNCH_VARIABLE
 from onyxpass.core.actor import Actor
 from onyxpass.invariants import ProcessStartChecker
 from onyxpass.net.http_client import Answer, ask, at_path
@@ -183,12 +183,12 @@
         its launch, which it carries in its environment.
         """
         if self.record.process is None and self.record.launch:
-            return find_by_launch(LAUNCH, self.record.launch)
+            return find_by_launch(LAUNCH_VARIABLE, self.record.launch)
         return self.record.process
 
     def _launch(self) -> None:
         """Start the process: its launch is on record before, and its identity right after."""
-        verdict = self.start_checker.starting(self.name)
+        verdict = self.start_checker.check_start(self.name)
         if not verdict:
             log.error("violation", name=self.name, **verdict.log_fields())
             return
@@ -222,16 +222,16 @@
         return {
             **os.environ,
             **self.spec.env,
-            ADMIN: str(self.socket),
-            GENERATION: str(self.record.generation),
-            LAUNCH: self.record.launch,
+            ADMIN_VARIABLE: str(self.socket),
+            GENERATION_VARIABLE: str(self.record.generation),
+            LAUNCH_VARIABLE: self.record.launch,
         }
 
     def _watch(self, process: Process, adopted: bool) -> None:
         """Take charge of a running process: record its identity and wait for its end."""
         self.process = process
         self.adopted = adopted
-        self.start_checker.started(self.name, process.pid)
+        self.start_checker.record_start(self.name, process.pid)
         self.record.process = process.identity
         self.state_store.instances.save(self.record)
         self._spawn(self._report_exit(process))
@@ -259,7 +259,7 @@
     def _process_exited(self, now_s: float, code: int | None) -> list[Action]:
         ran_s = now_s - self.lifecycle.since_s
         self.process = None
-        self.start_checker.ended(self.name)
+        self.start_checker.record_end(self.name)
         self.no_process.set()
         actions = self.lifecycle.exited(now_s, code)
         self.record.process = None
--- a/onyxpass/cli.py
+++ b/onyxpass/cli.py
@@ -79,7 +79,7 @@
     from onyxpass.start import run
 
     if servers is not None:
-        os.environ[configuration.SERVERS] = str(servers)
+        os.environ[configuration.SERVERS_VARIABLE] = str(servers)
     raise typer.Exit(run(config, log_level))
 
 
@@ -89,24 +89,28 @@
     from onyxpass.net import front, replica
 
     found = read(config)
-    known = len(found.known.get("hosts") or ())
+    known = len(found.known_endpoints.get("hosts") or ())
     classes = ", ".join(c.name for c in found.settings.classes)
     typer.echo(f"{found.name}: listens on {found.listen}, discovery at {found.discovery}")
     typer.echo(
         f"operators' address: {found.control or 'none'}; kept in {found.folder or 'memory only'}"
     )
-    passed = "bound here" if found.passed is None else f"passed as descriptor {found.passed}"
+    passed = (
+        "bound here"
+        if found.listen_descriptor is None
+        else f"passed as descriptor {found.listen_descriptor}"
+    )
     typer.echo(f"clients' socket: {passed}")
     typer.echo(f"classes: {classes}; servers known: {known}")
     typer.echo(
-        f"descriptors: {found.sockets}, of them {found.share} for clients, as many for replicas"
+        f"descriptors: {found.sockets}, of them {found.connection_limit} for clients, as many for replicas"
     )
     typer.echo(
         f"clients: {front.FIRST_US / 1e6:g} s for a request, {front.IDLE_US / 1e6:g} s between two"
     )
     opening, silence = replica.OPENING_US / 1e6, replica.STALL_US / 1e6
     typer.echo(f"streams: {opening:g} s to open, cut off after {silence:g} s of silence")
-    typer.echo(f"on SIGHUP: discovery at {configuration.load(config, again=True).discovery}")
+    typer.echo(f"on SIGHUP: discovery at {configuration.load(config, reloading=True).discovery}")
 
 
 def version_text() -> str:
--- a/onyxpass/config/platform_file.py
+++ b/onyxpass/config/platform_file.py
@@ -16,11 +16,11 @@
 from onyxpass.scheduling import contract
 
 # Environment variables: the platform's prefix, our own file of watched files, what an agent sets
-PREFIX = "ROUTER_"
-SERVERS = "ONYXPASS_SERVERS"
-ADMIN = "ONYXPASS_ADMIN"
-GENERATION = "ONYXPASS_GENERATION"
-LAUNCH = "ONYXPASS_LAUNCH"
+VARIABLE_PREFIX = "ROUTER_"
+SERVERS_VARIABLE = "ONYXPASS_SERVERS"
+ADMIN_VARIABLE = "ONYXPASS_ADMIN"
+GENERATION_VARIABLE = "ONYXPASS_GENERATION"
+LAUNCH_VARIABLE = "ONYXPASS_LAUNCH"
 
 # Descriptors for discovery, operators, the log and the loop; the part of all that they may be
 SPARE_SOCKETS = 64
@@ -34,7 +34,7 @@
 
 def managed() -> bool:
     """Whether an agent has started this process and expects it to listen on an admin socket."""
-    return bool(os.environ.get(ADMIN))
+    return bool(os.environ.get(ADMIN_VARIABLE))
 
 
 class ConfigError(ValueError):
@@ -60,10 +60,10 @@
         return f"{self.host}:{self.port}"
 
 
-NOWHERE = Address("", 0)  # no discovery: watched files are the only source
+NO_ADDRESS = Address("", 0)  # no discovery: watched files are the only source
 
 
-def share_of(sockets: int) -> int:
+def connection_limit(sockets: int) -> int:
     """Return what one side, clients or replicas, may hold of so many descriptors."""
     spare = min(SPARE_SOCKETS, sockets // SPARE_SOCKETS_DIVISOR)
     return max(LEAST_SHARE, (sockets - spare) // 2)
@@ -78,38 +78,43 @@
     discovery: Address
     seed: int
     settings: contract.Settings
-    known: Mapping[str, Any]
+    known_endpoints: Mapping[str, Any]
     sockets: int = DEFAULT_SOCKETS
     connect_timeout_us: int = DEFAULT_CONNECT_TIMEOUT_US
     conn_idle_us: int = DEFAULT_CONNECTION_IDLE_US
     control: Address | None = None  # the operators' address
     # the descriptor of the clients' listening socket, where it is inherited
-    passed: int | None = None
+    listen_descriptor: int | None = None
     folder: Path | None = None  # what the two processes of an upgrade share
     faults: tuple[SettingsFault, ...] = ()  # of the settings; it can run with them
-    servers: Path | None = None  # our own file of watched files, on top or in place of discovery
+    servers_file: Path | None = (
+        None  # our own file of watched files, on top or in place of discovery
+    )
 
     @property
-    def share(self) -> int:
+    def connection_limit(self) -> int:
         """The connections that clients may hold; replicas may hold as many."""
-        return share_of(self.sockets)
+        return connection_limit(self.sockets)
 
 
 def parse(
-    raw: Mapping[str, Any], environ: Mapping[str, str], again: bool = False, strict: bool = False
+    raw: Mapping[str, Any],
+    environ: Mapping[str, str],
+    reloading: bool = False,
+    strict: bool = False,
 ) -> Config:
     """Read the platform's file, whose values its environment variables override.
 
-    ``again``: the file was replaced while the program runs. A variable still holds discovery's
+    ``reloading``: the file was replaced while the program runs. A variable still holds discovery's
     address of the start then, so here the file's wins. ``strict``: faults that a dispatcher can run
     with are rejected too. Raises ConfigError with key and reason.
     """
-    passed = _passed_socket(environ)
+    listen_descriptor = _listen_descriptor(environ)
     settings = raw.get("settings")
     if not isinstance(settings, Mapping):
         raise ConfigError("settings is absent")
     try:
-        return _read_config(raw, settings, environ, passed, again, strict)
+        return _read_config(raw, settings, environ, listen_descriptor, reloading, strict)
     except ConfigError:
         raise
     except (ValueError, KeyError, TypeError, AttributeError, IndexError) as problem:
@@ -120,8 +125,8 @@
     raw: Mapping[str, Any],
     settings: Mapping[str, Any],
     environ: Mapping[str, str],
-    passed: int | None,
-    again: bool,
+    listen_descriptor: int | None,
+    reloading: bool,
     strict: bool,
 ) -> Config:
     sockets = (raw.get("limits") or {}).get("sockets")
@@ -133,26 +138,26 @@
     return Config(
         name=_required(raw, environ, "name"),
         listen=Address.parse(_required(raw, environ, "listen")),
-        discovery=_discovery(raw, environ, again),
+        discovery=_discovery(raw, environ, reloading),
         seed=int(str(raw.get("seed") or "0"), 16),
         settings=contract_settings,
-        known=raw.get("known") or {},
+        known_endpoints=raw.get("known") or {},
         sockets=int(sockets or DEFAULT_SOCKETS),
         connect_timeout_us=int(limits.get("connectTimeoutUs") or DEFAULT_CONNECT_TIMEOUT_US),
         conn_idle_us=int(limits.get("connIdleUs") or DEFAULT_CONNECTION_IDLE_US),
         control=_control(raw, environ),
-        passed=passed,
+        listen_descriptor=listen_descriptor,
         folder=Path(environ["TMPDIR"]) if environ.get("TMPDIR") else None,
-        servers=Path(environ[SERVERS]) if environ.get(SERVERS) else None,
+        servers_file=Path(environ[SERVERS_VARIABLE]) if environ.get(SERVERS_VARIABLE) else None,
         faults=faults,
     )
 
 
-def _passed_socket(environ: Mapping[str, str]) -> int | None:
+def _listen_descriptor(environ: Mapping[str, str]) -> int | None:
     """Read the descriptor of the inherited listening socket, if there is one."""
-    number = environ.get(PREFIX + "PASSED_SOCKET") or ""
+    number = environ.get(VARIABLE_PREFIX + "PASSED_SOCKET") or ""
     if number and not (number.isascii() and number.isdigit()):
-        raise ConfigError(f"{PREFIX}PASSED_SOCKET is no descriptor: {number!r}")
+        raise ConfigError(f"{VARIABLE_PREFIX}PASSED_SOCKET is no descriptor: {number!r}")
     return int(number) if number else None
 
 
@@ -160,7 +165,7 @@
     raw: Mapping[str, Any], environ: Mapping[str, str], key: str, file_wins: bool = False
 ) -> str:
     """Return a value that has to be there, from the environment or the file."""
-    variable = PREFIX + key.upper()
+    variable = VARIABLE_PREFIX + key.upper()
     value = (file_wins and raw.get(key)) or environ.get(variable) or raw.get(key)
     if not value:
         raise ConfigError(f"{key} is not told, neither as {variable} nor in the file")
@@ -168,28 +173,28 @@
 
 
 def _control(raw: Mapping[str, Any], environ: Mapping[str, str]) -> Address | None:
-    text = environ.get(PREFIX + "CONTROL") or raw.get("control")
+    text = environ.get(VARIABLE_PREFIX + "CONTROL") or raw.get("control")
     return Address.parse(str(text)) if text else None
 
 
-def _discovery(raw: Mapping[str, Any], environ: Mapping[str, str], again: bool) -> Address:
-    """Return discovery's address; NOWHERE if watched files are the only source."""
-    named = raw.get("discovery") or environ.get(PREFIX + "DISCOVERY")
-    if environ.get(SERVERS) and not named:
-        return NOWHERE
-    return Address.parse(_required(raw, environ, "discovery", file_wins=again))
+def _discovery(raw: Mapping[str, Any], environ: Mapping[str, str], reloading: bool) -> Address:
+    """Return discovery's address; NO_ADDRESS if watched files are the only source."""
+    named = raw.get("discovery") or environ.get(VARIABLE_PREFIX + "DISCOVERY")
+    if environ.get(SERVERS_VARIABLE) and not named:
+        return NO_ADDRESS
+    return Address.parse(_required(raw, environ, "discovery", file_wins=reloading))
 
 
 def load(
     path: Path | None = None,
     environ: Mapping[str, str] = os.environ,
-    again: bool = False,
+    reloading: bool = False,
     strict: bool = False,
 ) -> Config:
     """Read the file that is named, by the caller or by the platform; the rest as in ``parse``."""
     if path is None:
-        if not (named := environ.get(PREFIX + "CONFIG")):
-            raise ConfigError(f"no file is named: give one, or set {PREFIX}CONFIG")
+        if not (named := environ.get(VARIABLE_PREFIX + "CONFIG")):
+            raise ConfigError(f"no file is named: give one, or set {VARIABLE_PREFIX}CONFIG")
         path = Path(named)
     try:
         raw = json.loads(path.read_text())
@@ -198,6 +203,6 @@
     if not isinstance(raw, dict):
         raise ConfigError(f"{path}: not an object")
     try:
-        return parse(raw, environ, again, strict)
+        return parse(raw, environ, reloading, strict)
     except ConfigError as problem:
         raise ConfigError(f"{path}: {problem}") from problem
--- a/onyxpass/config/toml_config.py
+++ b/onyxpass/config/toml_config.py
@@ -17,10 +17,10 @@
 
 HEADER = re.compile(r"\s*(\[\[?)\s*([^\[\]]+?)\s*\]\]?\s*(#.*)?$")
 KEY = re.compile(r"""\s*("[^"]*"|'[^']*'|[A-Za-z0-9_.-]+)\s*=""")
-Step = str | int
+PathPart = str | int
 
 
-def address_text(text: str) -> str:
+def check_listen_address(text: str) -> str:
     """Check an address to listen at; ValueError, as pydantic wants it, if it is none."""
     try:
         Address.parse(text)
@@ -29,19 +29,21 @@
     return text
 
 
-def place_text(text: str) -> str:
+def check_connect_address(text: str) -> str:
     """Check an address to connect to, which can't have port 0; ValueError if it is none."""
-    if Address.parse(address_text(text)).port == 0:
+    if Address.parse(check_listen_address(text)).port == 0:
         raise ValueError(f"port 0 can't be reached: {text!r}")
     return text
 
 
 # where one may listen, so the port may be 0
-AddressText = Annotated[str, AfterValidator(address_text)]
-PlaceText = Annotated[str, AfterValidator(place_text)]  # where somebody else listens
+ListenAddress = Annotated[str, AfterValidator(check_listen_address)]
+ConnectAddress = Annotated[
+    str, AfterValidator(check_connect_address)
+]  # where somebody else listens
 
 
-def published(description: str) -> ConfigDict:
+def schema_description(description: str) -> ConfigDict:
     """Configure a model to keep the description that its published JSON Schema has.
 
     Without it a schema would change with the wording of a docstring.
@@ -54,7 +56,7 @@
 
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True, allow_inf_nan=False)
 
-    def faults(self) -> Iterable[tuple[tuple[Step, ...], str]]:
+    def faults(self) -> Iterable[tuple[tuple[PathPart, ...], str]]:
         """Yield where and why several values that are each well formed don't go together."""
         return ()
 
@@ -62,7 +64,7 @@
 Found = TypeVar("Found", bound=Model)
 
 
-def parts_of(dotted: str) -> list[str]:
+def split_key(dotted: str) -> list[str]:
     """Split a dotted key."""
     return [part.strip().strip("\"'") for part in dotted.split(".")]
 
@@ -70,17 +72,17 @@
 class _LineFinder:
     """Follows a TOML text line by line and keeps the line that is nearest to a wanted path."""
 
-    def __init__(self, wanted: Sequence[Step]) -> None:
+    def __init__(self, wanted: Sequence[PathPart]) -> None:
         self.best_line = 1
         self._best_depth = 0
         self._wanted = wanted
-        self._table: tuple[Step, ...] = ()
-        self._array_lengths: dict[tuple[Step, ...], int] = {}  # less one, so the index of the last
+        self._table: tuple[PathPart, ...] = ()
+        self._array_lengths: dict[tuple[PathPart, ...], int] = {}  # the index of the last
 
     def header(self, dotted: str, is_array: bool, number: int) -> None:
         """Take in the header of a table or of an element of an array of tables."""
-        names = parts_of(dotted)
-        at: tuple[Step, ...] = ()
+        names = split_key(dotted)
+        at: tuple[PathPart, ...] = ()
         for i, name in enumerate(names):
             at = (*at, name)
             if is_array and i == len(names) - 1:
@@ -95,9 +97,9 @@
 
     def key(self, dotted: str, number: int) -> None:
         """Take in a key of the present table."""
-        self._consider((*self._table, *parts_of(dotted)), number)
+        self._consider((*self._table, *split_key(dotted)), number)
 
-    def _consider(self, at: tuple[Step, ...], number: int) -> None:
+    def _consider(self, at: tuple[PathPart, ...], number: int) -> None:
         pairs = zip(at, self._wanted, strict=False)
         shared = min(len(at), len(self._wanted))
         depth = next((i for i, (here, wanted) in enumerate(pairs) if here != wanted), shared)
@@ -106,7 +108,7 @@
             self._best_depth = depth
 
 
-def line_of(text: str, path: Sequence[Step]) -> int:
+def line_of(text: str, path: Sequence[PathPart]) -> int:
     """Return the line, from 1 on, of the value at ``path``, or of the nearest table above it.
 
     Made for files of ours: headers and keys at the start of a line; what stands within an inline
@@ -121,23 +123,23 @@
     return finder.best_line
 
 
-def place_of(text: str, path: Sequence[Step]) -> tuple[int, int]:
+def position_of(text: str, path: Sequence[PathPart]) -> tuple[int, int]:
     """Return line and column, from 1 on, of a value, or of its key's line."""
     number = line_of(text, path)
     line = text.splitlines()[number - 1] if text else ""
     key = KEY.match(line)
-    if key is not None and path and parts_of(key[1])[-1] == path[-1]:
+    if key is not None and path and split_key(key[1])[-1] == path[-1]:
         return number, len(line) - len(line[key.end() :].lstrip()) + 1
     return number, len(line) - len(line.lstrip()) + 1
 
 
-def likely(word: str, known: Sequence[str]) -> str:
+def suggestion(word: str, known: Sequence[str]) -> str:
     """Return what a misspelt word was probably meant to be, as the end of a sentence."""
     near = difflib.get_close_matches(word, known, 1, 0.6)
     return f"; did you mean {near[0]!r}?" if near else ""
 
 
-def names_at(model: type[BaseModel], path: Sequence[Step]) -> list[str]:
+def known_keys(model: type[BaseModel], path: Sequence[PathPart]) -> list[str]:
     """Return the keys that are known in the table at ``path``."""
     schema = model.model_json_schema()
     at: Any = schema
@@ -155,9 +157,9 @@
     return list(at.get("properties", ()))
 
 
-def meant(model: type[BaseModel], loc: Sequence[Step]) -> str:
+def key_suggestion(model: type[BaseModel], loc: Sequence[PathPart]) -> str:
     """Return what an unknown key was probably meant to be, as the end of a sentence."""
-    return likely(str(loc[-1]), names_at(model, loc[:-1]))
+    return suggestion(str(loc[-1]), known_keys(model, loc[:-1]))
 
 
 def check(
@@ -173,7 +175,7 @@
     return found
 
 
-def _line_suffix(text: str, path: Sequence[Step]) -> str:
+def _line_suffix(text: str, path: Sequence[PathPart]) -> str:
     return f":{line_of(text, path)}" if text else ""
 
 
@@ -184,7 +186,7 @@
     key = ".".join(str(part + 1) if isinstance(part, int) else part for part in loc)
     reason = first["msg"].removeprefix("Value error, ")
     if first["type"] == "extra_forbidden":
-        reason = "unknown key" + meant(model, loc)
+        reason = "unknown key" + key_suggestion(model, loc)
     elif first["type"] == "missing":
         reason = "is absent"
     others = problem.error_count() - 1
--- a/onyxpass/core/clock.py
+++ b/onyxpass/core/clock.py
@@ -17,11 +17,11 @@
         """Return the wall clock's Unix time, which may have been stepped since our start."""
         return time.time_ns() // 1000
 
-    def at_us(self, monotonic_ns: int) -> int:
+    def from_monotonic_ns(self, monotonic_ns: int) -> int:
         """Return the time on this clock of a reading of the monotonic clock."""
         return self._start_us + monotonic_ns // 1000
 
-    def monotonic_us(self, at_us: int) -> int:
+    def to_monotonic_us(self, at_us: int) -> int:
         """Return the monotonic clock's time, in microseconds, which all local processes share."""
         return at_us - self._start_us
 
--- a/onyxpass/core/dispatcher.py
+++ b/onyxpass/core/dispatcher.py
@@ -97,7 +97,7 @@
         """
         now_us = self.clock.now_us()
         update = self.endpoints.apply(update, now_us, absent_us)
-        self.invariants.listed(update.endpoints, update.form in COMPLETE_FORMS, now_us)
+        self.invariants.record_endpoints(update.endpoints, update.form in COMPLETE_FORMS, now_us)
         self.tell(update)
 
     def set_exclusions(self, servers: Iterable[str]) -> None:
@@ -119,7 +119,7 @@
         request = Request(request_id, arrival.id, arrival, client, payload, self.clock.now_us())
         self.registry.add(request)
         self.metrics.taken += 1
-        self.invariants.taken(request_id, arrival.traffic_class, arrival.deadline_us)
+        self.invariants.record_request(request_id, arrival.traffic_class, arrival.deadline_us)
         if self.shutdown.begun:
             self._reject(request, 0)
             self._settle(request)
@@ -139,7 +139,7 @@
         self.registry.add(request)
         self.metrics.taken += 1
         arrival = request.arrival
-        self.invariants.adopted(
+        self.invariants.record_adopted_stream(
             request.id, arrival.traffic_class, attempt.number, attempt.server, self.clock.now_us()
         )
         tokens = arrival.prompt_tokens + arrival.max_tokens // 2
@@ -148,7 +148,7 @@
     def connection_closing(self, request: Request | None, unanswered: bool) -> None:
         """Check that a front may close a client's connection, whose last request this was."""
         if unanswered and request is not None:
-            enforce(self.invariants.closing(unanswered), request)
+            enforce(self.invariants.check_close(unanswered), request)
 
     def idempotency_of(self, request: Request) -> contract.Idempotency:
         """Return how often the request may run; one of an unknown class may run only once."""
--- a/onyxpass/core/final_answers.py
+++ b/onyxpass/core/final_answers.py
@@ -95,7 +95,7 @@
         log.info("client_gone", id=request.id, committed=request.committed is not None)
         context = self._context
         context.registry.finish(request)
-        context.invariants.client_left(request.id, context.clock.now_us())
+        context.invariants.record_client_disconnect(request.id, context.clock.now_us())
         context.metrics.failed(request.arrival.traffic_class)
         self._withdraw(request, AttemptStatus.CANCELLED)
 
@@ -127,7 +127,7 @@
 
         An answer that cannot be given is logged: the router still hears how the request ended.
         """
-        verdict = self._context.invariants.answering(request.id, rejection)
+        verdict = self._context.invariants.check_answer(request.id, rejection)
         if not enforce(verdict, request) and verdict.rule is Rule.ONE_ANSWER:
             return
         if verdict.rule is Rule.REFUSAL:
--- a/onyxpass/core/outcomes.py
+++ b/onyxpass/core/outcomes.py
@@ -113,14 +113,14 @@
     def _commit(self, request: Request, attempt: Attempt) -> bool:
         """Commit the request to the attempt, if the invariants allow it."""
         context = self._context
-        verdict = context.invariants.committing(request.id, attempt.number)
+        verdict = context.invariants.check_commit(request.id, attempt.number)
         if not enforce(verdict, request, attempt):
             return False
         request.committed = attempt
         self._reservations.stream_committed(attempt)
         for timer in (attempt.timer, request.deadline_timer):
             if timer is not None:
-                timer.drop()
+                timer.cancel()
         attempt.first_event_us = self._clock.now_us() - attempt.sent_us
         context.notify_router(
             contract.StreamStarted(
@@ -136,9 +136,9 @@
         if status is AttemptStatus.CANCELLED and attempt.stop_status is not None:
             status = attempt.stop_status
         attempt.status = status
-        self._context.invariants.ended(request.id, attempt.number, status)
+        self._context.invariants.record_attempt_end(request.id, attempt.number, status)
         if attempt.timer is not None:
-            attempt.timer.drop()
+            attempt.timer.cancel()
         if request.in_flight is attempt:
             request.in_flight = None
         attempt.duration_us = self._clock.now_us() - attempt.sent_us
--- a/onyxpass/core/release.py
+++ b/onyxpass/core/release.py
@@ -89,7 +89,7 @@
     due_us = core.clock.now_us() + wait_us
     while calls and (left_us := due_us - core.clock.now_us()) > 0:
         with contextlib.suppress(TimeoutError):
-            async with core.wheel.limit(left_us):
+            async with core.wheel.timeout(left_us):
                 await asyncio.wait(calls, return_when=asyncio.FIRST_COMPLETED)
         done = {task for task in calls if task.done()}
         calls -= done
--- a/onyxpass/core/request_registry.py
+++ b/onyxpass/core/request_registry.py
@@ -48,7 +48,7 @@
         request.finished = True
         self._recently_finished.append(request)
         if request.deadline_timer is not None:
-            request.deadline_timer.drop()
+            request.deadline_timer.cancel()
 
     def take_recently_finished(self) -> list[Request]:
         """Return the requests finished since the last call."""
@@ -63,7 +63,7 @@
         del self.by_number[request.number]
         if self.by_id.get(request.id) is request:
             del self.by_id[request.id]
-            self._invariants.forgotten(request.id)
+            self._invariants.record_removal(request.id)
         if not self.by_number and self.on_idle is not None:
             self.on_idle()
 
--- a/onyxpass/core/requests.py
+++ b/onyxpass/core/requests.py
@@ -108,10 +108,10 @@
     def stop(self, attempt: Attempt) -> None:
         """Close the attempt's connection, then report its end as CANCELLED."""
 
-    def release(self, request: Request, settle: bool) -> None:
+    def release(self, request: Request, prefill_interrupted: bool) -> None:
         """Release all reserved state that no attempt at a server waits for.
 
-        ``settle``: a prefill was just broken off, and may still be ending.
+        ``prefill_interrupted``: a prefill was just broken off, and may still be ending.
         """
 
     def check_health(self, server: str) -> None:
--- a/onyxpass/core/send_preconditions.py
+++ b/onyxpass/core/send_preconditions.py
@@ -49,7 +49,7 @@
         if reason := self.check(attempt):
             return reason
         context = self._context
-        verdict = context.invariants.sending(
+        verdict = context.invariants.check_send(
             attempt.request.id,
             attempt.number,
             attempt.server,
--- a/onyxpass/core/state_reservations.py
+++ b/onyxpass/core/state_reservations.py
@@ -89,7 +89,7 @@
         self._context.metrics.unanswered_sends += 1
         if self._context.fleet is not None:
             # ``has_reserved_state`` stays: if the attempt did arrive, its state outlives this.
-            self._context.fleet.release(request, settle=False)
+            self._context.fleet.release(request, prefill_interrupted=False)
         log.info(
             "send_unanswered",
             id=request.id,
@@ -104,4 +104,4 @@
     @staticmethod
     def _stop_following(attempt: Attempt) -> None:
         if attempt.unanswered_timer is not None:
-            attempt.unanswered_timer.drop()
+            attempt.unanswered_timer.cancel()
--- a/onyxpass/core/timer_wheel.py
+++ b/onyxpass/core/timer_wheel.py
@@ -27,7 +27,7 @@
         self._call = call
         self._slot = slot
 
-    def drop(self) -> None:
+    def cancel(self) -> None:
         """Cancel the timer, if it is still pending."""
         self._slot.discard(self)
 
@@ -36,8 +36,8 @@
         self._call()
 
 
-class Limit:
-    """``async with wheel.limit(us)``: raises TimeoutError in the block once the time is over."""
+class Timeout:
+    """``async with wheel.timeout(us)``: raises TimeoutError in the block once the time is over."""
 
     def __init__(self, wheel: "TimerWheel", delay_us: int) -> None:
         self._wheel = wheel
@@ -46,7 +46,7 @@
         self._timer: Timer | None = None
         self._task: asyncio.Task[object] | None = None
 
-    async def __aenter__(self) -> "Limit":
+    async def __aenter__(self) -> "Timeout":
         self._task = asyncio.current_task()
         self._timer = self._wheel.after(self._delay_us, self.expire)
         return self
@@ -64,7 +64,7 @@
         trace: TracebackType | None,
     ) -> None:
         if self._timer is not None:
-            self._timer.drop()
+            self._timer.cancel()
         # Prevents swallowing a cancellation from elsewhere that came together with the expiry.
         ours = self._expired and self._task is not None and self._task.uncancel() <= 0
         if ours and kind is asyncio.CancelledError:
@@ -98,9 +98,9 @@
             self._sleep_until(self._loop, due)
         return timer
 
-    def limit(self, delay_us: int) -> Limit:
+    def timeout(self, delay_us: int) -> Timeout:
         """Return a context manager that limits the time of its block."""
-        return Limit(self, delay_us)
+        return Timeout(self, delay_us)
 
     async def sleep(self, delay_us: int) -> None:
         """Wait for ``delay_us``."""
@@ -109,7 +109,7 @@
         try:
             await due.wait()
         finally:
-            timer.drop()
+            timer.cancel()
 
     def advance(self) -> None:
         """Fire all that is due by now."""
@@ -182,7 +182,7 @@
         now_us = self.clock.now_us()
         late_us = now_us - self._next_tick * TICK_US
         if late_us > HELD_UP_US:
-            at_us = self.clock.monotonic_us(now_us)
+            at_us = self.clock.to_monotonic_us(now_us)
             log.info("process_held_up", late_us=late_us, at_us=at_us, cpu_us=cpu_us())
 
     def _sleep_until(self, loop: asyncio.AbstractEventLoop, tick: int) -> None:
--- a/onyxpass/desired/config.py
+++ b/onyxpass/desired/config.py
@@ -25,16 +25,16 @@
 
     name: Name
     role: Literal["control", "relay", "host"]
-    listen: toml_config.AddressText
+    listen: toml_config.ListenAddress
     key: str  # the same file as the agents' key
     folder: str
-    upstreams: Annotated[list[toml_config.PlaceText], Field(max_length=32)] = Field(
+    upstreams: Annotated[list[toml_config.ConnectAddress], Field(max_length=32)] = Field(
         default_factory=list
     )
-    agent: toml_config.PlaceText | None = None
+    agent: toml_config.ConnectAddress | None = None
     instances: list[InstanceTable] = Field(default_factory=list)
 
-    def faults(self) -> Iterable[tuple[tuple[toml_config.Step, ...], str]]:
+    def faults(self) -> Iterable[tuple[tuple[toml_config.PathPart, ...], str]]:
         if self.role != "control" and not self.upstreams:
             yield ("upstreams",), f"upstreams: a {self.role} needs at least one"
         if self.instances and (self.role != "host" or self.agent is None):
--- a/onyxpass/emulator/experiment.py
+++ b/onyxpass/emulator/experiment.py
@@ -60,17 +60,20 @@
     axes: dict[str, Annotated[list[Number], Field(min_length=1)]] = Field(default_factory=dict)
     troubles: list[TroubleTable] = Field(default_factory=list)
 
-    def faults(self) -> Iterable[tuple[tuple[toml_config.Step, ...], str]]:
+    def faults(self) -> Iterable[tuple[tuple[toml_config.PathPart, ...], str]]:
         known = [*POLICIES, KNOWING]
         for number, name in enumerate(self.policies):
             if name not in known:
-                yield ("policies", number), f"no policy {name!r}{toml_config.likely(name, known)}"
+                yield (
+                    ("policies", number),
+                    f"no policy {name!r}{toml_config.suggestion(name, known)}",
+                )
         if self.baseline not in self.policies:
             yield ("baseline",), f"baseline {self.baseline!r} is none of the policies"
         for table, keys in (("base", self.base), ("axes", self.axes)):
             for key in keys:
                 if key not in AXES:
-                    yield (table, key), f"no key {key!r}{toml_config.likely(key, AXES)}"
+                    yield (table, key), f"no key {key!r}{toml_config.suggestion(key, AXES)}"
         for number, trouble in enumerate(self.troubles):
             if trouble.what not in ("lag", "flush", "hot", "cut", "flap", "crash", "slow"):
                 yield ("troubles", number, "what"), f"no trouble {trouble.what!r}"
--- a/onyxpass/fleet/config.py
+++ b/onyxpass/fleet/config.py
@@ -32,7 +32,7 @@
 class AgentTable(toml_config.Model):
     host: Name
     hall: Name
-    address: toml_config.PlaceText
+    address: toml_config.ConnectAddress
     key: str | None = None  # else the fleet's
     instances: list[InstanceTable]
 
@@ -40,7 +40,7 @@
 class LimitsTable(toml_config.Model):
     """The limits of a rollout: how many instances may be out of service at once, and for how long."""
 
-    model_config = toml_config.published(
+    model_config = toml_config.schema_description(
         "What a rollout keeps to. ``out``: instances that are being changed or are not well, at once."
     )
 
@@ -73,7 +73,7 @@
     halls: list[HallTable]
     agents: list[AgentTable]
 
-    def faults(self) -> Iterable[tuple[tuple[toml_config.Step, ...], str]]:
+    def faults(self) -> Iterable[tuple[tuple[toml_config.PathPart, ...], str]]:
         """Names that stand twice, halls that are not named, and more to keep than there is."""
         if self.store is not None and self.store.lease_s > self.store.longest_s:
             yield (
@@ -81,7 +81,7 @@
                 f"a lease of {self.store.lease_s:g} s, of {self.store.longest_s:g} at most",
             )
         halls = [hall.name for hall in self.halls]
-        named: list[tuple[str, str, tuple[toml_config.Step, ...]]] = [
+        named: list[tuple[str, str, tuple[toml_config.PathPart, ...]]] = [
             ("halls", name, ("halls", i, "name")) for i, name in enumerate(halls)
         ]
         for i, agent in enumerate(self.agents):
@@ -90,7 +90,7 @@
             for j, instance in enumerate(agent.instances):
                 named.append(("instances", instance.name, ("agents", i, "instances", j, "name")))
             if agent.hall not in halls:
-                near = toml_config.likely(agent.hall, halls)
+                near = toml_config.suggestion(agent.hall, halls)
                 yield ("agents", i, "hall"), f"hall {agent.hall!r} is not named{near}"
         seen: set[tuple[str, str]] = set()
         for what, name, where in named:
--- a/onyxpass/fleet/selector.py
+++ b/onyxpass/fleet/selector.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from fnmatch import fnmatchcase
 
-from onyxpass.config.toml_config import likely
+from onyxpass.config.toml_config import suggestion
 from onyxpass.fleet.config import Member
 
 KEYS = ("hall", "host", "name")
@@ -45,7 +45,9 @@
             raise SelectorError(f"column {column}: {part.strip()!r} is not KEY=VALUE")
         key, operator, value = found.groups()
         if key not in KEYS and not (key.startswith("label.") and len(key) > len("label.")):
-            raise SelectorError(f"column {column}: no key {key!r}{likely(key, (*KEYS, 'label.'))}")
+            raise SelectorError(
+                f"column {column}: no key {key!r}{suggestion(key, (*KEYS, 'label.'))}"
+            )
         values = tuple(v.strip() for v in value.split("|"))
         if not all(values):
             raise SelectorError(f"column {column}: {key} has an empty value")
@@ -67,7 +69,7 @@
     known = [member.name for member in members]
     for name in wanted:
         if not any(fnmatchcase(found, name) for found in known):
-            raise SelectorError(f"no instance {name!r}{likely(name, known)}")
+            raise SelectorError(f"no instance {name!r}{suggestion(name, known)}")
     terms = parse(where) if where.strip() else ()
     found = tuple(
         member
--- a/onyxpass/invariants/rules.py
+++ b/onyxpass/invariants/rules.py
@@ -79,28 +79,30 @@
 
     # What has happened
 
-    def taken(self, request: str, traffic_class: str, deadline_us: int) -> None:
+    def record_request(self, request: str, traffic_class: str, deadline_us: int) -> None:
         """Record that a client's request was taken on."""
         self._requests[request] = _RequestRecord(deadline_us, self._classes.get(traffic_class))
 
-    def forgotten(self, request: str) -> None:
+    def record_removal(self, request: str) -> None:
         """Record that the request is finished, and nothing of it is in flight."""
         self._requests.pop(request, None)
 
-    def client_left(self, request: str, now_us: int) -> None:
+    def record_client_disconnect(self, request: str, now_us: int) -> None:
         """Record that the request's client was found to have left."""
         record = self._requests.get(request)
         if record is not None and record.client_left_us is None:
             record.client_left_us = now_us
 
-    def ended(self, request: str, attempt: int, status: contract.AttemptStatus) -> None:
+    def record_attempt_end(
+        self, request: str, attempt: int, status: contract.AttemptStatus
+    ) -> None:
         """Record how an attempt ended; one that was never sent is ignored."""
         record = self._requests.get(request)
         if record is not None and (sent := record.sent.get(attempt)) is not None:
             sent.in_flight = False
             sent.may_have_run = status.may_have_run
 
-    def adopted(
+    def record_adopted_stream(
         self, request: str, traffic_class: str, attempt: int, server: str, now_us: int
     ) -> None:
         """Record that a stream goes on here which another process had begun."""
@@ -108,7 +110,9 @@
         record.sent[attempt] = _SentAttempt(server, self._servers.get(server), now_us, True)
         self._requests[request] = record
 
-    def listed(self, servers: Iterable[contract.Endpoint], complete: bool, now_us: int) -> None:
+    def record_endpoints(
+        self, servers: Iterable[contract.Endpoint], complete: bool, now_us: int
+    ) -> None:
         """Record an endpoint update; ``complete``: what it does not name has been removed."""
         if complete:
             named = {server.id: server for server in servers}
@@ -133,7 +137,7 @@
 
     # What is about to happen
 
-    def sending(
+    def check_send(
         self,
         request: str,
         attempt: int,
@@ -161,7 +165,7 @@
         record.sent[attempt] = _SentAttempt(server, self._servers.get(server), now_us, generates)
         return ALLOWED
 
-    def committing(self, request: str, attempt: int) -> Verdict:
+    def check_commit(self, request: str, attempt: int) -> Verdict:
         """Check the first event of an attempt, which is about to be the client's."""
         record = self._requests.get(request)
         if record is None:
@@ -173,7 +177,7 @@
         record.committed = attempt
         return ALLOWED
 
-    def answering(self, request: str, rejection: bool = False) -> Verdict:
+    def check_answer(self, request: str, rejection: bool = False) -> Verdict:
         """Check a final answer; ``rejection``: one that promises that nothing has run."""
         record = self._requests.get(request)
         if record is None:
@@ -185,7 +189,7 @@
         record.answered = True
         return ALLOWED
 
-    def closing(self, unanswered: bool) -> Verdict:
+    def check_close(self, unanswered: bool) -> Verdict:
         """Check that a client's connection may be closed by us.
 
         ``unanswered``: a request that was read on it has had no answer, and its client has not
--- a/onyxpass/invariants/starts.py
+++ b/onyxpass/invariants/starts.py
@@ -12,17 +12,17 @@
         self.violations: Counter[Rule] = Counter()
         self._pids: dict[str, int] = {}
 
-    def starting(self, instance: str) -> Verdict:
+    def check_start(self, instance: str) -> Verdict:
         """Check that a process of this instance may be started."""
         if (pid := self._pids.get(instance)) is None:
             return ALLOWED
         self.violations[Rule.ONE_PROCESS] += 1
         return Verdict(Rule.ONE_PROCESS, f"process {pid} runs")
 
-    def started(self, instance: str, pid: int) -> None:
+    def record_start(self, instance: str, pid: int) -> None:
         """Record that the instance's process runs, started here or adopted."""
         self._pids[instance] = pid
 
-    def ended(self, instance: str) -> None:
+    def record_end(self, instance: str) -> None:
         """Record that the instance's process has ended."""
         self._pids.pop(instance, None)
--- a/onyxpass/net/connections.py
+++ b/onyxpass/net/connections.py
@@ -11,7 +11,7 @@
 
 from onyxpass.core.reasons import CloseReason
 from onyxpass.core.requests import Request
-from onyxpass.core.timer_wheel import Limit
+from onyxpass.core.timer_wheel import Timeout
 from onyxpass.net.http import Wire
 
 
@@ -44,7 +44,7 @@
     due_us: int  # by when the request that is being read must be whole
     wire: Wire | None = None
     stage: Stage = Stage.NEW
-    resting: Limit | None = None  # while it waits for a next request
+    resting: Timeout | None = None  # while it waits for a next request
     arrived_us: int = 0  # since when, at the earliest, it may have waited to be taken
     watched_us: int = 0  # since when the loop watches it
     request: Request | None = None  # the last one that was taken on from it
--- a/onyxpass/net/endpoint_watcher.py
+++ b/onyxpass/net/endpoint_watcher.py
@@ -272,12 +272,12 @@
         """No longer than till discovery moves."""
         if wait_ms > 0:
             with contextlib.suppress(TimeoutError):
-                async with self.core.wheel.limit(round(wait_ms * 1000)):
+                async with self.core.wheel.timeout(round(wait_ms * 1000)):
                     await self._moved.wait()
 
     async def _once(self) -> None:
         wheel = self.core.wheel
-        async with wheel.limit(round(CONNECT_MS * 1000)):
+        async with wheel.timeout(round(CONNECT_MS * 1000)):
             streams = await asyncio.open_connection(self.discovery.host, self.discovery.port)
         wire = Wire(h11.CLIENT, *streams)
         try:
@@ -304,7 +304,7 @@
         ``due_us``.
         """
         while True:
-            async with self.core.wheel.limit(due_us - self.core.clock.now_us()):
+            async with self.core.wheel.timeout(due_us - self.core.clock.now_us()):
                 event = await wire.event()
             if isinstance(event, h11.Response) and event.status_code != 200:
                 raise Broken(f"discovery answers {event.status_code}")
--- a/onyxpass/net/front.py
+++ b/onyxpass/net/front.py
@@ -180,7 +180,7 @@
 
     def _welcome(self, sock: socket.socket, waited_since_ns: int) -> None:
         now_us = self.clock.now_us()
-        arrived_us = self.clock.at_us(waited_since_ns)
+        arrived_us = self.clock.from_monotonic_ns(waited_since_ns)
         if self.shared and (silent := silent_ms(sock)) is not None:
             # Guards against a request that waited for this process longer than it has lived.
             arrived_us = min(arrived_us, now_us - silent * 1000)
@@ -271,11 +271,11 @@
             # a request that is read and gets no answer is lost, one that meets a closed connection
             # is sent again.
             if not silent and not wire.writer.is_closing():
-                async with self.wheel.limit(LEAVE_US):
+                async with self.wheel.timeout(LEAVE_US):
                     await wire.flush()
                 await drain_input(wire, self.wheel, FAREWELL_US)
             wire.close()
-            async with self.wheel.limit(LEAVE_US):
+            async with self.wheel.timeout(LEAVE_US):
                 await wire.writer.wait_closed()
         except (OSError, TimeoutError, asyncio.CancelledError):
             wire.abort()
@@ -323,7 +323,7 @@
                     CloseReason.STREAM_CUT if client.was_cut else CloseReason.CLIENT_LEFT
                 )
                 return
-            async with self.wheel.limit(LEAVE_US):
+            async with self.wheel.timeout(LEAVE_US):
                 await wire.writer.drain()
             if wire.h11.our_state is not h11.DONE or wire.h11.their_state is not h11.DONE:
                 return
@@ -340,7 +340,7 @@
         limit_us = (
             IDLE_US if connection.stage is Stage.IDLE else connection.due_us - self.clock.now_us()
         )
-        limit = self.wheel.limit(limit_us)
+        limit = self.wheel.timeout(limit_us)
         connection.resting = limit
         try:
             async with limit:
@@ -373,7 +373,9 @@
         watched its connection may be as old as the connection.
         """
         since_us = (
-            self.clock.at_us(wire.since_ns) if wire.since_ns is not None else self.clock.now_us()
+            self.clock.from_monotonic_ns(wire.since_ns)
+            if wire.since_ns is not None
+            else self.clock.now_us()
         )
         return (
             since_us if since_us >= connection.watched_us else min(since_us, connection.arrived_us)
@@ -381,7 +383,7 @@
 
     async def _exchange(self, connection: ClientConnection, wire: Wire, client: HttpClient) -> None:
         arrived_us, now_us = self._arrived_us(connection, wire), self.clock.now_us()
-        async with self.wheel.limit(min(connection.due_us - now_us, FIRST_US)):
+        async with self.wheel.timeout(min(connection.due_us - now_us, FIRST_US)):
             head = await wire.event()
             if not isinstance(head, h11.Request):
                 raise Broken("closed")
--- a/onyxpass/net/http.py
+++ b/onyxpass/net/http.py
@@ -215,7 +215,7 @@
     if wire.writer.can_write_eof() and not wire.writer.is_closing():
         wire.writer.write_eof()
     try:
-        async with wheel.limit(most_us):
+        async with wheel.timeout(most_us):
             for _ in range(DRAIN_PARTS):
                 if not await wire.reader.read(CHUNK):
                     return
--- a/onyxpass/net/http_server.py
+++ b/onyxpass/net/http_server.py
@@ -102,7 +102,7 @@
             wire = await Wire.over(sock, h11.SERVER)
             await self._answer(wire)
             wire.close()
-            async with self.wheel.limit(LEAVE_US):
+            async with self.wheel.timeout(LEAVE_US):
                 await wire.writer.wait_closed()
         except (Broken, OSError, TimeoutError, asyncio.CancelledError) as problem:
             log.debug("call_ended", why=str(problem))
@@ -115,7 +115,7 @@
     async def _answer(self, wire: Wire) -> None:
         began = False
         try:
-            async with self.wheel.limit(CALL_US):
+            async with self.wheel.timeout(CALL_US):
                 await wire.fill()
                 if not (began := wire.pending):
                     return  # it left without a word
--- a/onyxpass/net/replica.py
+++ b/onyxpass/net/replica.py
@@ -171,7 +171,7 @@
             raise ResourceShortageError("no descriptors left for replicas")
         self.budget.open += 1
         try:
-            async with self.wheel.limit(self.connect_us if most_us is None else most_us):
+            async with self.wheel.timeout(self.connect_us if most_us is None else most_us):
                 streams = await connect(self.address.host, self.address.port)
         except BaseException:
             self.budget.open -= 1
@@ -392,7 +392,7 @@
                     raise Broken("nobody waits for this stream")
                 # a client that takes nothing holds no replica for ever
                 turn.begin_step()
-                async with self.wheel.limit(TAKE_US):
+                async with self.wheel.timeout(TAKE_US):
                     await client.forward(whole)
                 await turn.end_step()
             elif isinstance(part, h11.EndOfMessage):
@@ -413,7 +413,7 @@
     async def check_health(self) -> None:
         began_us, ok, wire = self.core.clock.now_us(), False, None
         try:
-            async with self.wheel.limit(PROBE_US):
+            async with self.wheel.timeout(PROBE_US):
                 wire = self._reuse() or await self._open()
                 if (
                     self.name in self.core.endpoints.excluded
@@ -438,7 +438,7 @@
         """Ask this replica to release all that is held; True once it has answered."""
         wire: Wire | None = None
         try:
-            async with self.wheel.limit(LEASE_TRY_US):
+            async with self.wheel.timeout(LEASE_TRY_US):
                 wire = self._reuse() or await self._open()
                 target = b"/kv/leases/" + request_id.encode("ascii")
                 wire.write(request(b"DELETE", target), h11.EndOfMessage())
--- a/onyxpass/net/replicas.py
+++ b/onyxpass/net/replicas.py
@@ -79,11 +79,13 @@
         if actor := self.actors.get(server):
             actor.tell(Forget())
 
-    def release(self, request: Request, settle: bool) -> None:
-        self.track_release(request, self._release(request, settle))
+    def release(self, request: Request, prefill_interrupted: bool) -> None:
+        self.track_release(request, self._release(request, prefill_interrupted))
 
-    async def _release(self, request: Request, settle: bool) -> None:
-        if settle:  # guards against asking before a read that was just broken off has ended there
+    async def _release(self, request: Request, prefill_interrupted: bool) -> None:
+        if (
+            prefill_interrupted
+        ):  # guards against asking before a read that was just broken off has ended there
             await self.core.wheel.sleep(SETTLE_US)
         await release(self.core, request, self._latest, lambda name: self._let_go(name, request.id))
 
--- a/onyxpass/net/response_reader.py
+++ b/onyxpass/net/response_reader.py
@@ -7,7 +7,7 @@
 
 import h11
 
-from onyxpass.core.timer_wheel import Limit, TimerWheel
+from onyxpass.core.timer_wheel import Timeout, TimerWheel
 from onyxpass.net.http import BODY_LIMIT, Broken, Wire, header
 
 EVENT_MOST = BODY_LIMIT  # of one event, and of one chunk
@@ -36,7 +36,7 @@
         self.wire, self.wheel = wire, wheel
         self.begun = False  # whether anything of the answer has come
         self.chunked = False
-        self._wait: Limit | None = None  # at present, with nothing of a next part there
+        self._wait: Timeout | None = None  # at present, with nothing of a next part there
         self._nudged = False
         self._parts: list[bytes] = []
         self._tail = b""  # how the last whole chunk ended
@@ -100,7 +100,7 @@
             now_us = self.wheel.clock.now_us()
             if part and not self._due_us:
                 self._due_us = now_us + PART_US
-            limit = self.wheel.limit(self._due_us - now_us if part else quiet_us or 0)
+            limit = self.wheel.timeout(self._due_us - now_us if part else quiet_us or 0)
             try:
                 async with limit:
                     self._wait = None if part else limit
--- a/onyxpass/net/stream_migration.py
+++ b/onyxpass/net/stream_migration.py
@@ -16,7 +16,7 @@
 import h11
 import structlog
 
-from onyxpass.config.platform_file import NOWHERE, Address
+from onyxpass.config.platform_file import NO_ADDRESS, Address
 from onyxpass.core.clock import Clock
 from onyxpass.core.dispatcher import RequestDispatcher
 from onyxpass.core.requests import Attempt, Request
@@ -54,13 +54,13 @@
         "id": request.id,
         "cls": asked.traffic_class,
         "session": asked.session,
-        "deadline_us": clock.monotonic_us(asked.deadline_us),
+        "deadline_us": clock.to_monotonic_us(asked.deadline_us),
         "prompt_tokens": asked.prompt_tokens,
         "max_tokens": asked.max_tokens,
-        "arrived_us": clock.monotonic_us(request.arrived_us),
+        "arrived_us": clock.to_monotonic_us(request.arrived_us),
         "n": attempt.number,
         "server": attempt.server,
-        "sent_us": clock.monotonic_us(attempt.sent_us),
+        "sent_us": clock.to_monotonic_us(attempt.sent_us),
         "first_us": attempt.first_event_us,
         "parts": attempt.event_count,
         "gap_us": attempt.longest_gap_us,
@@ -124,7 +124,7 @@
             with short(self.path) as path:
                 sock.connect(path)
             socket.send_fds(sock, [message], descriptors)
-            async with self.wheel.limit(OFFER_US):
+            async with self.wheel.timeout(OFFER_US):
                 answer = await asyncio.get_running_loop().sock_recv(sock, 1)
             if answer != WILLING:
                 return False
@@ -177,7 +177,7 @@
         loop, held = asyncio.get_running_loop(), list[socket.socket]()
         offer.setblocking(False)
         try:
-            async with self.wheel.limit(OFFER_US):
+            async with self.wheel.timeout(OFFER_US):
                 message, descriptors = await receive(offer)
                 held = [socket.socket(fileno=number) for number in descriptors]
                 stream = self._read(message, held)
@@ -217,7 +217,7 @@
                 raise ValueError(f"{name} is no number")
         if told["version"] != OWN_CLOCK_VERSION:
             for name in TIMES:
-                told[name] = self.core.clock.at_us(told[name] * 1000)
+                told[name] = self.core.clock.from_monotonic_ns(told[name] * 1000)
         told["rest"].encode("latin-1")
         if told["id"] in self.core.registry.by_id:  # guards against two answers under one id
             raise ValueError("a request with this id is open")
@@ -273,7 +273,7 @@
 def replica_address(wire: Wire) -> Address:
     """Where its other side listens; nowhere, if the connection has broken meanwhile."""
     name = wire.writer.get_extra_info("peername")
-    return Address(str(name[0]), int(name[1])) if isinstance(name, tuple) else NOWHERE
+    return Address(str(name[0]), int(name[1])) if isinstance(name, tuple) else NO_ADDRESS
 
 
 def replay(wire: Wire, client_wire: Wire, keeps: bool) -> None:
--- a/onyxpass/serve.py
+++ b/onyxpass/serve.py
@@ -9,7 +9,7 @@
 
 import structlog
 
-from onyxpass.config.platform_file import NOWHERE, Config, ConfigError, managed, share_of
+from onyxpass.config.platform_file import NO_ADDRESS, Config, ConfigError, connection_limit, managed
 from onyxpass.core.clock import Clock, cpu_us
 from onyxpass.core.dispatcher import RequestDispatcher
 from onyxpass.core.timer_wheel import TimerWheel
@@ -45,24 +45,26 @@
         self.wheel = TimerWheel(self.clock)
         self.core = RequestDispatcher(config.settings, config.seed, self.clock, self.wheel)
         self.replicas = Replicas(
-            self.core, config.share, config.connect_timeout_us, config.conn_idle_us
+            self.core, config.connection_limit, config.connect_timeout_us, config.conn_idle_us
         )
         self.core.connect_fleet(self.replicas)
         self.list = EndpointWatcher(self.core, self.replicas, config.discovery, config.seed)
         self.files: FileSource | None = None
-        if config.servers is not None:
+        if config.servers_file is not None:
             from onyxpass.sources import membership
 
-            sources = membership.load(config.servers)
-            if sources.file.mode == "over" and config.discovery == NOWHERE:
-                raise ConfigError(f"{config.servers}: mode 'over' needs a discovery to lie over")
+            sources = membership.load(config.servers_file)
+            if sources.file.mode == "over" and config.discovery == NO_ADDRESS:
+                raise ConfigError(
+                    f"{config.servers_file}: mode 'over' needs a discovery to lie over"
+                )
             self.files = membership.FileSource(
                 self.core, self.replicas, sources, relist=self.list.relist
             )
             if not sources.whole:
                 self.list.overlay = self.files.over
-        passed = inherited_listener(config.passed)
-        self.front = Front(self.core, config.listen, self.listed, config.share, passed)
+        passed = inherited_listener(config.listen_descriptor)
+        self.front = Front(self.core, config.listen, self.listed, config.connection_limit, passed)
         self.process_registry = ProcessRegistry(
             config.folder, f"{config.name}|{config.listen}", config.sockets, self.wheel
         )
@@ -81,7 +83,7 @@
         """How many descriptors this process may hold: fewer while there is another one of this
         dispatcher.
         """
-        self.front.most = self.replicas.budget.most = share_of(sockets)
+        self.front.most = self.replicas.budget.most = connection_limit(sockets)
         self.replicas.budget.shrink()
 
     @property
@@ -112,7 +114,7 @@
         if not self.watches_files_only:
             for work in (self.list.run(), self.list.follow()):
                 self.tasks.append(asyncio.create_task(work))
-            self.list.saved(self.config.known)
+            self.list.saved(self.config.known_endpoints)
         if self.files is not None:
             self.tasks.append(asyncio.create_task(self.files.follow()))
         self.tasks.append(await self.front.start())
--- a/onyxpass/sources/schema.py
+++ b/onyxpass/sources/schema.py
@@ -16,7 +16,7 @@
 
 from onyxpass.config import toml_config
 from onyxpass.config.platform_file import Address
-from onyxpass.config.toml_config import Step
+from onyxpass.config.toml_config import PathPart
 from onyxpass.scheduling import contract
 
 FAULTS_MOST = 50  # of one version that are named
@@ -30,7 +30,7 @@
 class ServerTable(toml_config.Model):
     """A server of a watched file; ``born`` is when it started, if that was lately."""
 
-    model_config = toml_config.published(
+    model_config = toml_config.schema_description(
         "``weight``: against others of its kind; 0 for nothing new. "
         "``born``: when it started, if lately."
     )
@@ -39,7 +39,7 @@
     kind: str | None = None  # needed where the files are the only source; so are hall and address
     hall: str | None = None
     cell: Annotated[int, Field(ge=0, le=1_000_000)] = 0
-    address: toml_config.PlaceText | None = None
+    address: toml_config.ConnectAddress | None = None
     weight: Weight = 1.0
     state: Literal["active", "draining"] = "active"
     born: datetime | None = None
@@ -188,19 +188,21 @@
     return found.model_copy(update={"servers": tables}), text, []
 
 
-def _named(file: str, text: str, problem: ValidationError, base: tuple[Step, ...]) -> list[Fault]:
+def _named(
+    file: str, text: str, problem: ValidationError, base: tuple[PathPart, ...]
+) -> list[Fault]:
     """What a model says of its values, with their places."""
     faults = []
     for error in problem.errors():
         loc = (*base, *error["loc"])
         reason = error["msg"].removeprefix("Value error, ")
         if error["type"] == "extra_forbidden":
-            reason = f"unknown key {loc[-1]!r}{toml_config.meant(WatchedFile, loc)}"
+            reason = f"unknown key {loc[-1]!r}{toml_config.key_suggestion(WatchedFile, loc)}"
         elif error["type"] == "missing":
             reason = f"{loc[-1]} is absent"
         elif loc:
             reason = f"{loc[-1]}: {reason}"
-        faults.append(Fault(file, reason, *toml_config.place_of(text, loc)))
+        faults.append(Fault(file, reason, *toml_config.position_of(text, loc)))
     return faults
 
 
@@ -232,7 +234,7 @@
                 if len(faults) >= FAULTS_MOST:
                     break
                 faults.append(
-                    Fault(file, reason, *toml_config.place_of(text, ("servers", number, key)))
+                    Fault(file, reason, *toml_config.position_of(text, ("servers", number, key)))
                 )
     faults += _doubles(entries)
     return Draft(tuple(entries), frozenset(removes), tuple(faults))
@@ -240,14 +242,14 @@
 
 def _lacks(
     table: ServerTable, kinds: Sequence[str], whole: bool, loopback: bool
-) -> Iterable[tuple[Step, str]]:
+) -> Iterable[tuple[PathPart, str]]:
     """What a server lacks, or names that nothing knows."""
     if whole:
         for key in ("kind", "hall", "address"):
             if getattr(table, key) is None:
                 yield "id", f"server {table.id!r} has no {key}"
     if table.kind is not None and table.kind not in kinds:
-        yield "kind", f"no kind {table.kind!r}{toml_config.likely(table.kind, kinds)}"
+        yield "kind", f"no kind {table.kind!r}{toml_config.suggestion(table.kind, kinds)}"
     if not table.id.isprintable() or table.id != table.id.strip():
         yield "id", f"id {table.id!r} holds characters that can't be seen"
     if loopback and table.address is not None:
--- a/onyxpass/start.py
+++ b/onyxpass/start.py
@@ -49,7 +49,9 @@
         logs.configure(level)
         with asyncio.Runner(loop_factory=event_loop.make) as runner:
             runner.run(
-                serve.serve(platform_file.load(path), lambda: platform_file.load(path, again=True))
+                serve.serve(
+                    platform_file.load(path), lambda: platform_file.load(path, reloading=True)
+                )
             )
     except platform_file.ConfigError as problem:
         print(f"onyxpass: {problem}", file=sys.stderr)
--- a/onyxpass/toolcalls/front.py
+++ b/onyxpass/toolcalls/front.py
@@ -246,7 +246,7 @@
         prompt_tokens = rpc.number_of(params, "prompt_tokens", -(-len(prompt) // TOKEN_CHARACTERS))
         clock, since_ns = self.core.clock, connection.since_ns
         # Guards against telling a server more time than the client has left, as at the HTTP front.
-        arrived_us = clock.at_us(since_ns) if since_ns is not None else clock.now_us()
+        arrived_us = clock.from_monotonic_ns(since_ns) if since_ns is not None else clock.now_us()
         arrival = contract.Arrival(
             id=self.core.registry.allocate_number(request_id),
             traffic_class=traffic_class,
@@ -285,7 +285,7 @@
                     connection.writer.write_eof()
         if self.open:
             with contextlib.suppress(TimeoutError):
-                async with self.core.wheel.limit(FAREWELL_US):
+                async with self.core.wheel.timeout(FAREWELL_US):
                     await asyncio.wait(list(self.open))
         for connection in list(self.open.values()):
             connection.writer.close()
--- a/onyxpass/toolcalls/peers.py
+++ b/onyxpass/toolcalls/peers.py
@@ -57,7 +57,7 @@
     async def _open(
         self, most_us: int | None = None
     ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        async with self.wheel.limit(self.connect_us if most_us is None else most_us):
+        async with self.wheel.timeout(self.connect_us if most_us is None else most_us):
             return await connect(self.address.host, self.address.port, rpc.LINE_LIMIT)
 
     async def run_attempt(self, attempt: Attempt) -> None:
@@ -120,7 +120,7 @@
         turn = LoopTurn(self.core.clock)
         try:
             while True:
-                async with self.wheel.limit(STALL_US):
+                async with self.wheel.timeout(STALL_US):
                     text = await rpc.read_line(reader)
                 if text is None:
                     return AttemptStatus.RESET, 0, "closed without a response"
@@ -134,7 +134,7 @@
                         if not self.core.outcomes.stream_event_received(attempt):
                             return AttemptStatus.CANCELLED, 0, "nobody waits"
                         turn.begin_step()
-                        async with self.wheel.limit(STALL_US):  # a client that takes nothing
+                        async with self.wheel.timeout(STALL_US):  # a client that takes nothing
                             await attempt.request.client.forward(part)
                         await turn.end_step()
                     case Call(int() | str() as id, "tools/call", params) if (
@@ -234,7 +234,7 @@
         """
         writer: asyncio.StreamWriter | None = None
         try:
-            async with self.wheel.limit(RELEASE_US):
+            async with self.wheel.timeout(RELEASE_US):
                 reader, writer = await self._open()
                 writer.write(rpc.request(0, method, params))
                 text = await rpc.read_line(reader)
@@ -285,7 +285,7 @@
                 if actor is not None:
                     self.remove_actor(actor)
 
-    def release(self, request: Request, settle: bool) -> None:
+    def release(self, request: Request, prefill_interrupted: bool) -> None:
         self.track_release(request, self._release(request))
 
     async def _release(self, request: Request) -> None:
--- a/onyxpass/toolcalls/tool_call_relay.py
+++ b/onyxpass/toolcalls/tool_call_relay.py
@@ -204,7 +204,7 @@
 
     def _end(self, call: ToolCall, state: State, problem: RpcError | None) -> None:
         if call.timer is not None:
-            call.timer.drop()
+            call.timer.cancel()
         call.state, call.problem = state, problem
         call.told.set()
         self.ended(call)
@@ -212,7 +212,7 @@
     async def _follow(self, link: int) -> None:
         reason, writer = "closed", None
         try:
-            async with self.wheel.limit(self.connect_us):
+            async with self.wheel.timeout(self.connect_us):
                 reader, writer = await asyncio.open_connection(
                     self.address.host, self.address.port, limit=rpc.LINE_LIMIT
                 )
--- a/tests/support/dispatcher_bed.py
+++ b/tests/support/dispatcher_bed.py
@@ -37,9 +37,9 @@
         """Note the stop."""
         self.did.append(("stop", attempt.number))
 
-    def release(self, request: Request, settle: bool) -> None:
+    def release(self, request: Request, prefill_interrupted: bool) -> None:
         """Note the release."""
-        self.did.append(("release", settle))
+        self.did.append(("release", prefill_interrupted))
 
     def check_health(self, server: str) -> None:
         """Note the health check."""
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -196,17 +196,17 @@
             loop = asyncio.get_running_loop()
             actor, connected = w.dispatcher.replicas.actors["r0"], loop.sock_connect
             limits: list[Any] = []
-            limit = w.dispatcher.wheel.limit
+            timeout = w.dispatcher.wheel.timeout
 
             def noted(delay_us: int) -> Any:
-                limits.append(limit(delay_us))
+                limits.append(timeout(delay_us))
                 return limits[-1]
 
             async def at_the_last_moment(sock: socket.socket, address: Any) -> None:
                 await connected(sock, address)
                 limits[-1].expire()  # in the same step as the success
 
-            actor.wheel = type("Noted", (), {"limit": staticmethod(noted)})()
+            actor.wheel = type("Noted", (), {"timeout": staticmethod(noted)})()
             loop.sock_connect = at_the_last_moment  # type: ignore[method-assign]
             try:
                 with pytest.raises(TimeoutError):
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -20,51 +20,51 @@
 
 def made(traffic_class: str = "light") -> InvariantChecker:
     checker = InvariantChecker(SETTINGS)
-    checker.listed(SERVERS, True, NOW)
-    checker.taken("a1", traffic_class, DEADLINE)
+    checker.record_endpoints(SERVERS, True, NOW)
+    checker.record_request("a1", traffic_class, DEADLINE)
     return checker
 
 
 def sends(
     checker: InvariantChecker, n: int, server: str = "r0", told_us: int = S, now_us: int = NOW
 ) -> Verdict:
-    return checker.sending("a1", n, server, server != "r0", told_us, now_us)
+    return checker.check_send("a1", n, server, server != "r0", told_us, now_us)
 
 
 def test_a_request_that_goes_well_breaks_nothing() -> None:
     checker = made("once")
     assert sends(checker, 0)
-    checker.ended("a1", 0, AttemptStatus.PREFILLED)
-    assert sends(checker, 1, "w0") and checker.committing("a1", 1)
-    checker.ended("a1", 1, AttemptStatus.COMPLETED)
-    assert checker.answering("a1") and checker.closing(False)
-    checker.forgotten("a1")
+    checker.record_attempt_end("a1", 0, AttemptStatus.PREFILLED)
+    assert sends(checker, 1, "w0") and checker.check_commit("a1", 1)
+    checker.record_attempt_end("a1", 1, AttemptStatus.COMPLETED)
+    assert checker.check_answer("a1") and checker.check_close(False)
+    checker.record_removal("a1")
     assert not checker.violations
 
 
 def unknown(checker: InvariantChecker) -> Verdict:
-    checker.forgotten("a1")
+    checker.record_removal("a1")
     return sends(checker, 0)
 
 
 def unknown_answer(checker: InvariantChecker) -> Verdict:
-    checker.forgotten("a1")
-    return checker.answering("a1")
+    checker.record_removal("a1")
+    return checker.check_answer("a1")
 
 
 def second_answer(checker: InvariantChecker) -> Verdict:
-    assert checker.answering("a1")
-    return checker.answering("a1")
+    assert checker.check_answer("a1")
+    return checker.check_answer("a1")
 
 
 def send_after_the_answer(checker: InvariantChecker) -> Verdict:
-    assert checker.answering("a1")
+    assert checker.check_answer("a1")
     return sends(checker, 0)
 
 
 def event_after_the_answer(checker: InvariantChecker) -> Verdict:
-    assert sends(checker, 0) and checker.answering("a1")
-    return checker.committing("a1", 0)
+    assert sends(checker, 0) and checker.check_answer("a1")
+    return checker.check_commit("a1", 0)
 
 
 def overlap(checker: InvariantChecker) -> Verdict:
@@ -73,26 +73,26 @@
 
 
 def send_after_the_first_event(checker: InvariantChecker) -> Verdict:
-    assert sends(checker, 0, "w0") and checker.committing("a1", 0)
-    checker.ended("a1", 0, AttemptStatus.RESET)
+    assert sends(checker, 0, "w0") and checker.check_commit("a1", 0)
+    checker.record_attempt_end("a1", 0, AttemptStatus.RESET)
     return sends(checker, 1, "w1")
 
 
 def second_stream(checker: InvariantChecker) -> Verdict:
-    assert sends(checker, 0, "w0") and checker.committing("a1", 0)
-    return checker.committing("a1", 1)
+    assert sends(checker, 0, "w0") and checker.check_commit("a1", 0)
+    return checker.check_commit("a1", 1)
 
 
 def too_many(checker: InvariantChecker) -> Verdict:
     for n in range(SETTINGS.max_attempts):
         assert sends(checker, n)
-        checker.ended("a1", n, AttemptStatus.OVERLOADED)
+        checker.record_attempt_end("a1", n, AttemptStatus.OVERLOADED)
     return sends(checker, SETTINGS.max_attempts)
 
 
 def the_same_attempt_again(checker: InvariantChecker) -> Verdict:
     assert sends(checker, 0)
-    checker.ended("a1", 0, AttemptStatus.OVERLOADED)
+    checker.record_attempt_end("a1", 0, AttemptStatus.OVERLOADED)
     return sends(checker, 0)
 
 
@@ -108,12 +108,12 @@
 
 
 def client_gone(checker: InvariantChecker) -> Verdict:
-    checker.client_left("a1", NOW)
+    checker.record_client_disconnect("a1", NOW)
     return sends(checker, 0, now_us=NOW + CLIENT_GONE_GRACE_US + 1)
 
 
 def drained(checker: InvariantChecker) -> Verdict:
-    checker.listed(
+    checker.record_endpoints(
         [contract.Endpoint("r0", "r", "z0", 0, condition=EndpointCondition.DRAINING)], False, NOW
     )
     assert sends(made(), 0)
@@ -121,25 +121,25 @@
 
 
 def removed(checker: InvariantChecker) -> Verdict:
-    checker.listed(SERVERS[1:], True, NOW)
+    checker.record_endpoints(SERVERS[1:], True, NOW)
     return sends(checker, 0, now_us=NOW + SETTINGS.drain_grace_us)
 
 
 def ran(checker: InvariantChecker, server: str = "w1", now_us: int = NOW) -> Verdict:
     assert sends(checker, 0, "w0")
-    checker.ended("a1", 0, AttemptStatus.RESET)
+    checker.record_attempt_end("a1", 0, AttemptStatus.RESET)
     return sends(checker, 1, server, now_us=now_us)
 
 
 def refused_after_it_ran(checker: InvariantChecker) -> Verdict:
     assert sends(checker, 0, "w0")
-    checker.ended("a1", 0, AttemptStatus.TIMED_OUT)
-    return checker.answering("a1", rejection=True)
+    checker.record_attempt_end("a1", 0, AttemptStatus.TIMED_OUT)
+    return checker.check_answer("a1", rejection=True)
 
 
 def refused_while_it_runs(checker: InvariantChecker) -> Verdict:
     assert sends(checker, 0, "w0")
-    return checker.answering("a1", rejection=True)
+    return checker.check_answer("a1", rejection=True)
 
 
 @pytest.mark.parametrize(
@@ -169,7 +169,7 @@
         ),
         (Rule.REFUSAL, "once", refused_after_it_ran),
         (Rule.REFUSAL, "once", refused_while_it_runs),
-        (Rule.UNANSWERED, "light", lambda checker: checker.closing(True)),
+        (Rule.UNANSWERED, "light", lambda checker: checker.check_close(True)),
     ],
 )
 def test_what_would_break_a_rule_is_refused_and_counted(
@@ -177,7 +177,7 @@
 ) -> None:
     checker = made(traffic_class)
     if rule is Rule.RUN_ONCE:
-        checker.taken("a1", traffic_class, DEADLINE + 60 * S)
+        checker.record_request("a1", traffic_class, DEADLINE + 60 * S)
     verdict = planted(checker)
     assert not verdict and verdict.rule is rule
     assert checker.violations == {rule: 1}
@@ -188,21 +188,21 @@
     assert ran(made("keyed"), "w0"), "a keyed one too, where its duplicates are discarded"
     checker = made("light")
     assert sends(checker, 0, "w0")
-    checker.ended("a1", 0, AttemptStatus.TIMED_OUT)
-    assert checker.answering("a1", rejection=True)
+    checker.record_attempt_end("a1", 0, AttemptStatus.TIMED_OUT)
+    assert checker.check_answer("a1", rejection=True)
     checker = made("once")
-    checker.listed(
+    checker.record_endpoints(
         [contract.Endpoint("r0", "r", "z0", 0, condition=EndpointCondition.DRAINING)], False, NOW
     )
-    checker.listed(SERVERS, True, NOW + S)
+    checker.record_endpoints(SERVERS, True, NOW + S)
     assert sends(checker, 0, now_us=NOW + 2 * S), "it is back"
 
 
 def test_a_second_process_of_an_instance_is_refused_and_counted() -> None:
     checker = ProcessStartChecker()
-    assert checker.starting("n1")
-    checker.started("n1", 7)
-    assert checker.starting("n1").rule is Rule.ONE_PROCESS
+    assert checker.check_start("n1")
+    checker.record_start("n1", 7)
+    assert checker.check_start("n1").rule is Rule.ONE_PROCESS
     assert checker.violations.total() == 1
-    checker.ended("n1")
-    assert checker.starting("n1")
+    checker.record_end("n1")
+    assert checker.check_start("n1")
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -177,7 +177,7 @@
             actor._give_back = lambda *_: None  # type: ignore[method-assign]
             payload = net_replica.Payload(b"POST", b"/", [(b"host", b"x")], b"{}")
             arrival = contract.Arrival(1, "light", "s", w.dispatcher.clock.now_us() + 10**7, 1, 1)
-            w.dispatcher.core.invariants.taken("a1", "light", arrival.deadline_us)
+            w.dispatcher.core.invariants.record_request("a1", "light", arrival.deadline_us)
             attempt = Attempt(Request("a1", 1, arrival, Waits(), payload), 0, "w0", 10**6, 0)
             task = asyncio.create_task(actor.run_attempt(attempt))
             await asyncio.sleep(0)
@@ -273,7 +273,7 @@
                 client,
                 net_replica.Payload(b"POST", b"/", [(b"host", b"h")], b"{}"),
             )
-            core.invariants.taken("a1", "light", arrival.deadline_us)
+            core.invariants.record_request("a1", "light", arrival.deadline_us)
             w.dispatcher.replicas.track_release(request, let_go.wait())  # type: ignore[arg-type]
             attempt = Attempt(request, 0, "r0", 10**7, core.clock.now_us())
             request.in_flight = attempt
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -257,7 +257,11 @@
 
     assert parse(RAW, {}).control is None and parse(RAW, {}).folder is None
     told = parse({**RAW, "control": "127.0.0.1:5"}, {"ROUTER_PASSED_SOCKET": "4", "TMPDIR": "/tmp"})
-    assert (str(told.control), told.passed, str(told.folder)) == ("127.0.0.1:5", 4, "/tmp")
+    assert (str(told.control), told.listen_descriptor, str(told.folder)) == (
+        "127.0.0.1:5",
+        4,
+        "/tmp",
+    )
     assert (
         str(parse({**RAW, "control": "x:y"}, {"ROUTER_CONTROL": "127.0.0.1:6"}).control)
         == "127.0.0.1:6"
@@ -302,7 +306,9 @@
         passed = socket.create_server(("127.0.0.1", 0))
         monkeypatch.setattr(front, "LAST_US", 0)
         monkeypatch.setattr(front, "END_US", -2_900_000)  # all is answered soon
-        async with world([Replica(hold)], [Replica(STREAM)], passed=passed.detach()) as w:
+        async with world(
+            [Replica(hold)], [Replica(STREAM)], listen_descriptor=passed.detach()
+        ) as w:
             open_one, stays = await w.send(ask("a1", ms=9000))
             await hold.there.wait()
             fresh, late = await asyncio.open_connection("127.0.0.1", w.port)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -63,8 +63,8 @@
 def test_on_a_reload_the_files_discovery_wins() -> None:
     started = {"ROUTER_DISCOVERY": "127.0.0.9:9"}
     assert str(parse(RAW, started).discovery) == "127.0.0.9:9"
-    assert str(parse(RAW, started, again=True).discovery) == RAW["discovery"]
-    assert str(parse({**RAW, "discovery": ""}, started, again=True).discovery) == "127.0.0.9:9"
+    assert str(parse(RAW, started, reloading=True).discovery) == RAW["discovery"]
+    assert str(parse({**RAW, "discovery": ""}, started, reloading=True).discovery) == "127.0.0.9:9"
 
 
 def test_the_second_front_serves_the_loopback_only() -> None:
--- a/tests/test_timer_wheel.py
+++ b/tests/test_timer_wheel.py
@@ -19,7 +19,7 @@
     for us in (3_000_000, 7_000, 40_000, 0):
         due = clock.us + us
         wheel.after(us, lambda us=us, due=due: fired.append((us, clock.us - due)))  # type: ignore[misc]
-    dropped.drop()
+    dropped.cancel()
     for _ in range(400):
         clock.us += 10_000
         wheel.advance()
@@ -36,7 +36,7 @@
         wheel = TimerWheel(Clock())
         ticking = asyncio.create_task(wheel.run())
         try:
-            async with wheel.limit(10_000_000), wheel.limit(1):
+            async with wheel.timeout(10_000_000), wheel.timeout(1):
                 await asyncio.sleep(60)
         except TimeoutError:
             await asyncio.sleep(0)  # the task is not left cancelled
@@ -58,18 +58,18 @@
         server = await asyncio.start_server(lambda _, writer: writer.write(b"here"), "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         await wheel.sleep(0)
-        async with wheel.limit(50_000):
+        async with wheel.timeout(50_000):
             opening = asyncio.create_task(asyncio.open_connection("127.0.0.1", port))
             await asyncio.sleep(0)
             time.sleep(0.1)
             reader, writer = await opening
-        async with wheel.limit(50_000):
+        async with wheel.timeout(50_000):
             while not len(reader._buffer):  # type: ignore[attr-defined]
                 await asyncio.sleep(0)
             time.sleep(0.1)
             assert await reader.read(4) == b"here"
         with pytest.raises(TimeoutError):
-            async with wheel.limit(50_000):
+            async with wheel.timeout(50_000):
                 time.sleep(0.1)
                 await reader.read(4)
         writer.close()
@@ -87,7 +87,7 @@
         late = wheel.after(20_000, lambda: None)
         time.sleep(0.4)
         await wheel.sleep(20_000)
-        late.drop()
+        late.cancel()
         running.cancel()
 
     async def only_start() -> None:
@@ -126,7 +126,7 @@
         wheel.after(20_000, lambda: wheel.after(0, lambda: fired.append("from within")))
         await wheel.sleep(60_000)
         assert fired == ["soon", "from within"]
-        late.drop()
+        late.cancel()
         running.cancel()
 
     asyncio.run(asyncio.wait_for(go(), 30))
--- a/tests/test_worth.py
+++ b/tests/test_worth.py
@@ -119,7 +119,7 @@
 def test_a_file_may_begin_with_a_byte_order_mark(tmp_path: Path) -> None:
     class File(toml_config.Model):
         a: int
-        at: toml_config.PlaceText = "127.0.0.1:1"
+        at: toml_config.ConnectAddress = "127.0.0.1:1"
 
     path = tmp_path / "f.toml"
     path.write_bytes(b"\xef\xbb\xbfa = 1\n")
