--- a/onyxpass/core/answer_value.py
+++ b/onyxpass/core/answer_value.py
@@ -13,7 +13,7 @@
 MAX_PACE_RATIO = 2  # times the class's time a token: beyond it an answer has no value
 
 
-class Timing(Enum):
+class Timeliness(Enum):
     """How timely a completed answer was; the value stands in the log."""
 
     IN_TIME = "in time"
@@ -25,7 +25,7 @@
 class Assessment:
     """``cause``: what made it late or worthless, ``first`` (token) or ``pace``; else empty."""
 
-    timing: Timing
+    timeliness: Timeliness
     cause: str = ""
 
 
@@ -49,11 +49,11 @@
     # Without an objective, any pace is in time.
     token_objective_us = traffic_class.token_objective_us or token_us
     if first_us > deadline_us:
-        return Assessment(Timing.WORTHLESS, "first")
+        return Assessment(Timeliness.WORTHLESS, "first")
     if token_us > MAX_PACE_RATIO * token_objective_us:
-        return Assessment(Timing.WORTHLESS, "pace")
+        return Assessment(Timeliness.WORTHLESS, "pace")
     if first_us > latency_objective_us:
-        return Assessment(Timing.LATE, "first")
+        return Assessment(Timeliness.LATE, "first")
     if token_us > token_objective_us:
-        return Assessment(Timing.LATE, "pace")
-    return Assessment(Timing.IN_TIME)
+        return Assessment(Timeliness.LATE, "pace")
+    return Assessment(Timeliness.IN_TIME)
--- a/onyxpass/core/context.py
+++ b/onyxpass/core/context.py
@@ -13,7 +13,7 @@
 from onyxpass.core.endpoints import EndpointTable
 from onyxpass.core.metrics import Metrics
 from onyxpass.core.request_registry import RequestRegistry
-from onyxpass.core.requests import Attempt, Fleet, Request
+from onyxpass.core.requests import Attempt, Request, ServerFleet
 from onyxpass.core.timer_wheel import TimerWheel
 from onyxpass.invariants import InvariantChecker, Verdict
 from onyxpass.scheduling import contract
@@ -34,7 +34,7 @@
     endpoints: EndpointTable
     registry: RequestRegistry
     notify_router: Callable[[contract.Event], None]  # queues an event; never waits
-    fleet: Fleet | None = None  # until one is connected, nothing can be sent
+    fleet: ServerFleet | None = None  # until one is connected, nothing can be sent
 
     def traffic_class_of(self, request: Request) -> contract.TrafficClass | None:
         """Return the request's class by the settings in force, or None if it is unknown."""
--- a/onyxpass/core/dispatcher.py
+++ b/onyxpass/core/dispatcher.py
@@ -22,7 +22,7 @@
 from onyxpass.core.outcomes import AttemptOutcomes
 from onyxpass.core.reasons import Reason
 from onyxpass.core.request_registry import RequestRegistry
-from onyxpass.core.requests import Attempt, Client, Fleet, Request
+from onyxpass.core.requests import Attempt, Client, Request, ServerFleet
 from onyxpass.core.send_preconditions import SendPreconditions
 from onyxpass.core.shutdown import Shutdown
 from onyxpass.core.state_reservations import StateReservations
@@ -76,7 +76,7 @@
         """The settings in force."""
         return self._context.settings
 
-    def connect_fleet(self, fleet: Fleet) -> None:
+    def connect_fleet(self, fleet: ServerFleet) -> None:
         """Set the fleet that carries attempts out; without one, nothing is sent."""
         self._context.fleet = fleet
 
@@ -118,7 +118,7 @@
         """
         request = Request(request_id, arrival.id, arrival, client, payload, self.clock.now_us())
         self.registry.add(request)
-        self.metrics.taken += 1
+        self.metrics.received += 1
         self.invariants.record_request(request_id, arrival.traffic_class, arrival.deadline_us)
         if self.shutdown.begun:
             self._reject(request, 0)
@@ -137,7 +137,7 @@
         request.in_flight = attempt
         request.committed = attempt
         self.registry.add(request)
-        self.metrics.taken += 1
+        self.metrics.received += 1
         arrival = request.arrival
         self.invariants.record_adopted_stream(
             request.id, arrival.traffic_class, attempt.number, attempt.server, self.clock.now_us()
@@ -145,7 +145,7 @@
         tokens = arrival.prompt_tokens + arrival.max_tokens // 2
         self.tell(contract.StreamAdopted(request.number, attempt.server, tokens))
 
-    def connection_closing(self, request: Request | None, unanswered: bool) -> None:
+    def check_connection_close(self, request: Request | None, unanswered: bool) -> None:
         """Check that a front may close a client's connection, whose last request this was."""
         if unanswered and request is not None:
             enforce(self.invariants.check_close(unanswered), request)
--- a/onyxpass/core/final_answers.py
+++ b/onyxpass/core/final_answers.py
@@ -40,7 +40,7 @@
         self._answer(
             request,
             lambda: request.client.reject(retry_after_us),
-            self._context.metrics.rejected,
+            self._context.metrics.count_rejected,
             rejection=True,
         )
 
@@ -54,16 +54,18 @@
         out_of_time = now_us >= request.arrival.deadline_us - LATE_MARGIN_US
         late = out_of_time or last_status is AttemptStatus.TIMED_OUT
         self._answer(
-            request, lambda: request.client.fail(reason, late), self._context.metrics.failed
+            request, lambda: request.client.fail(reason, late), self._context.metrics.count_failed
         )
 
     def complete(self, request: Request) -> None:
         """Tell the client that its stream is complete."""
-        self._answer(request, request.client.complete, self._context.metrics.completed)
+        self._answer(request, request.client.complete, self._context.metrics.count_completed)
 
     def abort_stream(self, request: Request, reason: str) -> None:
         """Tell the client that its stream broke after it had begun."""
-        self._answer(request, lambda: request.client.abort(reason), self._context.metrics.failed)
+        self._answer(
+            request, lambda: request.client.abort(reason), self._context.metrics.count_failed
+        )
 
     def give_up(self, request: Request, reason: str, status: AttemptStatus) -> None:
         """Fail a request, and stop its attempt in flight with ``status``."""
@@ -96,7 +98,7 @@
         context = self._context
         context.registry.finish(request)
         context.invariants.record_client_disconnect(request.id, context.clock.now_us())
-        context.metrics.failed(request.arrival.traffic_class)
+        context.metrics.count_failed(request.arrival.traffic_class)
         self._withdraw(request, AttemptStatus.CANCELLED)
 
     def _withdraw(self, request: Request, status: AttemptStatus) -> None:
@@ -134,7 +136,7 @@
             self._answer(
                 request,
                 lambda: request.client.fail(verdict.detail, False),
-                self._context.metrics.failed,
+                self._context.metrics.count_failed,
             )
             return
         self._context.registry.finish(request)
--- a/onyxpass/core/metrics.py
+++ b/onyxpass/core/metrics.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from onyxpass.core.answer_value import Timing
+from onyxpass.core.answer_value import Timeliness
 
 
 @dataclass(slots=True)
@@ -37,34 +37,34 @@
     def __init__(self, classes: Iterable[str]) -> None:
         self.downstream = {name: FinalAnswerCounts() for name in classes}
         self.timeliness = {name: TimelinessCounts() for name in self.downstream}
-        self.taken = 0  # requests of clients
+        self.received = 0  # requests of clients
         self.upstream = 0  # attempts that were sent completely
         self.unanswered_sends = 0  # sends without an answer when reserved state was due
         self.states_released = 0
         self.states_not_released = 0  # releases that no server confirmed
 
-    def completed(self, traffic_class: str) -> None:
+    def count_completed(self, traffic_class: str) -> None:
         """Count a completed request."""
         self._of(traffic_class).completed += 1
 
-    def rejected(self, traffic_class: str) -> None:
+    def count_rejected(self, traffic_class: str) -> None:
         """Count a rejected request."""
         self._of(traffic_class).rejected += 1
 
-    def failed(self, traffic_class: str) -> None:
+    def count_failed(self, traffic_class: str) -> None:
         """Count a failed request."""
         self._of(traffic_class).failed += 1
 
-    def timed(self, traffic_class: str, timing: Timing) -> None:
-        """Count how timely a request was that ``completed`` counts as well."""
+    def count_timeliness(self, traffic_class: str, timeliness: Timeliness) -> None:
+        """Count how timely a request was that ``count_completed`` counts as well."""
         counts = self.timeliness.setdefault(traffic_class, TimelinessCounts())
-        counts.late += timing is Timing.LATE
-        counts.worthless += timing is Timing.WORTHLESS
+        counts.late += timeliness is Timeliness.LATE
+        counts.worthless += timeliness is Timeliness.WORTHLESS
 
     @property
     def pending(self) -> int:
         """Requests taken that have no final answer yet."""
-        return self.taken - sum(counts.total for counts in self.downstream.values())
+        return self.received - sum(counts.total for counts in self.downstream.values())
 
     def rows(self, members: int, unavailable: int) -> dict[str, int]:
         """Return all metrics by name, in the order in which they are shown."""
--- a/onyxpass/core/outcomes.py
+++ b/onyxpass/core/outcomes.py
@@ -102,7 +102,7 @@
         attempt.status = AttemptStatus.CANCELLED
         request.in_flight = None
         self._context.registry.finish(request)
-        self._context.metrics.taken -= 1
+        self._context.metrics.received -= 1
         log.info("stream_migrated", id=request.id, server=attempt.server)
         self._context.notify_router(
             contract.AttemptOutcome(
@@ -171,5 +171,5 @@
         traffic_class = self._context.traffic_class_of(attempt.request)
         timing = measure_answer(attempt, traffic_class)
         if traffic_class is not None and timing.assessment is not None:
-            self._context.metrics.timed(traffic_class.name, timing.assessment.timing)
+            self._context.metrics.count_timeliness(traffic_class.name, timing.assessment.timeliness)
         return timing.log_fields()
--- a/onyxpass/core/requests.py
+++ b/onyxpass/core/requests.py
@@ -99,7 +99,7 @@
     deadline_timer: Timer | None = None
 
 
-class Fleet(Protocol):
+class ServerFleet(Protocol):
     """Carries out attempts. Each started one ends in one ``AttemptOutcomes.attempt_ended``."""
 
     def start(self, attempt: Attempt) -> None:
--- a/onyxpass/core/timing.py
+++ b/onyxpass/core/timing.py
@@ -35,7 +35,7 @@
                 "kept": self.prefill.cached_tokens,
             }
         if self.assessment is not None and self.assessment.cause:
-            fields |= {"worth": self.assessment.timing.value, "for": self.assessment.cause}
+            fields |= {"worth": self.assessment.timeliness.value, "for": self.assessment.cause}
         return fields
 
 
--- a/onyxpass/net/front.py
+++ b/onyxpass/net/front.py
@@ -258,7 +258,7 @@
         its way to the client; and against a descriptor held by a client that never takes the end of
         its answer.
         """
-        self.core.connection_closing(
+        self.core.check_connection_close(
             connection.request, not connection.answered and not wire.hung_up
         )
         silent_us = self.clock.now_us() - connection.since_us
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -67,7 +67,9 @@
             client.close()
             go_on.set()  # in the same step, so the loop has not heard of the close
             await until(
-                lambda: w.dispatcher.core.metrics.taken and not w.dispatcher.core.registry.by_number
+                lambda: (
+                    w.dispatcher.core.metrics.received and not w.dispatcher.core.registry.by_number
+                )
             )
             assert not (w.readers if at == "r0" else w.writers)[0].heads
             if at == "w0":
@@ -131,7 +133,7 @@
             await up.wait()
             client.close()
             go_on.set()
-            await until(lambda: core.metrics.taken and not core.registry.by_number)
+            await until(lambda: core.metrics.received and not core.registry.by_number)
             assert not any(reader.count("read") for reader in w.readers)
 
     run(go)
--- a/tests/test_worth.py
+++ b/tests/test_worth.py
@@ -12,7 +12,7 @@
 
 from onyxpass.config import toml_config
 from onyxpass.config.platform_file import ConfigError
-from onyxpass.core.answer_value import Assessment, Timing, assess, mean_token_us
+from onyxpass.core.answer_value import Assessment, Timeliness, assess, mean_token_us
 from onyxpass.net.response_reader import Events
 from onyxpass.optional_dependencies import EXTRAS
 from onyxpass.scheduling import attempt_timeouts, contract
@@ -25,28 +25,28 @@
 
 
 @pytest.mark.parametrize(
-    ("prompt", "first_us", "token_objective_us", "timing", "cause"),
+    ("prompt", "first_us", "token_objective_us", "timeliness", "cause"),
     [
-        (0, 1_000_000, 60_000, Timing.IN_TIME, ""),
-        (0, 1_000_001, 60_000, Timing.LATE, "first"),
-        (2_000, 1_200_000, 60_000, Timing.IN_TIME, ""),
-        (2_000, 1_200_001, 60_000, Timing.LATE, "first"),
-        (0, 4_000_001, 0, Timing.WORTHLESS, "first"),
-        (2_000, 4_400_000, 0, Timing.LATE, "first"),
-        (2_000, 4_400_001, 0, Timing.WORTHLESS, "first"),
-        (0, 0, 60_001, Timing.LATE, "pace"),
-        (0, 0, 120_001, Timing.WORTHLESS, "pace"),
-        (0, 2_000_000, 120_001, Timing.WORTHLESS, "pace"),
+        (0, 1_000_000, 60_000, Timeliness.IN_TIME, ""),
+        (0, 1_000_001, 60_000, Timeliness.LATE, "first"),
+        (2_000, 1_200_000, 60_000, Timeliness.IN_TIME, ""),
+        (2_000, 1_200_001, 60_000, Timeliness.LATE, "first"),
+        (0, 4_000_001, 0, Timeliness.WORTHLESS, "first"),
+        (2_000, 4_400_000, 0, Timeliness.LATE, "first"),
+        (2_000, 4_400_001, 0, Timeliness.WORTHLESS, "first"),
+        (0, 0, 60_001, Timeliness.LATE, "pace"),
+        (0, 0, 120_001, Timeliness.WORTHLESS, "pace"),
+        (0, 2_000_000, 120_001, Timeliness.WORTHLESS, "pace"),
     ],
 )
 def test_aims_and_deadlines_grow_with_the_prompt(
-    prompt: int, first_us: int, token_objective_us: int, timing: Timing, cause: str
+    prompt: int, first_us: int, token_objective_us: int, timeliness: Timeliness, cause: str
 ) -> None:
-    assert assess(CLS, prompt, first_us, token_objective_us) == Assessment(timing, cause)
+    assert assess(CLS, prompt, first_us, token_objective_us) == Assessment(timeliness, cause)
 
 
 def test_where_no_pace_is_wanted_none_is_missed() -> None:
-    assert assess(contract.TrafficClass("a", 1, 2), 0, 0, 10**9).timing is Timing.IN_TIME
+    assert assess(contract.TrafficClass("a", 1, 2), 0, 0, 10**9).timeliness is Timeliness.IN_TIME
     assert (mean_token_us(900_000, 10), mean_token_us(900_000, 1), mean_token_us(900_000, 0)) == (
         100_000,
         0,
