--- a/onyxpass/admin/server.py
+++ b/onyxpass/admin/server.py
@@ -24,16 +24,16 @@
 from onyxpass.net.http_server import (
     BACKLOG,
     JSON,
+    ApiError,
     CallServer,
-    Refusal,
     Reply,
-    flag,
-    object_in,
-    only,
-    whole,
+    boolean_field,
+    integer_field,
+    parse_json_object,
+    reject_unknown_fields,
 )
 from onyxpass.net.listen import Listener
-from onyxpass.net.unix import listening
+from onyxpass.net.unix import listen_unix
 
 LOOK_US = 20_000  # between looks at a drain
 MOST_MS = 24 * 3600 * 1000
@@ -70,7 +70,7 @@
 
 
 class AdminServer(CallServer):
-    kind = JSON
+    content_type = JSON
 
     def __init__(self, managed: ManagedProgram, wheel: TimerWheel) -> None:
         self.path = Path(os.environ[ADMIN])
@@ -83,7 +83,7 @@
         self.started_s = time.time()
 
     def listen(self) -> Listener:
-        return Listener(listening(self.path, BACKLOG))
+        return Listener(listen_unix(self.path, BACKLOG))
 
     def status(self) -> dict[str, Any]:
         now_us = self.wheel.clock.now_us()
@@ -100,27 +100,29 @@
         }
 
     async def answer(self, head: h11.Request, text: bytes) -> Reply:
-        path, call = bytes(head.target).decode("ascii", "replace"), object_in(text)
+        path, call = bytes(head.target).decode("ascii", "replace"), parse_json_object(text)
         match head.method, path:
             case b"GET", "/status":
-                only(call)
+                reject_unknown_fields(call)
             case b"POST", "/reload":
-                only(call, "generation")
-                self._reload(whole(call, "generation", self.running.generation, 2**53))
+                reject_unknown_fields(call, "generation")
+                self._reload(integer_field(call, "generation", self.running.generation, 2**53))
             case b"POST", "/drain":
-                only(call, "deadline_ms", "notice_ms", "force")
-                deadline_us = whole(call, "deadline_ms", DEADLINE_US // 1000, MOST_MS) * 1000
-                notice_us = whole(call, "notice_ms", NOTICE_US // 1000, MOST_MS) * 1000
-                self._drain(deadline_us, notice_us, flag(call, "force"))
+                reject_unknown_fields(call, "deadline_ms", "notice_ms", "force")
+                deadline_us = (
+                    integer_field(call, "deadline_ms", DEADLINE_US // 1000, MOST_MS) * 1000
+                )
+                notice_us = integer_field(call, "notice_ms", NOTICE_US // 1000, MOST_MS) * 1000
+                self._drain(deadline_us, notice_us, boolean_field(call, "force"))
             case b"POST", "/undrain":
-                only(call)
+                reject_unknown_fields(call)
                 if self.drain.undo():
                     log.info("undrained")
                 self.managed.set_draining(False)
             case _, "/status" | "/reload" | "/drain" | "/undrain":
-                raise Refusal(405, "not with this method")
+                raise ApiError(405, "not with this method")
             case _:
-                raise Refusal(404, "no such path")
+                raise ApiError(404, "no such path")
         return 200, json.dumps(self.status()).encode() + b"\n"
 
     def _reload(self, generation: int) -> None:
@@ -129,7 +131,7 @@
         except ConfigError as problem:
             self.running.refused(str(problem))
             log.error("configuration_rejected", why=str(problem))
-            raise Refusal(409, str(problem), config=self.running.to_dict()) from problem
+            raise ApiError(409, str(problem), config=self.running.to_dict()) from problem
         self.running.took(change, generation)
 
     def _drain(self, deadline_us: int, notice_us: int, force: bool) -> None:
--- a/onyxpass/agent/api.py
+++ b/onyxpass/agent/api.py
@@ -48,7 +48,7 @@
 from onyxpass.agent.supervisor import Agent
 from onyxpass.config.platform_file import Address, ConfigError
 from onyxpass.net.http import header
-from onyxpass.net.http_server import BACKLOG, JSON, CallServer, Refusal, Reply, object_in
+from onyxpass.net.http_server import BACKLOG, JSON, ApiError, CallServer, Reply, parse_json_object
 from onyxpass.net.listen import Listener
 
 MAX_WAIT_MS = 10_000
@@ -61,9 +61,9 @@
 class AgentApi(CallServer):
     """Routes calls to the agent; owns its operations, rollout lock and lease admission."""
 
-    kind = JSON
-    most = 64
-    body_most = 16 * 1024
+    content_type = JSON
+    max_calls = 64
+    max_body_bytes = 16 * 1024
 
     def __init__(self, agent: Agent, address: Address, key: str) -> None:
         """Load the locks on record; ``ConfigError`` for an address outside the loopback."""
@@ -83,27 +83,27 @@
         """Open the agent's address."""
         return Listener.at(self._address.host, self._address.port, BACKLOG)
 
-    def listening(self) -> None:
+    def log_listening(self) -> None:
         """Log that the address takes calls."""
         address = f"{self._address.host}:{self.port}"
         log.info("agent_listening", name=self._agent.config.name, listen=address)
 
     async def answer(self, head: h11.Request, text: bytes) -> Reply:
-        """Answer one call; ``Refusal`` for one that is not carried out."""
+        """Answer one call; ``ApiError`` for one that is not carried out."""
         if not is_authorized(header(head, b"authorization"), self._key):
-            raise Refusal(401, "the key is absent or wrong")
+            raise ApiError(401, "the key is absent or wrong")
         path, _, query_text = bytes(head.target).decode("ascii", "replace").partition("?")
         query = {name: values[-1] for name, values in parse_qs(query_text).items()}
-        body = object_in(text)
+        body = parse_json_object(text)
         method = bytes(head.method).decode("ascii", "replace")
         try:
             return await self._route(method, path.split("/")[1:], query, body)
         except StateStoreBusyError as error:
             reason = f"the agent's record takes nothing at present: {error}"
-            raise Refusal(503, reason) from error
+            raise ApiError(503, reason) from error
         except LeaseRejectedError as error:
             kind = "under_way" if error.under_way else "stale"
-            raise Refusal(409, error.reason, **{kind: True}) from error
+            raise ApiError(409, error.reason, **{kind: True}) from error
 
     async def _route(
         self, method: str, parts: list[str], query: dict[str, str], body: Body
@@ -126,12 +126,12 @@
             case "POST", ["v1", "release"]:
                 return self._release_lock(parse_release(body))
             case _, ["v1", resource, *_] if resource in RESOURCES:
-                raise Refusal(405 if method not in ("GET", "POST") else 404, "no such call")
-        raise Refusal(404, "no such path")
+                raise ApiError(405 if method not in ("GET", "POST") else 404, "no such call")
+        raise ApiError(404, "no such path")
 
     def _find(self, name: str) -> Instance:
         if (instance := self._agent.by_name.get(name)) is None:
-            raise Refusal(404, f"no instance {name[:MAX_NAME_SHOWN]!r} here")
+            raise ApiError(404, f"no instance {name[:MAX_NAME_SHOWN]!r} here")
         return instance
 
     def _get_agent(self) -> Reply:
@@ -160,7 +160,7 @@
         timeout_s = query_number(query, "wait_ms", MAX_WAIT_MS) / 1000
         operation = await self._operations.wait(operation_id, timeout_s)
         if operation is None:
-            raise Refusal(404, "no such operation")
+            raise ApiError(404, "no such operation")
         return _reply(200, operation.to_dict())
 
     def _get_events(self, query: dict[str, str]) -> Reply:
@@ -175,13 +175,13 @@
         if (known := self._operations.find(operation_id)) is not None:
             if (known.instance, known.kind) != (instance.name, kind):
                 reason = f"operation {operation_id} is another one: {known.kind} {known.instance}"
-                raise Refusal(409, reason)
+                raise ApiError(409, reason)
             return _reply(202, known.to_dict())
         now_s = time.monotonic()
         if (lock := self._locks.conflicting(parse_rollout(body), now_s)) is not None:
             raise _locked_refusal(lock, now_s)
         if (running := self._operations.running_on(instance.name)) is not None:
-            raise Refusal(409, str(InstanceBusyError(running)), operation=running.to_dict())
+            raise ApiError(409, str(InstanceBusyError(running)), operation=running.to_dict())
         on_end = self._admit_operation(request.lease, operation_id)
         try:
             operation = self._operations.begin(
@@ -253,6 +253,6 @@
     return status, json.dumps(body).encode() + b"\n"
 
 
-def _locked_refusal(lock: RolloutLock, now_s: float) -> Refusal:
+def _locked_refusal(lock: RolloutLock, now_s: float) -> ApiError:
     reason = f"rollout {lock.rollout} holds this agent"
-    return Refusal(409, reason, hold=lock_view(lock, now_s))
+    return ApiError(409, reason, hold=lock_view(lock, now_s))
--- a/onyxpass/agent/api_requests.py
+++ b/onyxpass/agent/api_requests.py
@@ -1,4 +1,4 @@
-"""The calls at the agent's address as typed requests; ``Refusal`` 400 names the faulty field."""
+"""The calls at the agent's address as typed requests; ``ApiError`` 400 names the faulty field."""
 
 import re
 from collections.abc import Mapping
@@ -7,7 +7,7 @@
 
 from onyxpass.agent.operation_options import OperationOptions
 from onyxpass.agent.rollout_locks import MAX_TTL_S
-from onyxpass.net.http_server import Refusal, flag, only, whole
+from onyxpass.net.http_server import ApiError, boolean_field, integer_field, reject_unknown_fields
 
 MAX_TEXT = 512  # characters
 MAX_DURATION_MS = 24 * 3600 * 1000
@@ -51,7 +51,7 @@
 
 def parse_operation(body: Body) -> OperationRequest:
     """Read the body of an order on an instance; its rollout is read by ``parse_rollout``."""
-    only(
+    reject_unknown_fields(
         body,
         "operation",
         "rollout",
@@ -73,17 +73,17 @@
 
 def parse_lock(body: Body) -> RolloutLockRequest:
     """Read the body of a call that takes the rollout lock."""
-    only(body, "rollout", "holder", "ttl_ms", "lease")
+    reject_unknown_fields(body, "rollout", "holder", "ttl_ms", "lease")
     rollout = _id(body, "rollout")
     holder = _text(body, "holder")
     max_ttl_ms = round(MAX_TTL_S * 1000)
-    ttl_ms = whole(body, "ttl_ms", DEFAULT_LOCK_TTL_MS, max_ttl_ms, least=1)
+    ttl_ms = integer_field(body, "ttl_ms", DEFAULT_LOCK_TTL_MS, max_ttl_ms, least=1)
     return RolloutLockRequest(rollout, holder, ttl_ms / 1000, _lease(body))
 
 
 def parse_release(body: Body) -> str:
     """Read the rollout whose lock is to be freed."""
-    only(body, "rollout")
+    reject_unknown_fields(body, "rollout")
     return _id(body, "rollout")
 
 
@@ -92,32 +92,32 @@
     text = query.get(name, "0")
     is_number = text.isascii() and text.isdigit() and len(text) <= MAX_NUMBER_DIGITS
     if not is_number or int(text) > maximum:
-        raise Refusal(400, f"{name} must be a whole number up to {maximum}")
+        raise ApiError(400, f"{name} must be a whole number up to {maximum}")
     return int(text)
 
 
 def _text(body: Body, name: str, default: str | None = None) -> str:
     value = body.get(name, default)
     if not isinstance(value, str) or len(value) > MAX_TEXT or (value and not value.isprintable()):
-        raise Refusal(400, f"{name} must be a text of at most {MAX_TEXT} characters")
+        raise ApiError(400, f"{name} must be a text of at most {MAX_TEXT} characters")
     return value
 
 
 def _id(body: Body, name: str) -> str:
     value = _text(body, name)
     if not ID.match(value):
-        raise Refusal(400, f"{name} must be 1 to 192 letters, digits or ._:-")
+        raise ApiError(400, f"{name} must be 1 to 192 letters, digits or ._:-")
     return value
 
 
 def _options(body: Body) -> OperationOptions:
-    deadline_ms = whole(body, "deadline_ms", DEFAULT_DEADLINE_MS, MAX_DURATION_MS, least=1)
+    deadline_ms = integer_field(body, "deadline_ms", DEFAULT_DEADLINE_MS, MAX_DURATION_MS, least=1)
     return OperationOptions(
         deadline_s=deadline_ms / 1000,
-        notice_s=whole(body, "notice_ms", DEFAULT_NOTICE_MS, MAX_DURATION_MS) / 1000,
-        force=flag(body, "force"),
-        drain=flag(body, "drain", True),
-        allow_restart=flag(body, "restart"),
+        notice_s=integer_field(body, "notice_ms", DEFAULT_NOTICE_MS, MAX_DURATION_MS) / 1000,
+        force=boolean_field(body, "force"),
+        drain=boolean_field(body, "drain", True),
+        allow_restart=boolean_field(body, "restart"),
         expected_digest=_text(body, "expect", ""),
     )
 
@@ -127,8 +127,8 @@
     if found is None:
         return None
     if not isinstance(found, dict):
-        raise Refusal(400, "lease must be an object")
-    only(found, "name", "token", "holder")
+        raise ApiError(400, "lease must be an object")
+    reject_unknown_fields(found, "name", "token", "holder")
     name = _id(found, "name")
-    token = whole(found, "token", 0, MAX_TOKEN, least=1)
+    token = integer_field(found, "token", 0, MAX_TOKEN, least=1)
     return LeaseClaim(name, token, _id(found, "holder"))
--- a/onyxpass/agent/instance.py
+++ b/onyxpass/agent/instance.py
@@ -41,7 +41,7 @@
 from onyxpass.config.platform_file import ADMIN, GENERATION, LAUNCH
 from onyxpass.core.actor import Actor
 from onyxpass.invariants import ProcessStartChecker
-from onyxpass.net.http_client import Answer, ask, at_path
+from onyxpass.net.http_client import ApiResponse, call_api, unix_opener
 
 ADMIN_TIMEOUT_S = 2.0  # for an instance to answer on its admin socket
 LAUNCH_ID_BYTES = 8
@@ -292,12 +292,14 @@
         target: str,
         message: dict[str, Any] | None = None,
         timeout_s: float = ADMIN_TIMEOUT_S,
-    ) -> Answer:
+    ) -> ApiResponse:
         """Make one call on the instance's admin socket.
 
         ``RequestNotSentError`` or ``ResponseLostError`` where there is no answer.
         """
-        return await ask(at_path(self.socket), method, target, message, timeout_s=timeout_s)
+        return await call_api(
+            unix_opener(self.socket), method, target, message, timeout_s=timeout_s
+        )
 
     def to_dict(self) -> dict[str, Any]:
         """Return its JSON form at the agent's address and in the store."""
--- a/onyxpass/agent/operation_steps.py
+++ b/onyxpass/agent/operation_steps.py
@@ -17,7 +17,7 @@
 from onyxpass.agent.lifecycle import InstanceState
 from onyxpass.agent.operation_options import OperationKind, OperationOptions
 from onyxpass.agent.state_store import StateStore
-from onyxpass.net.http_client import Answer, RequestNotSentError, ResponseLostError
+from onyxpass.net.http_client import ApiResponse, RequestNotSentError, ResponseLostError
 
 POLL_S = 0.03
 DRAIN_CLEANUP_S = 5.0  # past the deadline: requests that were cut have to be tidied up as well
@@ -241,7 +241,7 @@
         return OperationFailedError(f"{reason} {self._options.deadline_s:g} s after the order")
 
 
-def _body_of(answer: Answer) -> Detail:
+def _body_of(answer: ApiResponse) -> Detail:
     if answer.status != 200:
         raise OperationFailedError(answer.reason)
     return answer.body
--- a/onyxpass/cli.py
+++ b/onyxpass/cli.py
@@ -102,9 +102,10 @@
         f"descriptors: {found.sockets}, of them {found.share} for clients, as many for replicas"
     )
     typer.echo(
-        f"clients: {front.FIRST_US / 1e6:g} s for a request, {front.IDLE_US / 1e6:g} s between two"
+        f"clients: {front.REQUEST_TIMEOUT_US / 1e6:g} s for a request, "
+        f"{front.IDLE_TIMEOUT_US / 1e6:g} s between two"
     )
-    opening, silence = replica.OPENING_US / 1e6, replica.STALL_US / 1e6
+    opening, silence = replica.FIRST_EVENT_TIMEOUT_US / 1e6, replica.STREAM_STALL_TIMEOUT_US / 1e6
     typer.echo(f"streams: {opening:g} s to open, cut off after {silence:g} s of silence")
     typer.echo(f"on SIGHUP: discovery at {configuration.load(config, again=True).discovery}")
 
--- a/onyxpass/desired/cli.py
+++ b/onyxpass/desired/cli.py
@@ -12,7 +12,13 @@
 
 from onyxpass.agent.credentials import read_key
 from onyxpass.config.platform_file import Address, ConfigError
-from onyxpass.net.http_client import Answer, RequestNotSentError, ResponseLostError, ask, at_address
+from onyxpass.net.http_client import (
+    ApiResponse,
+    RequestNotSentError,
+    ResponseLostError,
+    call_api,
+    tcp_opener,
+)
 
 desired_app = typer.Typer(no_args_is_help=True, help="Configuration in force everywhere.")
 Nodes = Annotated[list[str], typer.Option("--at", help="A node's address; several times.")]
@@ -27,9 +33,9 @@
 
 async def called(
     address: str, key: str, method: str, path: str, message: Mapping[str, Any] | None
-) -> Answer:
-    return await ask(
-        at_address(Address.parse(address)), method, path, message, key=key, timeout_s=CALL_S
+) -> ApiResponse:
+    return await call_api(
+        tcp_opener(Address.parse(address)), method, path, message, key=key, timeout_s=CALL_S
     )
 
 
--- a/onyxpass/desired/node.py
+++ b/onyxpass/desired/node.py
@@ -34,16 +34,16 @@
 )
 from onyxpass.desired.upstream_selection import ANSWER_S, HOLD_S, Puller
 from onyxpass.net.http import header
-from onyxpass.net.http_client import RequestNotSentError, ResponseLostError, ask, at_address
+from onyxpass.net.http_client import RequestNotSentError, ResponseLostError, call_api, tcp_opener
 from onyxpass.net.http_server import (
     BACKLOG,
     JSON,
+    ApiError,
     CallServer,
-    Refusal,
     Reply,
-    object_in,
-    only,
-    whole,
+    integer_field,
+    parse_json_object,
+    reject_unknown_fields,
 )
 from onyxpass.net.listen import Listener
 
@@ -145,8 +145,8 @@
         asked = {"format": FORMAT, "seen": self.state.seen, "wait_ms": round(HOLD_S * 1000)}
         if not self.caught_up:
             asked["wait_ms"] = 0
-        answer = await ask(
-            at_address(upstream),
+        answer = await call_api(
+            tcp_opener(upstream),
             "POST",
             "/v1/pull",
             asked,
@@ -229,14 +229,14 @@
 
     async def _reload(self, target: Target, digest: str) -> bool:
         assert self.config.agent is not None
-        agent, operation = at_address(self.config.agent), f"desired.{digest}.{time.monotonic_ns()}"
+        agent, operation = tcp_opener(self.config.agent), f"desired.{digest}.{time.monotonic_ns()}"
         path = f"/v1/instances/{target.name}/reload"
         wait = f"/v1/operations/{operation}?wait_ms={round(RELOAD_S * 1000)}"
         try:
-            begun = await ask(agent, "POST", path, {"operation": operation}, key=self.key)
+            begun = await call_api(agent, "POST", path, {"operation": operation}, key=self.key)
             if begun.status != 202:
                 raise ResponseLostError(begun.reason)
-            ended = await ask(agent, "GET", wait, key=self.key, timeout_s=RELOAD_S + ANSWER_S)
+            ended = await call_api(agent, "GET", wait, key=self.key, timeout_s=RELOAD_S + ANSWER_S)
         except (RequestNotSentError, ResponseLostError) as problem:
             log.warning("instance_not_reloaded", instance=target.name, why=str(problem))
             return False
@@ -251,9 +251,9 @@
     operators.
     """
 
-    kind = JSON
-    most = 512
-    body_most = 64 * 1024
+    content_type = JSON
+    max_calls = 512
+    max_body_bytes = 64 * 1024
 
     def __init__(self, node: Node, wheel: TimerWheel) -> None:
         super().__init__(wheel, str(node.config.listen))
@@ -263,15 +263,15 @@
         address = self.node.config.listen
         return Listener.at(address.host, address.port, BACKLOG)
 
-    def listening(self) -> None:
+    def log_listening(self) -> None:
         log.info(
             "node", listen=f"{self.node.config.listen.host}:{self.port}", name=self.node.config.name
         )
 
     async def answer(self, head: h11.Request, text: bytes) -> Reply:
         if not is_authorized(header(head, b"authorization"), self.node.key):
-            raise Refusal(401, "the key is absent or wrong")
-        call = object_in(text)
+            raise ApiError(401, "the key is absent or wrong")
+        call = parse_json_object(text)
         match bytes(head.method), bytes(head.target):
             case b"POST", b"/v1/pull":
                 return await self._pull(call)
@@ -279,38 +279,38 @@
                 return self._change(call)
             case b"GET", b"/v1/state":
                 return 200, json.dumps(self.node.told()).encode()
-        raise Refusal(404, "no such call")
+        raise ApiError(404, "no such call")
 
     async def _pull(self, call: dict[str, Any]) -> Reply:
-        only(call, "format", "seen", "wait_ms")
+        reject_unknown_fields(call, "format", "seen", "wait_ms")
         if call.get("format") != FORMAT:
-            raise Refusal(400, f"format is {call.get('format')!r}; this node knows {FORMAT}")
+            raise ApiError(400, f"format is {call.get('format')!r}; this node knows {FORMAT}")
         try:
             seen = read_seen(call.get("seen", {}))
         except StateError as problem:
-            raise Refusal(400, str(problem)) from problem
+            raise ApiError(400, str(problem)) from problem
         state, changed = self.node.state, self.node.changed
         if covers(seen, state.seen):
             try:
-                async with asyncio.timeout(whole(call, "wait_ms", 0, HOLD_MOST_MS) / 1000):
+                async with asyncio.timeout(integer_field(call, "wait_ms", 0, HOLD_MOST_MS) / 1000):
                     await changed.wait()
             except TimeoutError:
                 pass
         return 200, json.dumps(page_told(state.since(seen))).encode()
 
     def _change(self, call: dict[str, Any]) -> Reply:
-        only(call, "values")
+        reject_unknown_fields(call, "values")
         if self.node.config.role != "control":
-            raise Refusal(409, "only a control node takes changes")
+            raise ApiError(409, "only a control node takes changes")
         values = call.get("values")
         if not isinstance(values, dict) or not values:
-            raise Refusal(400, "values must be an object with at least one key")
+            raise ApiError(400, "values must be an object with at least one key")
         try:
             self.node.change(values)
         except StateError as problem:
-            raise Refusal(400, str(problem)) from problem
+            raise ApiError(400, str(problem)) from problem
         except OSError as problem:
-            raise Refusal(503, f"the change can't be kept: {problem.strerror}") from problem
+            raise ApiError(503, f"the change can't be kept: {problem.strerror}") from problem
         return 200, json.dumps(
             {"digest": self.node.state.digest(), "seen": self.node.state.seen}
         ).encode()
--- a/onyxpass/fleet/agent_client.py
+++ b/onyxpass/fleet/agent_client.py
@@ -16,7 +16,13 @@
     SendOrder,
 )
 from onyxpass.fleet.outcome import InstanceOutcome
-from onyxpass.net.http_client import Answer, RequestNotSentError, ResponseLostError, ask, at_address
+from onyxpass.net.http_client import (
+    ApiResponse,
+    RequestNotSentError,
+    ResponseLostError,
+    call_api,
+    tcp_opener,
+)
 
 SPARE_DESCRIPTORS = 64  # for all else than connections
 MIN_CONNECTIONS = 16
@@ -60,7 +66,7 @@
         target: str,
         message: Mapping[str, Any] | None = None,
         within_s: float = CALL_TIMEOUT_S,
-    ) -> Answer:
+    ) -> ApiResponse:
         """Call one agent; the wait for a free descriptor counts towards ``within_s``.
 
         Raises ``RequestNotSentError`` or ``ResponseLostError``.
@@ -76,9 +82,9 @@
         self.most_open = max(self.most_open, self._open)
         try:
             timeout_s = max(MIN_TIMEOUT_S, deadline_s - loop.time())
-            address = at_address(agent.address)
+            address = tcp_opener(agent.address)
             key = self._keys[agent.key]
-            return await ask(address, method, target, message, key=key, timeout_s=timeout_s)
+            return await call_api(address, method, target, message, key=key, timeout_s=timeout_s)
         finally:
             self._open -= 1
             self._slots.release()
--- a/onyxpass/net/client.py
+++ b/onyxpass/net/client.py
@@ -6,7 +6,7 @@
 import h11
 import structlog
 
-from onyxpass.net.http import Wire
+from onyxpass.net.http import HttpConnection
 
 log = structlog.get_logger("front")
 
@@ -14,7 +14,7 @@
 class HttpClient:
     """The core's client over one HTTP exchange."""
 
-    def __init__(self, wire: Wire, closing: Callable[[], bool]) -> None:
+    def __init__(self, wire: HttpConnection, closing: Callable[[], bool]) -> None:
         self.wire, self._closing = wire, closing
         self.done = asyncio.Event()
         self.broken = False
--- a/onyxpass/net/connection_budget.py
+++ b/onyxpass/net/connection_budget.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from onyxpass.net.http import Wire
+from onyxpass.net.http import HttpConnection
 
 RISK_BLEND, RISK_HALVES_US = (
     0.05,
@@ -12,17 +12,17 @@
 
 
 @dataclass(slots=True)
-class Idle:
-    wire: Wire
+class IdleConnection:
+    wire: HttpConnection
     since_us: int
     ready_us: int  # from when on it may be used
 
 
 @dataclass(slots=True)
-class Budget:
+class ConnectionBudget:
     """Connections to all replicas together; the rest of the descriptors are for clients."""
 
-    most: int
+    limit: int
     open: int = 0
     risk: float = 0.0  # share of kept connections that broke at their next request lately
     risk_us: int = 0  # when that was learnt
@@ -32,7 +32,7 @@
         """Guards against idle connections that are kept beyond the limit once it has been
         lowered.
         """
-        while self.open > self.most and self.make_room():
+        while self.open > self.limit and self.make_room():
             pass
 
     def met(self, now_us: int, broke: bool) -> None:
--- a/onyxpass/net/connections.py
+++ b/onyxpass/net/connections.py
@@ -12,7 +12,7 @@
 from onyxpass.core.reasons import CloseReason
 from onyxpass.core.requests import Request
 from onyxpass.core.timer_wheel import Limit
-from onyxpass.net.http import Wire
+from onyxpass.net.http import HttpConnection
 
 
 class Stage(Enum):
@@ -42,7 +42,7 @@
 
     since_us: int  # of the stage
     due_us: int  # by when the request that is being read must be whole
-    wire: Wire | None = None
+    wire: HttpConnection | None = None
     stage: Stage = Stage.NEW
     resting: Limit | None = None  # while it waits for a next request
     arrived_us: int = 0  # since when, at the earliest, it may have waited to be taken
@@ -72,7 +72,7 @@
         return (self.wire.pieces - self.pieces if reading and self.wire else 0), self.since_us
 
 
-class Connections:
+class ClientConnections:
     """All open connections by the task that serves each, and in the order in which they entered
     their stage.
 
--- a/onyxpass/net/control.py
+++ b/onyxpass/net/control.py
@@ -10,7 +10,14 @@
 
 from onyxpass.config.platform_file import Address
 from onyxpass.core.dispatcher import RequestDispatcher
-from onyxpass.net.http_server import BACKLOG, CALL_US, MOST, RETRY_US, CallServer, Reply
+from onyxpass.net.http_server import (
+    BACKLOG,
+    CALL_TIMEOUT_US,
+    LISTEN_RETRY_US,
+    MAX_CALLS,
+    CallServer,
+    Reply,
+)
 from onyxpass.net.listen import Listener
 
 PATHS = {
@@ -23,7 +30,7 @@
 log = structlog.get_logger("control")
 
 
-class Control(CallServer):
+class ControlServer(CallServer):
     def __init__(
         self, core: RequestDispatcher, address: Address, ready: Callable[[], bool], exclude: Exclude
     ) -> None:
@@ -33,7 +40,7 @@
     def listen(self) -> Listener:
         return Listener.at(self.address.host, self.address.port, BACKLOG)
 
-    def listening(self) -> None:
+    def log_listening(self) -> None:
         log.info("control", listen=f"{self.address.host}:{self.port}")
 
     async def answer(self, head: h11.Request, text: bytes) -> Reply:
@@ -74,4 +81,4 @@
         )
 
 
-__all__ = ["CALL_US", "MOST", "RETRY_US", "Control"]
+__all__ = ["CALL_TIMEOUT_US", "LISTEN_RETRY_US", "MAX_CALLS", "ControlServer"]
--- a/onyxpass/net/endpoint_watcher.py
+++ b/onyxpass/net/endpoint_watcher.py
@@ -14,7 +14,7 @@
 from onyxpass.config.platform_file import Address, ConfigError
 from onyxpass.core.actor import Actor
 from onyxpass.core.dispatcher import RequestDispatcher
-from onyxpass.net.http import Broken, Wire
+from onyxpass.net.http import HttpConnection, HttpError
 from onyxpass.net.poll_schedule import CONNECT_MS, SILENT_MS, PollSchedule
 from onyxpass.net.replicas import Replicas
 from onyxpass.scheduling import contract
@@ -26,15 +26,15 @@
     "leaving": contract.EndpointCondition.DRAINING,
     "left": contract.EndpointCondition.REMOVED,
 }
-EXPECTED = (Broken, OSError, TimeoutError, ValueError, RecursionError)  # of a watch that is lost
+EXPECTED = (HttpError, OSError, TimeoutError, ValueError, RecursionError)  # of a watch that is lost
 log = structlog.get_logger("list")
 
 
-class ListError(ValueError):
+class EndpointListError(ValueError):
     """Discovery said something that is not a list."""
 
 
-def read_list(
+def parse_endpoint_list(
     message: Mapping[str, Any], form: contract.EndpointUpdateForm | None = None
 ) -> tuple[contract.EndpointUpdate, dict[str, Address]]:
     """One of discovery's objects in the module's words, and where each replica listens."""
@@ -63,10 +63,10 @@
         )
         return contract.EndpointUpdate(form, tuple(servers), int(message["seq"])), addresses
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError, ConfigError) as problem:
-        raise ListError(f"not a list: {problem!r}") from problem
+        raise EndpointListError(f"not a list: {problem!r}") from problem
 
 
-class Lines:
+class JsonObjectSplitter:
     """Cuts a stream of parts into objects, one a line or indented over many; empty lines part them.
 
     One that grows past the limit, and one that a sign of life breaks into, is an error.
@@ -82,16 +82,16 @@
         self.ended += len(lines)
         found = [message for line in lines if (message := self._line(line.strip())) is not None]
         if self._size + len(self._rest) > self._most:
-            raise ListError("a line without an end")
+            raise EndpointListError("a line without an end")
         return found
 
     def _line(self, line: bytes) -> dict[str, Any] | None:
         if not line:
             if self._begun:
-                raise ListError("an object that breaks off")
+                raise EndpointListError("an object that breaks off")
             return None
         if not self._begun and not line.startswith(b"{"):
-            raise ListError("not an object")
+            raise EndpointListError("not an object")
         self._begun.append(line)
         self._size += len(line)
         self._depth += line.count(b"{") - line.count(b"}")
@@ -109,7 +109,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class News:
+class DiscoveryUpdate:
     """One of discovery's objects, and the how-manieth address it was heard at."""
 
     # None: all that there was to tell since our version has been told
@@ -118,7 +118,7 @@
     absent_us: int | None = None  # when the list was last heard of without it
 
 
-class EndpointWatcher(Actor[News]):
+class EndpointWatcher(Actor[DiscoveryUpdate]):
     """Its mailbox takes discovery's objects in order; ``follow`` fills it from the watch."""
 
     def __init__(
@@ -143,7 +143,7 @@
         self.raw: dict[str, contract.Endpoint] = {}  # with an overlay: what discovery said itself
         self.on_ready: Callable[[], None] | None = None
 
-    def saved(self, known: Mapping[str, Any]) -> None:
+    def load_saved(self, known: Mapping[str, Any]) -> None:
         """The list as this dispatcher last had it. It may be old, so it makes nothing ready by
         itself.
 
@@ -152,8 +152,8 @@
         were not restarted.
         """
         try:
-            update, addresses = read_list(known, contract.EndpointUpdateForm.PERSISTED)
-        except ListError as problem:
+            update, addresses = parse_endpoint_list(known, contract.EndpointUpdateForm.PERSISTED)
+        except EndpointListError as problem:
             if known:
                 log.warning("known_endpoints_unusable", why=str(problem))
             update, addresses = contract.EndpointUpdate(contract.EndpointUpdateForm.PERSISTED), {}
@@ -189,18 +189,18 @@
                 self.raw[server.id] = server
         return self.overlay(update)
 
-    def relist(self) -> None:
+    def reapply_overlay(self) -> None:
         """Tell the list anew, since what lies over it has changed."""
         update = contract.EndpointUpdate(
             contract.EndpointUpdateForm.DELTA, tuple(self.raw.values()), self.seq or 0
         )
         self.core.update_endpoints(self._overlaid(update))
 
-    def receive(self, message: News) -> None:
+    def receive(self, message: DiscoveryUpdate) -> None:
         if message.message is None:
             self._be_ready()
             return
-        update, addresses = read_list(message.message)
+        update, addresses = parse_endpoint_list(message.message)
         if message.era != self.era and self.seq is not None:
             # Guards against an older state put over the new address's list. A drain was told all
             # the same.
@@ -231,7 +231,7 @@
             if self.on_ready:
                 self.on_ready()
 
-    def move(self, discovery: Address) -> None:
+    def set_discovery(self, discovery: Address) -> None:
         """Discovery is somewhere else from now on: leave the old watch, ask there for the whole
         list.
 
@@ -279,7 +279,7 @@
         wheel = self.core.wheel
         async with wheel.limit(round(CONNECT_MS * 1000)):
             streams = await asyncio.open_connection(self.discovery.host, self.discovery.port)
-        wire = Wire(h11.CLIENT, *streams)
+        wire = HttpConnection(h11.CLIENT, *streams)
         try:
             if self.seq is None:
                 await self._ask_whole(wire)
@@ -288,7 +288,7 @@
         finally:
             wire.abort()
 
-    def _ask(self, wire: Wire, target: bytes) -> int:
+    def _ask(self, wire: HttpConnection, target: bytes) -> int:
         """Ask; by when there has to be an answer."""
         host = str(self.discovery).encode()
         wire.write(
@@ -299,7 +299,7 @@
     def _in(self, wait_ms: float) -> int:
         return self.core.clock.now_us() + round(wait_ms * 1000)
 
-    async def _part(self, wire: Wire, due_us: int) -> bytes | None:
+    async def _part(self, wire: HttpConnection, due_us: int) -> bytes | None:
         """What comes next of an answer; None at its end. Whatever else comes does not put off
         ``due_us``.
         """
@@ -307,29 +307,32 @@
             async with self.core.wheel.limit(due_us - self.core.clock.now_us()):
                 event = await wire.event()
             if isinstance(event, h11.Response) and event.status_code != 200:
-                raise Broken(f"discovery answers {event.status_code}")
+                raise HttpError(f"discovery answers {event.status_code}")
             if isinstance(event, h11.Data):
                 return bytes(event.data)
             if isinstance(event, h11.EndOfMessage):
                 return None
             if not isinstance(event, h11.Response | h11.InformationalResponse):
-                raise Broken("closed")
+                raise HttpError("closed")
 
-    async def _ask_whole(self, wire: Wire) -> None:
+    async def _ask_whole(self, wire: HttpConnection) -> None:
         due_us, text = self._ask(wire, LIST), b""
         while (part := await self._part(wire, due_us)) is not None:
             text += part
             if len(text) > LINE_LIMIT:
-                raise ListError("a list too long")
+                raise EndpointListError("a list too long")
         message = json.loads(text)
         if not isinstance(message, dict):
-            raise ListError("not an object")
+            raise EndpointListError("not an object")
         self._hear(message)
         self._heard_now()
 
-    async def _ask_watch(self, wire: Wire) -> None:
+    async def _ask_watch(self, wire: HttpConnection) -> None:
         """The one clock of silence: since the last whole line, or since the question."""
-        lines, due_us = Lines(), self._ask(wire, LIST + b"?watch=1&from=%d" % (self.seq or 0))
+        lines, due_us = (
+            JsonObjectSplitter(),
+            self._ask(wire, LIST + b"?watch=1&from=%d" % (self.seq or 0)),
+        )
         while (part := await self._part(wire, due_us)) is not None:
             ended = lines.ended
             for message in lines.feed(part):
@@ -340,8 +343,8 @@
                 self._heard_now()
                 self.pace.heard()
                 if not self.ready:
-                    self.tell(News(None, self.era))
-        raise Broken("the watch has ended")
+                    self.tell(DiscoveryUpdate(None, self.era))
+        raise HttpError("the watch has ended")
 
     def _heard_now(self) -> None:
         """The list is known to be as told, and the wall clock is looked at."""
@@ -349,8 +352,10 @@
         self.core.endpoints.start_times.observe_wall_clock(self.heard_us, self.core.clock.wall_us())
 
     def _hear(self, message: dict[str, Any]) -> None:
-        read_list(message)  # what is no list ends this watch rather than reach the mailbox
-        news = News(message, self.era, self.heard_us)
+        parse_endpoint_list(
+            message
+        )  # what is no list ends this watch rather than reach the mailbox
+        news = DiscoveryUpdate(message, self.era, self.heard_us)
         if self.seq is None:
             self.receive(news)  # the first list settles from where to watch
         else:
--- a/onyxpass/net/front.py
+++ b/onyxpass/net/front.py
@@ -13,17 +13,25 @@
 from onyxpass.core.requests import Request
 from onyxpass.net.bad_request_limiter import Complaints
 from onyxpass.net.client import HttpClient
-from onyxpass.net.connections import ClientConnection, Connections, Stage
-from onyxpass.net.http import CHUNK, FAREWELL_US, Broken, Wire, body, drain_input, header
+from onyxpass.net.connections import ClientConnection, ClientConnections, Stage
+from onyxpass.net.http import (
+    CHUNK,
+    CLIENT_CLOSE_TIMEOUT_US,
+    HttpConnection,
+    HttpError,
+    drain_input,
+    header,
+    read_body,
+)
 from onyxpass.net.listen import Listener, Pause
 from onyxpass.net.replica import Payload, passed_on
 from onyxpass.net.request_parser import BadRequest, check_body, check_framing, read_arrival
 from onyxpass.net.tcp import silent_ms
 
 # from connecting, or from a later request's first byte, to a request's last byte
-FIRST_US = 2_500_000
+REQUEST_TIMEOUT_US = 2_500_000
 FIRST_LEAST_US = 1_000_000  # of that, however long the connection waited to be accepted
-IDLE_US = 8_000_000  # between requests
+IDLE_TIMEOUT_US = 8_000_000  # between requests
 LEAVE_US = 2_000_000  # for a client to take the rest of its answer
 REST_MOST = 16  # past the limit, of what still waits in the kernel as the listener closes
 BACKLOG = 512  # connections that may wait in the kernel while there is no room
@@ -33,8 +41,8 @@
 LAST_ACCEPTS_US = 1_500_000  # of trying on, at a shutdown, to take what waits while accepting fails
 # after SIGTERM new connections keep coming for up to 0.4 s, where the socket is our own
 LINGER_US = 450_000
-LAST_US = 650_000  # after SIGTERM what comes so late may not be finished in time
-END_US, END_MOST_US = (
+REJECT_NEW_DELAY_US = 650_000  # after SIGTERM what comes so late may not be finished in time
+SHUTDOWN_MARGIN_US, END_MOST_US = (
     450_000,
     3_000_000,
 )  # after the longest deadline (at most this), and SIGTERM, all is answered
@@ -50,7 +58,7 @@
     no use.
     """
     match problem:
-        case Broken(status=status):
+        case HttpError(status=status):
             return status
         case BadRequest():
             return 400
@@ -68,16 +76,21 @@
         core: RequestDispatcher,
         listen: Address,
         ready: Callable[[], bool],
-        most: int,
+        max_connections: int,
         passed: socket.socket | None = None,
     ) -> None:
-        self.core, self.listen, self.ready, self.most = core, listen, ready, most
+        self.core, self.listen, self.ready, self.max_connections = (
+            core,
+            listen,
+            ready,
+            max_connections,
+        )
         self.clock, self.wheel = core.clock, core.wheel
         self.listener = Listener(passed) if passed is not None else None
         # another process may take connections from the same socket
         self.shared = passed is not None
         self.accepting: asyncio.Task[None] | None = None
-        self.open = Connections()
+        self.connections = ClientConnections()
         self.closing = False
         self.draining = False  # not ready, and each connection ends with its present answer
         self.complaints = Complaints(core.clock)
@@ -90,12 +103,12 @@
         return self.accepting
 
     @property
-    def leaving(self) -> bool:
+    def closes_after_answer(self) -> bool:
         return self.closing or self.draining
 
-    def answering(self) -> int:
+    def count_answering(self) -> int:
         """Connections on which a request is open, or its answer has not wholly left."""
-        return self.open.count(Stage.OPEN, Stage.LEAVING)
+        return self.connections.count(Stage.OPEN, Stage.LEAVING)
 
     def close_idle(self) -> None:
         """Close the connections on which nothing is on its way.
@@ -103,7 +116,7 @@
         Guards against a reset of what is on its way: only where nothing has come is a connection
         closed; a new one was opened for a request, which is served, with ``Connection: close``.
         """
-        for connection in list(self.open.values()):
+        for connection in list(self.connections.values()):
             if connection.resting is not None and connection.stage is Stage.IDLE:
                 connection.resting.expire()
 
@@ -134,7 +147,7 @@
             return
         self.accepting.cancel()
         pause, due_us = Pause(), self.clock.now_us() + LAST_ACCEPTS_US
-        while len(self.open) < self.most + REST_MOST:
+        while len(self.connections) < self.max_connections + REST_MOST:
             try:
                 sock = self.listener.take()
             except OSError as problem:
@@ -161,8 +174,8 @@
             await listener.newcomer()
             for _ in range(ACCEPTS):
                 # Guards against a connection closed for a newcomer that never comes.
-                if len(self.open) >= self.most and listener.waiting_now:
-                    while len(self.open) >= self.most and not self._make_room():
+                if len(self.connections) >= self.max_connections and listener.waiting_now:
+                    while len(self.connections) >= self.max_connections and not self._make_room():
                         await self.wheel.sleep(ROOM_US)
                 try:
                     sock = listener.take()
@@ -186,12 +199,12 @@
             arrived_us = min(arrived_us, now_us - silent * 1000)
         # Prevents a client that stopped in the middle from waiting in the queue and then for the
         # whole time of a connection that has just come.
-        due_us = max(arrived_us + FIRST_US, now_us + FIRST_LEAST_US)
+        due_us = max(arrived_us + REQUEST_TIMEOUT_US, now_us + FIRST_LEAST_US)
         connection = ClientConnection(now_us, due_us, arrived_us=arrived_us)
         self._keep(connection, self._converse(sock, connection))
 
     def _gone(self, task: asyncio.Task[None]) -> None:
-        self.open.remove(task)
+        self.connections.remove(task)
 
     def _make_room(self) -> bool:
         """Close the connection that is missed least, if there is one that may be closed.
@@ -200,7 +213,7 @@
         request may be on its way, or is being served, is never closed for another: then the
         newcomer waits.
         """
-        if (found := self.open.take_least_missed(self.clock.now_us())) is None:
+        if (found := self.connections.take_least_missed(self.clock.now_us())) is None:
             return False
         task, connection = found
         if connection.wire is not None:
@@ -210,7 +223,7 @@
 
     async def _converse(self, sock: socket.socket, connection: ClientConnection) -> None:
         try:
-            wire = connection.wire = await Wire.over(sock, h11.SERVER)
+            wire = connection.wire = await HttpConnection.over(sock, h11.SERVER)
             connection.watched_us = self.clock.now_us()
         except OSError as problem:
             connection.why = CloseReason.CONNECTION_BROKE
@@ -218,7 +231,7 @@
             return
         await self._follow(connection, wire)
 
-    def adopt(self, wire: Wire, client: HttpClient, request: Request) -> None:
+    def adopt(self, wire: HttpConnection, client: HttpClient, request: Request) -> None:
         """Go on with a connection whose request the process before this one was answering."""
         now_us = self.clock.now_us()
         connection = ClientConnection(now_us, now_us, wire, Stage.OPEN)
@@ -226,18 +239,18 @@
 
     def _keep(self, connection: ClientConnection, work: Coroutine[object, object, None]) -> None:
         task = asyncio.create_task(work)
-        self.open.add(task, connection)
+        self.connections.add(task, connection)
         task.add_done_callback(self._gone)
 
     async def _follow(
-        self, connection: ClientConnection, wire: Wire, under_way: UnderWay = None
+        self, connection: ClientConnection, wire: HttpConnection, under_way: UnderWay = None
     ) -> None:
         try:
             await self._serve(connection, wire, under_way)
         except TimeoutError as problem:
             connection.why = CloseReason.TOO_SLOW
             log.debug("connection_ended", why=str(problem))
-        except (Broken, OSError) as problem:
+        except (HttpError, OSError) as problem:
             connection.why = CloseReason.CONNECTION_BROKE
             log.debug("connection_ended", why=str(problem))
         # the program ends; asyncio's own callback would print a traceback
@@ -251,7 +264,7 @@
         finally:
             await self._end(connection, wire)
 
-    async def _end(self, connection: ClientConnection, wire: Wire) -> None:
+    async def _end(self, connection: ClientConnection, wire: HttpConnection) -> None:
         """End our side first, and read on till the client ends its own.
 
         Guards against a reset by bytes that nobody has read, which takes with it what is still on
@@ -273,7 +286,7 @@
             if not silent and not wire.writer.is_closing():
                 async with self.wheel.limit(LEAVE_US):
                     await wire.flush()
-                await drain_input(wire, self.wheel, FAREWELL_US)
+                await drain_input(wire, self.wheel, CLIENT_CLOSE_TIMEOUT_US)
             wire.close()
             async with self.wheel.limit(LEAVE_US):
                 await wire.writer.wait_closed()
@@ -281,10 +294,10 @@
             wire.abort()
 
     def _at(self, connection: ClientConnection, stage: Stage) -> None:
-        self.open.enter(connection, stage, self.clock.now_us())
+        self.connections.enter(connection, stage, self.clock.now_us())
 
     async def _serve(
-        self, connection: ClientConnection, wire: Wire, under_way: UnderWay = None
+        self, connection: ClientConnection, wire: HttpConnection, under_way: UnderWay = None
     ) -> None:
         while True:
             if not wire.pending and under_way is None:
@@ -292,7 +305,9 @@
                 if not wire.pending:
                     connection.why = CloseReason.CLIENT_LEFT
                     return
-            client = under_way[0] if under_way else HttpClient(wire, lambda: self.leaving)
+            client = (
+                under_way[0] if under_way else HttpClient(wire, lambda: self.closes_after_answer)
+            )
             try:
                 if under_way is not None:
                     await self._await_answer(connection, wire, *under_way)
@@ -329,16 +344,18 @@
                 return
             wire.h11.start_next_cycle()
             # Guards against a request that is here already and would get no answer.
-            if self.leaving and not wire.stale:
+            if self.closes_after_answer and not wire.stale:
                 connection.why = CloseReason.SHUTTING_DOWN
                 return
             self._at(connection, Stage.IDLE)
-            connection.due_us = self.clock.now_us() + IDLE_US + FIRST_US
+            connection.due_us = self.clock.now_us() + IDLE_TIMEOUT_US + REQUEST_TIMEOUT_US
 
-    async def _next(self, connection: ClientConnection, wire: Wire) -> None:
+    async def _next(self, connection: ClientConnection, wire: HttpConnection) -> None:
         """Wait for what comes next, be it the end; TimeoutError if nothing does."""
         limit_us = (
-            IDLE_US if connection.stage is Stage.IDLE else connection.due_us - self.clock.now_us()
+            IDLE_TIMEOUT_US
+            if connection.stage is Stage.IDLE
+            else connection.due_us - self.clock.now_us()
         )
         limit = self.wheel.limit(limit_us)
         connection.resting = limit
@@ -354,7 +371,7 @@
         finally:
             connection.resting = None
 
-    def _complain(self, wire: Wire, status: int, why: str) -> None:
+    def _complain(self, wire: HttpConnection, status: int, why: str) -> None:
         text = why.encode("ascii", "replace")[:200] + b"\n"
         headers = [(b"content-length", b"%d" % len(text)), (b"connection", b"close")]
         if wire.h11.our_state in (h11.IDLE, h11.SEND_RESPONSE):
@@ -365,7 +382,7 @@
             )
         self.complaints.told(status, why)
 
-    def _arrived_us(self, connection: ClientConnection, wire: Wire) -> int:
+    def _arrived_us(self, connection: ClientConnection, wire: HttpConnection) -> int:
         """Since when, at the earliest, the client may count its request.
 
         Guards against telling a server more time than the client has left: a request may have
@@ -379,24 +396,26 @@
             since_us if since_us >= connection.watched_us else min(since_us, connection.arrived_us)
         )
 
-    async def _exchange(self, connection: ClientConnection, wire: Wire, client: HttpClient) -> None:
+    async def _exchange(
+        self, connection: ClientConnection, wire: HttpConnection, client: HttpClient
+    ) -> None:
         arrived_us, now_us = self._arrived_us(connection, wire), self.clock.now_us()
-        async with self.wheel.limit(min(connection.due_us - now_us, FIRST_US)):
+        async with self.wheel.limit(min(connection.due_us - now_us, REQUEST_TIMEOUT_US)):
             head = await wire.event()
             if not isinstance(head, h11.Request):
-                raise Broken("closed")
+                raise HttpError("closed")
             check_framing(head)
             if wire.h11.they_are_waiting_for_100_continue:
                 wire.write(h11.InformationalResponse(status_code=100, headers=[]))
-            text = await body(wire)
+            text = await read_body(wire)
         # guards against a length that is wrong: what came behind is no request of its own
         if wire.pending:
-            raise Broken("bytes behind the request", 400)
+            raise HttpError("bytes behind the request", 400)
         self._at(connection, Stage.OPEN)
         client.keeps = b"close" not in (header(head, b"connection") or b"").lower()
         path = bytes(head.target).partition(b"?")[0]
         if path in (b"/health/ready", b"/health/live"):
-            fit = path == b"/health/live" or (self.ready() and not self.leaving)
+            fit = path == b"/health/live" or (self.ready() and not self.closes_after_answer)
             client.answer(*((200, b"ok\n") if fit else (503, b"not ready\n")))
         elif not path.startswith(b"/v1/"):
             client.answer(404, b"no such path\n")
@@ -406,13 +425,17 @@
             request_id, arrival = read_arrival(head, self.core, arrived_us, len(text))
             check_body(text)
             if request_id in self.core.registry.by_id:
-                raise Broken("a request with this id is open", 409)
+                raise HttpError("a request with this id is open", 409)
             payload = Payload(bytes(head.method), bytes(head.target), passed_on(head.headers), text)
             request = self.core.submit(request_id, arrival, client, payload)
             await self._await_answer(connection, wire, client, request)
 
     async def _await_answer(
-        self, connection: ClientConnection, wire: Wire, client: HttpClient, request: Request
+        self,
+        connection: ClientConnection,
+        wire: HttpConnection,
+        client: HttpClient,
+        request: Request,
     ) -> None:
         """Wait for the final answer, and watch for a client that goes away meanwhile."""
         connection.request, connection.answered = request, False
@@ -429,7 +452,7 @@
                 return
             self.core.answers.client_disconnected(request)
             if watch.result() and not client.begun:
-                raise Broken("bytes behind an open request", 400)
+                raise HttpError("bytes behind an open request", 400)
             client.broken = True
             client.done.set()
             wire.abort()
@@ -438,7 +461,7 @@
                 task.cancel()
             await asyncio.gather(watch, done, return_exceptions=True)
 
-    async def _until_gone(self, wire: Wire) -> bytes:
+    async def _until_gone(self, wire: HttpConnection) -> bytes:
         """Returns once the client has closed: nothing; or has sent more behind its open request:
         that.
 
@@ -454,12 +477,12 @@
         """A planned end: take no new connections, finish all that was taken, then return."""
         began_us, self.closing = self.clock.now_us(), True
         longest_us = min(END_MOST_US, max(self.core.deadlines.values(), default=END_MOST_US))
-        self.wheel.after(LAST_US, self.core.shutdown.begin)
-        self.wheel.after(longest_us + END_US, self.core.shutdown.fail_unanswered)
+        self.wheel.after(REJECT_NEW_DELAY_US, self.core.shutdown.begin)
+        self.wheel.after(longest_us + SHUTDOWN_MARGIN_US, self.core.shutdown.fail_unanswered)
         if not self.shared:
             await self.wheel.sleep(LINGER_US)
         await self.finish_accepting()
         self.close_idle()
-        while self.open:
-            await asyncio.wait(list(self.open))
+        while self.connections:
+            await asyncio.wait(list(self.connections))
         log.info("all_clients_served", us=self.clock.now_us() - began_us)
--- a/onyxpass/net/http.py
+++ b/onyxpass/net/http.py
@@ -17,7 +17,7 @@
 BODY_LIMIT = 256 * 1024
 CHUNK = 32 * 1024
 # for a client to close once our side has; what it sends meanwhile is read, not served
-FAREWELL_US = 250_000
+CLIENT_CLOSE_TIMEOUT_US = 250_000
 # what is still read of a bad message, so that its answer arrives
 DRAIN_US, DRAIN_PARTS = 300_000, 16
 HOP_BY_HOP = frozenset(
@@ -26,7 +26,7 @@
 )
 
 
-class Broken(Exception):
+class HttpError(Exception):
     """The other side closed or sent what is not HTTP; ``status``: what a server may answer, 0
     for nothing.
     """
@@ -51,7 +51,7 @@
         return since_ns
 
 
-class Wire:
+class HttpConnection:
     """One connection: an h11 state machine on a pair of asyncio streams."""
 
     def __init__(self, role: type[h11.CLIENT] | type[h11.SERVER], reader: Any, writer: Any) -> None:
@@ -66,7 +66,9 @@
         self.kept_us = -1  # how long it stood idle before its present request; -1: it is new
 
     @classmethod
-    async def over(cls, sock: socket.socket, role: type[h11.CLIENT] | type[h11.SERVER]) -> "Wire":
+    async def over(
+        cls, sock: socket.socket, role: type[h11.CLIENT] | type[h11.SERVER]
+    ) -> "HttpConnection":
         """A wire on a connection that is there already."""
         loop = asyncio.get_running_loop()
         reader = asyncio.StreamReader(CHUNK, loop)
@@ -86,7 +88,7 @@
         return wire
 
     async def event(self) -> h11.Event | type[h11.PAUSED]:
-        """The next event. Broken if the other side ends within a message or breaks the protocol."""
+        """The next event. HttpError if the other side ends within a message or breaks the protocol."""
         while (event := self.poll()) is None:
             await self.fill()
         return event
@@ -96,7 +98,7 @@
         try:
             event = self.h11.next_event()
         except h11.RemoteProtocolError as problem:
-            raise Broken(str(problem), problem.error_status_hint) from problem
+            raise HttpError(str(problem), problem.error_status_hint) from problem
         return None if event is h11.NEED_DATA else event  # type: ignore[return-value]
 
     async def fill(self) -> None:
@@ -104,14 +106,14 @@
         try:
             data = await self.reader.read(CHUNK)
         except OSError as problem:
-            raise Broken(f"connection lost: {problem}") from problem
+            raise HttpError(f"connection lost: {problem}") from problem
         self.pieces += 1
         self.since_ns = self.timed.take_since() if self.timed is not None else None
         self.last = (self.last + data[-2:])[-2:]
         try:
             self.h11.receive_data(data)
         except (h11.RemoteProtocolError, RuntimeError) as problem:
-            raise Broken(str(problem)) from problem
+            raise HttpError(str(problem)) from problem
 
     @property
     def pending(self) -> bool:
@@ -208,7 +210,7 @@
     return sum(found for _, found in asked.poll(0))
 
 
-async def drain_input(wire: Wire, wheel: TimerWheel, most_us: int = DRAIN_US) -> None:
+async def drain_input(wire: HttpConnection, wheel: TimerWheel, most_us: int = DRAIN_US) -> None:
     """Guards against a reset that outruns the answer: end our side, and read on a moment before
     closing.
     """
@@ -223,8 +225,8 @@
         return
 
 
-async def body(wire: Wire, most: int = BODY_LIMIT) -> bytes:
-    """The rest of the message's body; Broken with 413 if it is larger than ``most``."""
+async def read_body(wire: HttpConnection, most: int = BODY_LIMIT) -> bytes:
+    """The rest of the message's body; HttpError with 413 if it is larger than ``most``."""
     parts: list[bytes] = []
     size = 0
     while True:
@@ -232,12 +234,12 @@
         if isinstance(event, h11.Data):
             size += len(event.data)
             if size > most:
-                raise Broken("body too large", 413)
+                raise HttpError("body too large", 413)
             parts.append(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
             return b"".join(parts)
         else:
-            raise Broken("ended within a body", 400)
+            raise HttpError("ended within a body", 400)
 
 
 def header(
--- a/onyxpass/net/http_client.py
+++ b/onyxpass/net/http_client.py
@@ -12,7 +12,7 @@
 import h11
 
 from onyxpass.config.platform_file import Address
-from onyxpass.net.unix import short
+from onyxpass.net.unix import short_socket_path
 
 ANSWER_MOST = 8 * 1024 * 1024
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class ApiResponse:
     status: int
     body: Mapping[str, Any]
 
@@ -37,19 +37,19 @@
         return str(self.body.get("error") or f"status {self.status}")
 
 
-def at_address(address: Address) -> Opener:
+def tcp_opener(address: Address) -> Opener:
     return lambda: asyncio.open_connection(address.host, address.port)
 
 
-def at_path(path: Path) -> Opener:
+def unix_opener(path: Path) -> Opener:
     async def opened() -> Streams:
-        with short(path) as name:
+        with short_socket_path(path) as name:
             return await asyncio.open_unix_connection(name)
 
     return opened
 
 
-async def ask(
+async def call_api(
     opener: Opener,
     method: str,
     target: str,
@@ -57,7 +57,7 @@
     *,
     key: str = "",
     timeout_s: float = 2.0,
-) -> Answer:
+) -> ApiResponse:
     """NotSent or NoAnswer where there is none within ``timeout_s``, or none that can be read."""
     sent = False
     writer: asyncio.StreamWriter | None = None
@@ -95,7 +95,7 @@
             writer.transport.abort()
 
 
-async def _answer(wire: h11.Connection, reader: asyncio.StreamReader) -> Answer:
+async def _answer(wire: h11.Connection, reader: asyncio.StreamReader) -> ApiResponse:
     status, text = 0, b""
     while True:
         event = wire.next_event()
@@ -111,6 +111,6 @@
             found = json.loads(text) if text.strip() else {}
             if not isinstance(found, dict):
                 raise ValueError("an answer that is no JSON object")
-            return Answer(status, found)
+            return ApiResponse(status, found)
         elif isinstance(event, h11.ConnectionClosed):
             raise ConnectionResetError("closed without an answer")
--- a/onyxpass/net/http_server.py
+++ b/onyxpass/net/http_server.py
@@ -13,24 +13,24 @@
 import structlog
 
 from onyxpass.core.timer_wheel import TimerWheel
-from onyxpass.net.http import Broken, Wire, body, drain_input
+from onyxpass.net.http import HttpConnection, HttpError, drain_input, read_body
 from onyxpass.net.listen import Listener
 
 # from connecting to the end of the call; then its caller is told so, or closed on
-CALL_US = 800_000
+CALL_TIMEOUT_US = 800_000
 LEAVE_US = 300_000  # for a caller to take its answer
 DRAIN_US = 150_000  # for it to close once it has it
 # callers at once; a newcomer takes the place of the one that has said nothing for longest
-MOST = 16
-BODY_MOST = 4096
+MAX_CALLS = 16
+MAX_BODY_BYTES = 4096
 BACKLOG = 64
-RETRY_US = 200_000  # till the address, if it is in use, is tried again
+LISTEN_RETRY_US = 200_000  # till the address, if it is in use, is tried again
 TEXT, JSON = b"text/plain; charset=utf-8", b"application/json"
 Reply = tuple[int, bytes]
 log = structlog.get_logger("control")
 
 
-class Refusal(Exception):
+class ApiError(Exception):
     """A call that is answered with this status and one line."""
 
     def __init__(self, status: int, reason: str, **more: Any) -> None:
@@ -41,9 +41,9 @@
 class CallServer:
     """``answer`` is the server's own; ``kind`` the type of what it answers."""
 
-    kind = TEXT
-    most = MOST
-    body_most = BODY_MOST
+    content_type = TEXT
+    max_calls = MAX_CALLS
+    max_body_bytes = MAX_BODY_BYTES
 
     def __init__(self, wheel: TimerWheel, where: str) -> None:
         self.wheel, self.where = wheel, where
@@ -68,20 +68,20 @@
             # guards against clients left unserved for the operators' address
             except OSError as problem:
                 log.error("listen_failed", address=self.where, why=str(problem))
-                await self.wheel.sleep(RETRY_US)
-        self.listening()
+                await self.wheel.sleep(LISTEN_RETRY_US)
+        self.log_listening()
         try:
             await self._accept_all(self.listener)
         finally:
             self.listener.close()
 
-    def listening(self) -> None:
+    def log_listening(self) -> None:
         log.info("control", listen=self.where)
 
     async def _accept_all(self, listener: Listener) -> None:
         while True:
             sock = await listener.accept()
-            while len(self.calls) >= self.most and not self._make_room():
+            while len(self.calls) >= self.max_calls and not self._make_room():
                 await self.wheel.sleep(10_000)
             task = asyncio.create_task(self._call(sock))
             self.calls[task] = False
@@ -97,14 +97,14 @@
         return eldest is not None
 
     async def _call(self, sock: socket.socket) -> None:
-        wire: Wire | None = None
+        wire: HttpConnection | None = None
         try:
-            wire = await Wire.over(sock, h11.SERVER)
+            wire = await HttpConnection.over(sock, h11.SERVER)
             await self._answer(wire)
             wire.close()
             async with self.wheel.limit(LEAVE_US):
                 await wire.writer.wait_closed()
-        except (Broken, OSError, TimeoutError, asyncio.CancelledError) as problem:
+        except (HttpError, OSError, TimeoutError, asyncio.CancelledError) as problem:
             log.debug("call_ended", why=str(problem))
         except Exception:
             log.exception("call_failed")
@@ -112,22 +112,22 @@
             if wire is not None:
                 wire.abort()
 
-    async def _answer(self, wire: Wire) -> None:
+    async def _answer(self, wire: HttpConnection) -> None:
         began = False
         try:
-            async with self.wheel.limit(CALL_US):
+            async with self.wheel.limit(CALL_TIMEOUT_US):
                 await wire.fill()
                 if not (began := wire.pending):
                     return  # it left without a word
                 head = await wire.event()
                 if not isinstance(head, h11.Request):
-                    raise Broken("not a call", 400)
-                text = await body(wire, self.body_most)
+                    raise HttpError("not a call", 400)
+                text = await read_body(wire, self.max_body_bytes)
         except TimeoutError:
             if not began:
                 return
             reply: Reply = (408, self.said("too slow"))
-        except Broken as problem:
+        except HttpError as problem:
             if not problem.status:
                 return
             reply = (problem.status, self.said(str(problem)))
@@ -137,7 +137,7 @@
                 self.calls[task] = True
             try:
                 reply = await self.answer(head, text)
-            except Refusal as problem:
+            except ApiError as problem:
                 reply = (problem.status, self.said(str(problem), **problem.more))
             except Exception:  # guards against a caller left without an answer by a fault here
                 log.exception("call_crashed")
@@ -146,13 +146,13 @@
 
     def said(self, reason: str, **more: Any) -> bytes:
         """A refusal's one line, in the form of the server's answers."""
-        if self.kind is JSON:
+        if self.content_type is JSON:
             return json.dumps({"error": reason[:400], **more}).encode() + b"\n"
         return reason.encode("ascii", "replace")[:200] + b"\n"
 
-    async def _write(self, wire: Wire, status: int, text: bytes) -> None:
+    async def _write(self, wire: HttpConnection, status: int, text: bytes) -> None:
         headers = [
-            (b"content-type", self.kind),
+            (b"content-type", self.content_type),
             (b"content-length", b"%d" % len(text)),
             (b"connection", b"close"),
         ]
@@ -162,33 +162,35 @@
         await drain_input(wire, self.wheel, DRAIN_US)
 
 
-def object_in(text: bytes) -> dict[str, Any]:
+def parse_json_object(text: bytes) -> dict[str, Any]:
     """The JSON object that a call's body holds; an empty body is an empty one."""
     try:
         found = json.loads(text) if text.strip() else {}
     except (ValueError, RecursionError) as problem:
-        raise Refusal(400, f"the body is no JSON: {problem}") from problem
+        raise ApiError(400, f"the body is no JSON: {problem}") from problem
     if not isinstance(found, dict):
-        raise Refusal(400, "the body is no JSON object")
+        raise ApiError(400, "the body is no JSON object")
     return found
 
 
-def whole(call: Mapping[str, Any], name: str, fallback: int, most: int, *, least: int = 0) -> int:
+def integer_field(
+    call: Mapping[str, Any], name: str, fallback: int, most: int, *, least: int = 0
+) -> int:
     """A whole number of a call's body; 400 if it is none, or out of its bounds."""
     value = call.get(name, fallback)
     if type(value) is not int or not least <= value <= most:
-        raise Refusal(400, f"{name} must be a whole number from {least} to {most}")
+        raise ApiError(400, f"{name} must be a whole number from {least} to {most}")
     return value
 
 
-def flag(call: Mapping[str, Any], name: str, fallback: bool = False) -> bool:
+def boolean_field(call: Mapping[str, Any], name: str, fallback: bool = False) -> bool:
     value = call.get(name, fallback)
     if not isinstance(value, bool):
-        raise Refusal(400, f"{name} must be true or false")
+        raise ApiError(400, f"{name} must be true or false")
     return value
 
 
-def only(call: Mapping[str, Any], *names: str) -> None:
+def reject_unknown_fields(call: Mapping[str, Any], *names: str) -> None:
     """Guards against a misspelt option that is passed over in silence."""
     if unknown := sorted(call.keys() - set(names)):
-        raise Refusal(400, f"unknown: {', '.join(unknown)}")
+        raise ApiError(400, f"unknown: {', '.join(unknown)}")
--- a/onyxpass/net/replica.py
+++ b/onyxpass/net/replica.py
@@ -16,10 +16,10 @@
 from onyxpass.core.fleet import ServerActor
 from onyxpass.core.loop_turn import LoopTurn
 from onyxpass.core.requests import Attempt
-from onyxpass.net.connection_budget import Budget, Idle
+from onyxpass.net.connection_budget import ConnectionBudget, IdleConnection
 from onyxpass.net.dialer import ResourceShortageError, connect
-from onyxpass.net.http import BODY_LIMIT, HOP_BY_HOP, Broken, Wire, body, header
-from onyxpass.net.response_reader import Events, Incoming, Nudged, Part, Spoilt, framed
+from onyxpass.net.http import BODY_LIMIT, HOP_BY_HOP, HttpConnection, HttpError, header, read_body
+from onyxpass.net.response_reader import EventSplitter, Nudged, Part, ResponseReader, Spoilt, framed
 from onyxpass.scheduling.contract import (
     IDLE_CONNECTION_BROKE,
     STATE_LOST,
@@ -33,9 +33,9 @@
 MOST_IDLE = 24  # idle connections kept to one replica
 REST_US = 50_000  # after a stream, till its connection is used again: a second answer may come late
 PROBE_US = 250_000
-OPENING_US = 2_000_000  # from the head of a stream to its first event
+FIRST_EVENT_TIMEOUT_US = 2_000_000  # from the head of a stream to its first event
 # a begun stream that is silent for so long has stopped: good ones pause for 0.2 s
-STALL_US = 4_600_000
+STREAM_STALL_TIMEOUT_US = 4_600_000
 TAKE_US = 30_000_000  # so long a client may take nothing of what is passed on to it
 # a kept connection that is of no use breaks so soon after it was written to
 KEPT_BROKE_US = 250_000
@@ -76,8 +76,8 @@
 class Resumed:
     """A stream that the process before this one had begun to pass on."""
 
-    wire: Wire
-    events: Events
+    wire: HttpConnection
+    events: EventSplitter
 
 
 class HandedOver(Exception):
@@ -85,7 +85,9 @@
 
 
 class Heirs(Protocol):
-    async def take(self, attempt: Attempt, incoming: Incoming, events: Events) -> bool: ...
+    async def take(
+        self, attempt: Attempt, incoming: ResponseReader, events: EventSplitter
+    ) -> bool: ...
 
 
 class Replica(ServerActor):
@@ -96,15 +98,15 @@
         name: str,
         address: Address,
         core: RequestDispatcher,
-        budget: Budget,
+        budget: ConnectionBudget,
         connect_us: int,
         idle_us: int,
     ) -> None:
         super().__init__(name, core)
         self.address, self.budget = address, budget
         self.connect_us, self.keep_us = connect_us, keep_us(idle_us)
-        self.idle: list[Idle] = []
-        self.streams: set[Incoming] = set()  # those that wait for their next part
+        self.idle: list[IdleConnection] = []
+        self.streams: set[ResponseReader] = set()  # those that wait for their next part
         self.left = False
         self.heirs: Callable[[], Heirs | None] = lambda: (
             None
@@ -145,11 +147,11 @@
                 kept.append(idle)
         self.idle = kept
 
-    def _discard(self, wire: Wire) -> None:
+    def _discard(self, wire: HttpConnection) -> None:
         wire.abort()
         self.budget.open -= 1
 
-    def _reuse(self) -> Wire | None:
+    def _reuse(self) -> HttpConnection | None:
         """The connection used last. One that may be closed by the other side soon is not used
         again.
         """
@@ -166,8 +168,8 @@
         """Close the connection that is idle for longest, in favour of another replica."""
         self._discard(self.idle.pop(0).wire)
 
-    async def _open(self, most_us: int | None = None) -> Wire:
-        if self.budget.open >= self.budget.most and not self.budget.make_room():
+    async def _open(self, most_us: int | None = None) -> HttpConnection:
+        if self.budget.open >= self.budget.limit and not self.budget.make_room():
             raise ResourceShortageError("no descriptors left for replicas")
         self.budget.open += 1
         try:
@@ -176,11 +178,11 @@
         except BaseException:
             self.budget.open -= 1
             raise
-        wire = Wire(h11.CLIENT, *streams)
+        wire = HttpConnection(h11.CLIENT, *streams)
         wire.born = self.born
         return wire
 
-    def _give_back(self, wire: Wire, streamed: bool = False) -> None:
+    def _give_back(self, wire: HttpConnection, streamed: bool = False) -> None:
         """Keep the connection if both sides are ready for another request on it.
 
         Guards against a second answer, some milliseconds behind a stream, that answers the next
@@ -196,7 +198,7 @@
                 and wire.born == self.born
             ):
                 now_us = self.core.clock.now_us()
-                self.idle.append(Idle(wire, now_us, now_us + REST_US * streamed))
+                self.idle.append(IdleConnection(wire, now_us, now_us + REST_US * streamed))
                 return
         self._discard(wire)
 
@@ -206,7 +208,7 @@
         """One attempt from connection to end, or the rest of one; however it ends, the core is
         told.
         """
-        wire: Wire | None = resumed.wire if resumed else None
+        wire: HttpConnection | None = resumed.wire if resumed else None
         status, note, reason, written, written_us = AttemptStatus.UNREACHABLE, 0, "", False, 0
         handed_over = False
         try:
@@ -243,7 +245,7 @@
             status, reason = AttemptStatus.NOT_SENT, str(problem)
         except Spoilt as problem:
             status, note, reason = AttemptStatus.RESET, STATE_LOST, f"spoilt: {problem}"
-        except (Broken, OSError, TimeoutError) as problem:
+        except (HttpError, OSError, TimeoutError) as problem:
             # Only what is proven never to have been sent may be called unreachable.
             status, reason = (
                 AttemptStatus.RESET if written else AttemptStatus.UNREACHABLE,
@@ -291,7 +293,7 @@
             RISK_BOOKING if booking else RISK_ANY
         )
 
-    def _write_head(self, wire: Wire, attempt: Attempt) -> None:
+    def _write_head(self, wire: HttpConnection, attempt: Attempt) -> None:
         payload: Payload = attempt.request.payload
         headers = [
             *payload.headers,
@@ -303,12 +305,14 @@
         head = h11.Request(method=payload.method, target=payload.target, headers=headers)
         wire.write(head, h11.Data(data=payload.body), h11.EndOfMessage())
 
-    async def _answer(self, wire: Wire, attempt: Attempt) -> tuple[AttemptStatus, int, str]:
-        incoming = Incoming(wire, self.wheel)
+    async def _answer(
+        self, wire: HttpConnection, attempt: Attempt
+    ) -> tuple[AttemptStatus, int, str]:
+        incoming = ResponseReader(wire, self.wheel)
         return await self._or_spoilt(attempt, incoming, self._read_answer(incoming, attempt))
 
     async def _resume(self, resumed: Resumed, attempt: Attempt) -> tuple[AttemptStatus, int, str]:
-        incoming = Incoming(resumed.wire, self.wheel)
+        incoming = ResponseReader(resumed.wire, self.wheel)
         incoming.begun = incoming.chunked = True
         rest = self._pass_on(incoming, attempt, resumed.events, True)
         return await self._or_spoilt(attempt, incoming, rest)
@@ -316,12 +320,12 @@
     async def _or_spoilt(
         self,
         attempt: Attempt,
-        incoming: Incoming,
+        incoming: ResponseReader,
         answer: Coroutine[object, object, tuple[AttemptStatus, int, str]],
     ) -> tuple[AttemptStatus, int, str]:
         try:
             return await answer
-        except Broken as problem:
+        except HttpError as problem:
             # Noise, or a break within the answer, proves that the request has run; silence proves
             # nothing.
             if incoming.begun:
@@ -331,13 +335,13 @@
             attempt.delivered = attempt.delivered or incoming.begun
 
     async def _read_answer(
-        self, incoming: Incoming, attempt: Attempt
+        self, incoming: ResponseReader, attempt: Attempt
     ) -> tuple[AttemptStatus, int, str]:
         head = await incoming.next()
         while isinstance(head, h11.InformationalResponse):
             head = await incoming.next()
         if not isinstance(head, h11.Response):
-            raise Broken("closed without an answer")
+            raise HttpError("closed without an answer")
         self.answered_us = self.core.clock.now_us()
         if head.status_code == 200:
             return await self._stream(incoming, attempt, head)
@@ -345,9 +349,9 @@
         while isinstance(part := await incoming.next(), bytes):
             text += part
             if len(text) > BODY_LIMIT:
-                raise Broken("body too large")
+                raise HttpError("body too large")
         if not isinstance(part, h11.EndOfMessage):
-            raise Broken("ended within a body")
+            raise HttpError("ended within a body")
         not_run = header(head, b"x-not-processed") is not None
         if head.status_code == 202:
             return AttemptStatus.PREFILLED, cached_tokens(text), ""
@@ -360,15 +364,15 @@
         return AttemptStatus.ERROR, 0, f"status {head.status_code}"
 
     async def _stream(
-        self, incoming: Incoming, attempt: Attempt, head: h11.Response
+        self, incoming: ResponseReader, attempt: Attempt, head: h11.Response
     ) -> tuple[AttemptStatus, int, str]:
         """Pass whole events on as they come; served only if the stream is whole."""
         if not (header(head, b"content-type") or b"").lower().startswith(b"text/event-stream"):
-            raise Broken("not a stream of events")
-        return await self._pass_on(incoming, attempt, Events(), framed(head))
+            raise HttpError("not a stream of events")
+        return await self._pass_on(incoming, attempt, EventSplitter(), framed(head))
 
     async def _pass_on(
-        self, incoming: Incoming, attempt: Attempt, events: Events, whole_at_end: bool
+        self, incoming: ResponseReader, attempt: Attempt, events: EventSplitter, whole_at_end: bool
     ) -> tuple[AttemptStatus, int, str]:
         client = attempt.request.client
         turn = LoopTurn(self.core.clock)
@@ -381,7 +385,10 @@
             ):
                 raise HandedOver
             try:
-                part = await self._next(incoming, STALL_US if attempt.committed else OPENING_US)
+                part = await self._next(
+                    incoming,
+                    STREAM_STALL_TIMEOUT_US if attempt.committed else FIRST_EVENT_TIMEOUT_US,
+                )
             except Nudged:
                 continue
             if isinstance(part, bytes):
@@ -389,7 +396,7 @@
                 if not (whole := events.feed(part)):
                     continue
                 if not self.core.outcomes.stream_event_received(attempt):
-                    raise Broken("nobody waits for this stream")
+                    raise HttpError("nobody waits for this stream")
                 # a client that takes nothing holds no replica for ever
                 turn.begin_step()
                 async with self.wheel.limit(TAKE_US):
@@ -399,11 +406,11 @@
                 attempt.output_tokens = events.tokens()
                 if attempt.committed and whole_at_end and not events.rest:
                     return AttemptStatus.COMPLETED, 0, ""
-                raise Broken("the stream was not whole")
+                raise HttpError("the stream was not whole")
             else:
-                raise Broken("ended within the stream")
+                raise HttpError("ended within the stream")
 
-    async def _next(self, incoming: Incoming, quiet_us: int) -> Part:
+    async def _next(self, incoming: ResponseReader, quiet_us: int) -> Part:
         self.streams.add(incoming)
         try:
             return await incoming.next(quiet_us)
@@ -422,12 +429,12 @@
                 wire.write(request(b"GET", b"/health/live"), h11.EndOfMessage())
                 head = await wire.event()
                 if isinstance(head, h11.Response):
-                    await body(wire)
+                    await read_body(wire)
                     ok = head.status_code == 200
                     self.answered_us = self.core.clock.now_us()
         except ResourceShortageError:  # nothing was asked, so nothing can be told
             return
-        except (Broken, OSError, TimeoutError):
+        except (HttpError, OSError, TimeoutError):
             ok = False
         finally:
             if wire is not None:
@@ -436,7 +443,7 @@
 
     async def let_go(self, request_id: str) -> bool:
         """Ask this replica to release all that is held; True once it has answered."""
-        wire: Wire | None = None
+        wire: HttpConnection | None = None
         try:
             async with self.wheel.limit(LEASE_TRY_US):
                 wire = self._reuse() or await self._open()
@@ -445,10 +452,10 @@
                 head = await wire.event()
                 if not isinstance(head, h11.Response):
                     return False
-                await body(wire)
+                await read_body(wire)
                 self.answered_us = self.core.clock.now_us()
                 return head.status_code == 204
-        except (ResourceShortageError, Broken, OSError, TimeoutError):
+        except (ResourceShortageError, HttpError, OSError, TimeoutError):
             return False
         finally:
             if wire is not None:
--- a/onyxpass/net/replicas.py
+++ b/onyxpass/net/replicas.py
@@ -7,7 +7,7 @@
 from onyxpass.core.fleet import ActorFleet
 from onyxpass.core.release import release
 from onyxpass.core.requests import Attempt, Request
-from onyxpass.net.connection_budget import Budget
+from onyxpass.net.connection_budget import ConnectionBudget
 from onyxpass.net.replica import SETTLE_US, Forget, Heirs, Moved, Replica, Resumed, Sweep, keep_us
 from onyxpass.scheduling import contract
 
@@ -19,7 +19,7 @@
         super().__init__(core)
         self.connect_us, self.idle_us = connect_us, idle_us
         self.heirs: Heirs | None = None
-        self.budget = Budget(most, make_room=self._make_room)
+        self.budget = ConnectionBudget(most, make_room=self._make_room)
 
     def told(self, name: str, address: Address, left: bool) -> None:
         """What the list says of where a replica listens."""
@@ -38,13 +38,13 @@
         self.add_actor(actor)
         return actor
 
-    def retime(self, connect_us: int, idle_us: int) -> None:
+    def set_connection_timeouts(self, connect_us: int, idle_us: int) -> None:
         """Other limits for connections, from the next one on."""
         self.connect_us, self.idle_us = connect_us, idle_us
         for actor in self.actors.values():
             actor.connect_us, actor.keep_us = connect_us, keep_us(idle_us)
 
-    def hand_over(self, heirs: Heirs) -> None:
+    def migrate_streams(self, heirs: Heirs) -> None:
         """Streams go over from now on, also those that wait for their next event."""
         self.heirs = heirs
         for actor in self.actors.values():
--- a/onyxpass/net/request_parser.py
+++ b/onyxpass/net/request_parser.py
@@ -6,7 +6,7 @@
 import h11
 
 from onyxpass.core.dispatcher import ANSWER_MARGIN_US, RequestDispatcher
-from onyxpass.net.http import BODY_LIMIT, Broken, header
+from onyxpass.net.http import BODY_LIMIT, HttpError, header
 from onyxpass.scheduling import contract
 
 NUMBER_MOST = 2**53
@@ -55,13 +55,13 @@
     length = header(head, b"content-length")
     if length is not None and header(head, b"transfer-encoding") is not None:
         # Guards against request smuggling: another server may believe the other of the two.
-        raise Broken("both Content-Length and Transfer-Encoding", 400)
+        raise HttpError("both Content-Length and Transfer-Encoding", 400)
     if length is not None and (len(length) > 9 or int(length) > BODY_LIMIT):
-        raise Broken("body too large", 413)  # before any of it is read
+        raise HttpError("body too large", 413)  # before any of it is read
     if head.http_version != b"1.1" and head.method == b"POST":
         # Guards against a stream that breaks and looks whole: to older clients it would have no
         # last chunk.
-        raise Broken("HTTP/1.1 only", 505)
+        raise HttpError("HTTP/1.1 only", 505)
 
 
 def check_body(text: bytes) -> None:
--- a/onyxpass/net/response_reader.py
+++ b/onyxpass/net/response_reader.py
@@ -1,4 +1,4 @@
-"""What replicas send: heads, whole chunks, whole events. What does not fit is ``Broken``, never
+"""What replicas send: heads, whole chunks, whole events. What does not fit is ``HttpError``, never
 passed on.
 """
 
@@ -8,7 +8,7 @@
 import h11
 
 from onyxpass.core.timer_wheel import Limit, TimerWheel
-from onyxpass.net.http import BODY_LIMIT, Broken, Wire, header
+from onyxpass.net.http import BODY_LIMIT, HttpConnection, HttpError, header
 
 EVENT_MOST = BODY_LIMIT  # of one event, and of one chunk
 TAIL = 512  # bytes of the last events in which the usage may stand
@@ -19,7 +19,7 @@
 FIELDS = (b"data", b"event", b"id", b"retry", b"")  # the last: a comment
 
 
-class Spoilt(Broken):
+class Spoilt(HttpError):
     """An answer that had begun and is no use: its request has run, and the state that it needed
     is gone.
     """
@@ -29,10 +29,10 @@
     """A wait between two chunks was ended from outside; nothing is lost."""
 
 
-class Incoming:
+class ResponseReader:
     """One answer from a replica. Gives heads, the end, and the body as bytes, each chunk whole."""
 
-    def __init__(self, wire: Wire, wheel: TimerWheel) -> None:
+    def __init__(self, wire: HttpConnection, wheel: TimerWheel) -> None:
         self.wire, self.wheel = wire, wheel
         self.begun = False  # whether anything of the answer has come
         self.chunked = False
@@ -78,7 +78,7 @@
         self._parts.append(bytes(event.data))
         self._size += len(event.data)
         if self._size > EVENT_MOST:  # guards against a chunk of gigabytes that keeps coming
-            raise Broken("a chunk that does not end")
+            raise HttpError("a chunk that does not end")
         if self.chunked and not event.chunk_end:
             return None
         # Guards against a chunk whose size does not fit: what follows is looked at before it is
@@ -109,13 +109,15 @@
                 if self._nudged:
                     self._nudged = False
                     raise Nudged from None
-                raise Broken("a head or chunk that does not end" if part else "silence") from None
+                raise HttpError(
+                    "a head or chunk that does not end" if part else "silence"
+                ) from None
             finally:
                 self._wait = None
         self.begun = self.begun or self.wire.pending
 
 
-class Events:
+class EventSplitter:
     """Cuts a body into whole server-sent events, byte for byte; the first must be well formed."""
 
     def __init__(self, rest: bytes | None = None) -> None:
@@ -137,7 +139,7 @@
             self._sound = opens(bytes(self._rest[:end]))
         if not end or not self._sound:
             if len(self._rest) > EVENT_MOST:  # guards against an event without an end
-                raise Broken("an event that does not end")
+                raise HttpError("an event that does not end")
             return b""
         whole = bytes(self._rest[:end])
         del self._rest[:end]
@@ -161,7 +163,7 @@
 
 
 def opens(text: bytes) -> bool:
-    """Whether these whole events hold one with data yet. Broken: they are no events of an
+    """Whether these whole events hold one with data yet. HttpError: they are no events of an
     answer.
     """
     data: list[str] = []
@@ -172,7 +174,7 @@
         for line in lines.split("\n"):
             name, _, value = line.partition(":")
             if line and name.encode() not in FIELDS:
-                raise Broken("not an event")
+                raise HttpError("not an event")
             if line and name == "data":
                 data.append(value.removeprefix(" "))
             elif not line and data:
@@ -181,9 +183,9 @@
             return False
         told = "\n".join(data)
         if told != "[DONE]" and not isinstance(json.loads(told), dict):
-            raise Broken("an event without an object")
+            raise HttpError("an event without an object")
     except (ValueError, RecursionError) as problem:
-        raise Broken(f"not an event: {type(problem).__name__}") from problem
+        raise HttpError(f"not an event: {type(problem).__name__}") from problem
     return True
 
 
--- a/onyxpass/net/stream_migration.py
+++ b/onyxpass/net/stream_migration.py
@@ -22,12 +22,12 @@
 from onyxpass.core.requests import Attempt, Request
 from onyxpass.net.client import HttpClient
 from onyxpass.net.front import Front
-from onyxpass.net.http import Wire
+from onyxpass.net.http import HttpConnection
 from onyxpass.net.listen import Listener
 from onyxpass.net.replica import Resumed
 from onyxpass.net.replicas import Replicas
-from onyxpass.net.response_reader import Events, Incoming
-from onyxpass.net.unix import short
+from onyxpass.net.response_reader import EventSplitter, ResponseReader
+from onyxpass.net.unix import short_socket_path
 from onyxpass.scheduling import contract
 
 VERSION = 2  # of the message; one that is not among those known is turned down
@@ -78,7 +78,7 @@
         self.turns = asyncio.Semaphore(TURNS)
         self.failures = 0
 
-    async def take(self, attempt: Attempt, incoming: Incoming, events: Events) -> bool:
+    async def take(self, attempt: Attempt, incoming: ResponseReader, events: EventSplitter) -> bool:
         """True: the stream is the other process's, and nothing of it may be touched here any
         more.
         """
@@ -121,7 +121,7 @@
     async def _offer(self, message: bytes, descriptors: list[int]) -> bool:
         with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
             sock.setblocking(False)
-            with short(self.path) as path:
+            with short_socket_path(self.path) as path:
                 sock.connect(path)
             socket.send_fds(sock, [message], descriptors)
             async with self.wheel.limit(OFFER_US):
@@ -132,7 +132,7 @@
             return True
 
 
-def quiet(wire: Wire) -> bool:
+def quiet(wire: HttpConnection) -> bool:
     """Whether nothing is half done on it: all that was read is used, all that was written has
     left.
     """
@@ -154,7 +154,7 @@
     async def run(self) -> None:
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
-            with short(self.path) as path:
+            with short_socket_path(self.path) as path:
                 sock.bind(path)
             sock.listen(BACKLOG)
         # guards against a start that fails for what is only needed at an upgrade
@@ -226,9 +226,9 @@
     async def _go_on(
         self, told: dict[str, Any], client_sock: socket.socket, sock: socket.socket
     ) -> None:
-        wire = await Wire.over(sock, h11.CLIENT)
+        wire = await HttpConnection.over(sock, h11.CLIENT)
         try:
-            client_wire = await Wire.over(client_sock, h11.SERVER)
+            client_wire = await HttpConnection.over(client_sock, h11.SERVER)
         # guards against a replica kept at work for a client that can't be answered
         except BaseException:
             wire.abort()
@@ -253,7 +253,7 @@
         )
         self.core.adopt_stream(request, attempt)
         self.front.adopt(client_wire, client, request)
-        rest = Events(told["rest"].encode("latin-1"))
+        rest = EventSplitter(told["rest"].encode("latin-1"))
         self.replicas.adopt(attempt, Resumed(wire, rest), replica_address(wire))
         log.info("stream_adopted", id=request.id, server=attempt.server)
 
@@ -270,13 +270,13 @@
     return message, descriptors
 
 
-def replica_address(wire: Wire) -> Address:
+def replica_address(wire: HttpConnection) -> Address:
     """Where its other side listens; nowhere, if the connection has broken meanwhile."""
     name = wire.writer.get_extra_info("peername")
     return Address(str(name[0]), int(name[1])) if isinstance(name, tuple) else NOWHERE
 
 
-def replay(wire: Wire, client_wire: Wire, keeps: bool) -> None:
+def replay(wire: HttpConnection, client_wire: HttpConnection, keeps: bool) -> None:
     """Bring two fresh h11 machines to where those of the other process are: within a body in
     chunks.
     """
--- a/onyxpass/net/unix.py
+++ b/onyxpass/net/unix.py
@@ -10,7 +10,7 @@
 
 
 @contextmanager
-def short(path: Path) -> Iterator[str]:
+def short_socket_path(path: Path) -> Iterator[str]:
     """The path of a socket, in a form that is short enough however deep the folder lies."""
     if len(os.fsencode(path)) <= PATH_MOST:
         yield str(path)
@@ -22,14 +22,14 @@
         os.close(folder)
 
 
-def listening(path: Path, backlog: int) -> socket.socket:
+def listen_unix(path: Path, backlog: int) -> socket.socket:
     """A listening stream socket that only this user may open; what a dead process left there is
     replaced.
     """
     path.unlink(missing_ok=True)
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     try:
-        with short(path) as name:
+        with short_socket_path(path) as name:
             sock.bind(name)
         path.chmod(0o600)
         sock.listen(backlog)
--- a/onyxpass/serve.py
+++ b/onyxpass/serve.py
@@ -15,7 +15,7 @@
 from onyxpass.core.timer_wheel import TimerWheel
 from onyxpass.hot_restart.inherited_listener import inherited_listener
 from onyxpass.hot_restart.process_registry import ProcessRegistry
-from onyxpass.net.control import Control
+from onyxpass.net.control import ControlServer
 from onyxpass.net.endpoint_watcher import EndpointWatcher
 from onyxpass.net.front import Front
 from onyxpass.net.replicas import Replicas
@@ -57,7 +57,7 @@
             if sources.file.mode == "over" and config.discovery == NOWHERE:
                 raise ConfigError(f"{config.servers}: mode 'over' needs a discovery to lie over")
             self.files = membership.FileSource(
-                self.core, self.replicas, sources, relist=self.list.relist
+                self.core, self.replicas, sources, relist=self.list.reapply_overlay
             )
             if not sources.whole:
                 self.list.overlay = self.files.over
@@ -68,9 +68,9 @@
         )
         self.process_registry.exclusions.on_change = self.core.set_exclusions
         self.process_registry.on_descriptor_limit = self._share
-        self.control: Control | None = None
+        self.control: ControlServer | None = None
         if config.control is not None:
-            self.control = Control(
+            self.control = ControlServer(
                 self.core, config.control, self.ready, self.process_registry.set_excluded
             )
         self.stream_receiver: StreamReceiver | None = None
@@ -81,7 +81,7 @@
         """How many descriptors this process may hold: fewer while there is another one of this
         dispatcher.
         """
-        self.front.most = self.replicas.budget.most = share_of(sockets)
+        self.front.max_connections = self.replicas.budget.limit = share_of(sockets)
         self.replicas.budget.shrink()
 
     @property
@@ -100,7 +100,7 @@
         accepting = self.front.accepting
         return (
             self.listed()
-            and not self.front.leaving
+            and not self.front.closes_after_answer
             and accepting is not None
             and not accepting.done()
         )
@@ -112,7 +112,7 @@
         if not self.watches_files_only:
             for work in (self.list.run(), self.list.follow()):
                 self.tasks.append(asyncio.create_task(work))
-            self.list.saved(self.config.known)
+            self.list.load_saved(self.config.known)
         if self.files is not None:
             self.tasks.append(asyncio.create_task(self.files.follow()))
         self.tasks.append(await self.front.start())
@@ -151,10 +151,10 @@
             "state",
             requests=len(self.core.registry.by_number),
             cpu_us=cpu_us(),
-            clients=len(self.front.open),
+            clients=len(self.front.connections),
             connections=self.replicas.budget.open,
             exchanges=sum(real.values()),
-            closed={why.value: n for why, n in self.front.open.closed.items()},
+            closed={why.value: n for why, n in self.front.connections.closed.items()},
             violations=self.core.invariants.violations.total(),
             differ={n: [b, real.get(n, 0)] for n, b in believed.items() if b != real.get(n, 0)},
             aside=[h.id for h in self.core.router.servers.values() if h.ejection_level],
@@ -190,10 +190,10 @@
             settings=with_reloaded_keys(old.settings, fresh.settings),
         )
         if not self.watches_files_only:
-            self.list.move(fresh.discovery)
+            self.list.set_discovery(fresh.discovery)
         if fresh.sockets != old.sockets:
             self.process_registry.resize(fresh.sockets)
-        self.replicas.retime(fresh.connect_timeout_us, fresh.conn_idle_us)
+        self.replicas.set_connection_timeouts(fresh.connect_timeout_us, fresh.conn_idle_us)
         if self.config.settings != old.settings:
             self.core.apply_settings(self.config.settings)
         log.info(
@@ -219,7 +219,7 @@
         from onyxpass.admin.drain import OpenRequests
 
         requests, streams, oldest_us = self.core.registry.in_flight_summary()
-        return OpenRequests(max(requests, self.front.answering()), streams, oldest_us)
+        return OpenRequests(max(requests, self.front.count_answering()), streams, oldest_us)
 
     def set_draining(self, draining: bool) -> None:
         self.front.draining = draining
@@ -232,13 +232,13 @@
 
     def metrics(self) -> "dict[str, Any]":
         sources = {"sources": self.files.told()} if self.files is not None else {}
-        return {**self.core.metric_rows(), "clients": len(self.front.open), **sources}
+        return {**self.core.metric_rows(), "clients": len(self.front.connections), **sources}
 
     async def stop(self) -> None:
         self.process_registry.stopping = True
         self.process_registry.refresh()
         if (path := self.process_registry.successor_socket()) is not None:
-            self.replicas.hand_over(StreamSender(path, self.core))
+            self.replicas.migrate_streams(StreamSender(path, self.core))
         await self.front.stop()
         while (
             self.core.registry.by_number
--- a/onyxpass/soak/testbed.py
+++ b/onyxpass/soak/testbed.py
@@ -5,7 +5,7 @@
 
 import h11
 
-from onyxpass.net.http import Wire, header
+from onyxpass.net.http import HttpConnection, header
 from onyxpass.soak.clients import LONG_TOKENS
 from onyxpass.soak.records import Records, Told
 from onyxpass.testbed.link import Link
@@ -23,7 +23,7 @@
         super().__init__(name, role, records.trace, states, speed)
         self.records, self.hangs = records, False
 
-    async def _answer(self, wire: Wire, head: h11.Request, text: bytes) -> bool:
+    async def _answer(self, wire: HttpConnection, head: h11.Request, text: bytes) -> bool:
         request = (header(head, b"x-request-id") or b"").decode("latin-1")
         told_ms = header(head, b"x-timeout-ms")
         if request and told_ms is not None:
@@ -31,7 +31,7 @@
             self.records.told.append(told)
         return await super()._answer(wire, head, text)
 
-    async def _work(self, wire: Wire, request: str, text: bytes) -> bool:
+    async def _work(self, wire: HttpConnection, request: str, text: bytes) -> bool:
         if self.hangs:
             await asyncio.Event().wait()
         return await super()._work(wire, request, text)
--- a/onyxpass/testbed/agents.py
+++ b/onyxpass/testbed/agents.py
@@ -7,7 +7,7 @@
 
 import h11
 
-from onyxpass.net.http import Broken, Wire, body, header
+from onyxpass.net.http import HttpConnection, HttpError, header, read_body
 from onyxpass.testbed.server import Server
 
 DIGEST_OLD, DIGEST_NEW = "0" * 24, "1" * 24
@@ -25,12 +25,12 @@
         self.orders: list[tuple[str, str]] = []  # instance and kind, as they came
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        wire = Wire(h11.SERVER, reader, writer)
+        wire = HttpConnection(h11.SERVER, reader, writer)
         try:
             head = await wire.event()
             if not isinstance(head, h11.Request):
                 return
-            text = await body(wire)
+            text = await read_body(wire)
             if self.silent:
                 await reader.read(1)
                 return
@@ -42,7 +42,7 @@
             wire.write(h11.Response(status_code=status if shown else 401, headers=sized))
             wire.write(h11.Data(data=answer), h11.EndOfMessage())
             await writer.drain()
-        except Broken:
+        except HttpError:
             return
 
     def told(self, name: str) -> dict[str, Any]:
--- a/onyxpass/testbed/configuration.py
+++ b/onyxpass/testbed/configuration.py
@@ -15,7 +15,13 @@
 from onyxpass.agent.credentials import make_key, read_key
 from onyxpass.config.platform_file import Address
 from onyxpass.history_checkers import configuration as rules
-from onyxpass.net.http_client import Answer, RequestNotSentError, ResponseLostError, ask, at_address
+from onyxpass.net.http_client import (
+    ApiResponse,
+    RequestNotSentError,
+    ResponseLostError,
+    call_api,
+    tcp_opener,
+)
 from onyxpass.testbed.link import Link
 from onyxpass.testbed.settings import SETTINGS
 from onyxpass.testbed.site import free_port
@@ -147,8 +153,8 @@
 
         What runs is told by the instance's own digest, which names all of its configuration.
         """
-        answer = await ask(
-            at_address(Address("127.0.0.1", agent.port)), "GET", "/v1/instances", key=self.key
+        answer = await call_api(
+            tcp_opener(Address("127.0.0.1", agent.port)), "GET", "/v1/instances", key=self.key
         )
         found = []
         for told in answer.body["instances"]:
@@ -175,15 +181,15 @@
 
     async def call(
         self, name: str, method: str, path: str, message: dict[str, Any] | None = None
-    ) -> Answer | None:
+    ) -> ApiResponse | None:
         """None where there is no answer."""
-        opener = at_address(Address("127.0.0.1", self.members[name].port))
+        opener = tcp_opener(Address("127.0.0.1", self.members[name].port))
         try:
-            return await ask(opener, method, path, message, key=self.key)
+            return await call_api(opener, method, path, message, key=self.key)
         except (RequestNotSentError, ResponseLostError):
             return None
 
-    async def order(self, name: str, **values: Any) -> Answer:
+    async def order(self, name: str, **values: Any) -> ApiResponse:
         """Asked till the node is there; a node of a trial that answers has taken it once."""
         while (answer := await self.call(name, "POST", "/v1/change", {"values": values})) is None:
             await asyncio.sleep(0.05)
--- a/onyxpass/testbed/replicas.py
+++ b/onyxpass/testbed/replicas.py
@@ -13,7 +13,7 @@
 import h11
 
 from onyxpass.history_checkers.trace import Trace, What
-from onyxpass.net.http import Broken, Wire, body, header
+from onyxpass.net.http import HttpConnection, HttpError, header, read_body
 from onyxpass.testbed.server import Server
 
 TOKENS_AN_EVENT = 4
@@ -65,23 +65,23 @@
         self.hold.set()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        wire = Wire(h11.SERVER, reader, writer)
+        wire = HttpConnection(h11.SERVER, reader, writer)
         try:
             while True:
                 head = await wire.event()
                 if not isinstance(head, h11.Request):
                     return
-                text = await body(wire)
+                text = await read_body(wire)
                 if not await self._answer(wire, head, text):
                     return
                 await writer.drain()
                 if wire.h11.our_state is not h11.DONE:
                     return
                 wire.h11.start_next_cycle()
-        except Broken:
+        except HttpError:
             return
 
-    async def _answer(self, wire: Wire, head: h11.Request, text: bytes) -> bool:
+    async def _answer(self, wire: HttpConnection, head: h11.Request, text: bytes) -> bool:
         """False: the connection has ended."""
         path = bytes(head.target).partition(b"?")[0].decode("latin-1")
         if path.startswith("/kv/leases/") and head.method == b"DELETE":
@@ -124,7 +124,7 @@
 
     def _short(
         self,
-        wire: Wire,
+        wire: HttpConnection,
         status: int,
         *headers: tuple[bytes, bytes],
         text: bytes = b"",
@@ -141,7 +141,7 @@
         if self.states.holder.pop(request, None) is not None:
             self.trace.put(What.FREED, request, self.name)
 
-    async def _work(self, wire: Wire, request: str, text: bytes) -> bool:
+    async def _work(self, wire: HttpConnection, request: str, text: bytes) -> bool:
         fault = self.faults.pop(0) if self.faults else None
         if fault is not None and fault.kind == "full":
             self._short(wire, 503, (b"x-not-processed", b"1"), request=request)
@@ -154,7 +154,7 @@
             return await self._read(wire, request, fault)
         return await self._write(wire, request, text, fault)
 
-    async def _read(self, wire: Wire, request: str, fault: Fault | None) -> bool:
+    async def _read(self, wire: HttpConnection, request: str, fault: Fault | None) -> bool:
         await asyncio.sleep(self.speed.read_s)
         if fault is not None and fault.kind == "error":
             self._short(wire, 500, request=request)
@@ -164,7 +164,9 @@
         self._short(wire, 202, text=b'{"cached_tokens":0}', request=request)
         return True
 
-    async def _write(self, wire: Wire, request: str, text: bytes, fault: Fault | None) -> bool:
+    async def _write(
+        self, wire: HttpConnection, request: str, text: bytes, fault: Fault | None
+    ) -> bool:
         if request not in self.states.holder:
             self._over(request)
             wire.write(h11.Response(status_code=410, headers=NOT_RUN), h11.EndOfMessage())
@@ -256,13 +258,13 @@
         self.trace.put(What.DRAIN_TOLD, server=name, detail="up" if health == "active" else "")
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        wire = Wire(h11.SERVER, reader, writer)
+        wire = HttpConnection(h11.SERVER, reader, writer)
         try:
             while True:
                 head = await wire.event()
                 if not isinstance(head, h11.Request):
                     return
-                await body(wire)
+                await read_body(wire)
                 if b"watch=1" in bytes(head.target):
                     await self._watch(wire)
                     return
@@ -275,13 +277,13 @@
                 )
                 await writer.drain()
                 wire.h11.start_next_cycle()
-        except Broken:
+        except HttpError:
             return
 
     def _hosts(self) -> list[dict[str, Any]]:
         return [row.told() for row in self.rows.values() if row.health != "left"]
 
-    async def _watch(self, wire: Wire) -> None:
+    async def _watch(self, wire: HttpConnection) -> None:
         queue: asyncio.Queue[bytes] = asyncio.Queue()
         self.watches.add(queue)
         try:
--- a/onyxpass/toolcalls/front.py
+++ b/onyxpass/toolcalls/front.py
@@ -11,7 +11,7 @@
 from onyxpass.config.platform_file import Address
 from onyxpass.core.dispatcher import ANSWER_MARGIN_US, RequestDispatcher
 from onyxpass.core.requests import Request
-from onyxpass.net.http import FAREWELL_US, TimedProtocol, hung_up
+from onyxpass.net.http import CLIENT_CLOSE_TIMEOUT_US, TimedProtocol, hung_up
 from onyxpass.scheduling import contract
 from onyxpass.toolcalls import rpc
 from onyxpass.toolcalls.peers import Payload
@@ -285,7 +285,7 @@
                     connection.writer.write_eof()
         if self.open:
             with contextlib.suppress(TimeoutError):
-                async with self.core.wheel.limit(FAREWELL_US):
+                async with self.core.wheel.limit(CLIENT_CLOSE_TIMEOUT_US):
                     await asyncio.wait(list(self.open))
         for connection in list(self.open.values()):
             connection.writer.close()
--- a/tests/test_client_time.py
+++ b/tests/test_client_time.py
@@ -20,8 +20,8 @@
 from onyxpass.core.dispatcher import ANSWER_MARGIN_US, RequestDispatcher
 from onyxpass.core.requests import Request
 from onyxpass.net import front
-from onyxpass.net.connections import ClientConnection, Connections, Stage
-from onyxpass.net.http import Wire
+from onyxpass.net.connections import ClientConnection, ClientConnections, Stage
+from onyxpass.net.http import HttpConnection
 from onyxpass.net.listen import Listener
 from onyxpass.scheduling import contract
 
@@ -84,7 +84,9 @@
                 client.sendall(ask("a1", ms=WAIT_MS))
                 await answer(client)
                 await until(
-                    lambda: all(c.stage is Stage.IDLE for c in w.dispatcher.front.open.values())
+                    lambda: all(
+                        c.stage is Stage.IDLE for c in w.dispatcher.front.connections.values()
+                    )
                 )
                 client.sendall(ask("a2", ms=WAIT_MS))
                 sent_us = clock.now_us()
@@ -170,7 +172,7 @@
 
 def test_what_has_been_read_is_not_closed_for_a_newcomer_and_the_eldest_goes_first() -> None:
     async def go() -> None:
-        held, made = Connections(), []
+        held, made = ClientConnections(), []
         for n in range(6):
             wire: Any = Scripted(unread=n == 0)
             connection = ClientConnection(since_us=n, due_us=0, wire=wire)
@@ -192,7 +194,7 @@
 def test_a_request_that_comes_as_a_new_connection_is_given_up_is_answered() -> None:
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
-            opened = w.dispatcher.front.open
+            opened = w.dispatcher.front.connections
             with connected(w) as client:
                 await until(lambda: [c.resting is not None for c in opened.values()] == [True])
                 (connection,) = opened.values()
@@ -228,7 +230,7 @@
 
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
-            w.dispatcher.front.most = 8
+            w.dispatcher.front.max_connections = 8
             crowd = []
             answers = []
             for number in range(40):
@@ -248,7 +250,7 @@
     async def go() -> None:
         ours, theirs = socket.socketpair()
         ours.setblocking(False)
-        wire = await Wire.over(ours, front.h11.SERVER)
+        wire = await HttpConnection.over(ours, front.h11.SERVER)
         assert not wire.unread
         theirs.sendall(b"x")
         assert wire.unread, "in the kernel"
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -85,7 +85,9 @@
                 raw(w, ask(f"a{n}")).close()
             assert b" 200 " in await w.ask("true")
             await until(
-                lambda: not w.dispatcher.core.registry.by_number and not w.dispatcher.front.open
+                lambda: (
+                    not w.dispatcher.core.registry.by_number and not w.dispatcher.front.connections
+                )
             )
             assert len(w.readers[0].heads) == len(w.writers[0].heads) == 2
 
@@ -144,7 +146,7 @@
     """A client that has had its answer and keeps its connection."""
     client = raw(w, ask("a1"))
     assert b"[DONE]" in await received(client, b"\r\n0\r\n\r\n")
-    await until(lambda: all(p.stage is Stage.IDLE for p in w.dispatcher.front.open.values()))
+    await until(lambda: all(p.stage is Stage.IDLE for p in w.dispatcher.front.connections.values()))
     return client
 
 
@@ -158,7 +160,7 @@
             assert await received(client) == b"", "its end is seen"
             client.setblocking(True)
             client.sendall(ask("a2"))
-            await until(lambda: not w.dispatcher.front.open)
+            await until(lambda: not w.dispatcher.front.connections)
             assert len(w.readers[0].heads) == 1
             client.close()
 
@@ -186,7 +188,7 @@
         async with world([Replica(READ)], [Replica(ends_with(hold), STREAM)]) as w:
             client = raw(w, ask("a1"))
             await received(client, b"[DONE]")
-            (peer,) = w.dispatcher.front.open.values()
+            (peer,) = w.dispatcher.front.connections.values()
             assert peer.wire is not None
 
             async def drain() -> None:
@@ -232,7 +234,7 @@
             client.sendall(ask("a1", close=True))
             await until(
                 lambda: (
-                    any(p.stage is Stage.LEAVING for p in w.dispatcher.front.open.values())
+                    any(p.stage is Stage.LEAVING for p in w.dispatcher.front.connections.values())
                     or (not w.dispatcher.core.registry.by_number and w.writers[0].heads)
                 )
             )
@@ -271,7 +273,7 @@
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
             text = ask("a1", text=b'{"k": "%b"}' % (b"v" * 400))
             halves = [(raw(w, text[:cut]), text[cut:]) for cut in (9, len(text) - 100)]
-            opened = w.dispatcher.front.open
+            opened = w.dispatcher.front.connections
             await until(lambda: [p.stage for p in opened.values()] == [Stage.READING] * 2)
             stopping = asyncio.create_task(w.dispatcher.stop())
             await until(lambda: w.dispatcher.front.closing)
@@ -354,7 +356,7 @@
                 answer = await received(client)
                 assert answer.split()[1] in (b"502", b"503", b"504"), "by us, and in time"
                 client.close()
-            assert len(w.readers[0].heads) == 3 and not w.dispatcher.front.open
+            assert len(w.readers[0].heads) == 3 and not w.dispatcher.front.connections
 
     run(go)
 
--- a/tests/test_crossings_list.py
+++ b/tests/test_crossings_list.py
@@ -16,7 +16,7 @@
 from world import READ, STREAM, Discovery, Replica, message, run, world
 
 from onyxpass.net import endpoint_watcher, poll_schedule
-from onyxpass.net.endpoint_watcher import Lines, ListError, News
+from onyxpass.net.endpoint_watcher import DiscoveryUpdate, EndpointListError, JsonObjectSplitter
 
 WATCH = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
@@ -161,14 +161,14 @@
     for how in ({}, {"indent": 2}, {"indent": 0}):
         text = b"\n".join(json.dumps(m, **how).encode() + b"\n" for m in made) + b"\n"
         for size in (1, 7, len(text)):
-            lines = Lines()
+            lines = JsonObjectSplitter()
             found = [
                 m for at in range(0, len(text), size) for m in lines.feed(text[at : at + size])
             ]
             assert found == made and lines.ended == text.count(b"\n")
     for broken in (b'{"seq": 1,\n\n', b"[]\n", b"x\n", b'{"seq": }\n', b"{" + b" " * 4096):
-        with pytest.raises((ListError, ValueError)):
-            Lines(4000).feed(broken)
+        with pytest.raises((EndpointListError, ValueError)):
+            JsonObjectSplitter(4000).feed(broken)
 
 
 def test_what_an_old_address_told_late_is_not_put_over_the_new_ones_list_but_a_drain_holds() -> (
@@ -181,16 +181,18 @@
             await new.start()
             new.hosts, new.seq = [dict(h) for h in d.hosts], 7
             new.hosts[0]["health"] = "leaving"
-            actor.move(endpoint_watcher.Address("127.0.0.1", new.port))
+            actor.set_discovery(endpoint_watcher.Address("127.0.0.1", new.port))
             await until(lambda: actor.seq == 7)
             for health, host in (("active", 0), ("leaving", 1)):
                 old = {**d.hosts[host], "health": health}
-                actor.receive(News({"seq": 90, "whole": False, "hosts": [old]}, actor.era - 1))
+                actor.receive(
+                    DiscoveryUpdate({"seq": 90, "whole": False, "hosts": [old]}, actor.era - 1)
+                )
             assert not w.dispatcher.core.endpoints.accepts_new_work("r0"), (
                 "the new address knows better"
             )
             assert not w.dispatcher.core.endpoints.accepts_new_work("r1"), "told is told"
-            actor.receive(News({"seq": 91, "whole": True, "hosts": []}, actor.era - 1))
+            actor.receive(DiscoveryUpdate({"seq": 91, "whole": True, "hosts": []}, actor.era - 1))
             assert len(w.dispatcher.core.endpoints.by_id) == 3 and actor.seq == 7
             await new.stop()
 
@@ -212,11 +214,11 @@
         await half.start()
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
             actor, before = w.dispatcher.list, set(w.dispatcher.core.endpoints.by_id)
-            actor.move(endpoint_watcher.Address("127.0.0.1", half.port))
+            actor.set_discovery(endpoint_watcher.Address("127.0.0.1", half.port))
             await ready.wait()
             assert set(w.dispatcher.core.endpoints.by_id) == before and actor.ready
             w.discovery.seq = 3
-            actor.move(endpoint_watcher.Address("127.0.0.1", w.discovery.port))
+            actor.set_discovery(endpoint_watcher.Address("127.0.0.1", w.discovery.port))
             await until(lambda: actor.seq == 3)
             assert set(w.dispatcher.core.endpoints.by_id) == before
         await half.stop()
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -227,7 +227,7 @@
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
             replicas, asked = w.dispatcher.replicas, asyncio.Event()
-            most, replicas.budget.most = replicas.budget.most, 0
+            most, replicas.budget.limit = replicas.budget.limit, 0
             tries, let_go = [], replicas._let_go
 
             async def counted(name: str, request_id: str) -> bool:
@@ -242,7 +242,7 @@
             request.reserved_since_us = w.dispatcher.clock.now_us() + 60 * S
             replicas.release(request, False)
             await asked.wait()
-            replicas.budget.most = most
+            replicas.budget.limit = most
             await until(lambda: w.readers[0].leases or w.writers[0].leases)
             assert request.release_task is not None
             await request.release_task
--- a/tests/test_faults_disk.py
+++ b/tests/test_faults_disk.py
@@ -16,7 +16,7 @@
 from onyxpass.config.platform_file import Address
 from onyxpass.faultshim.control import Call, Forced
 from onyxpass.history_checkers.lines import objects
-from onyxpass.net.http_client import Answer, ask, at_address
+from onyxpass.net.http_client import ApiResponse, call_api, tcp_opener
 from onyxpass.testbed.replicas import StandinFleet
 from onyxpass.testbed.site import Host, Site, free_port
 
@@ -83,9 +83,11 @@
         await self.process.line("node")
         return self
 
-    async def call(self, method: str, path: str, message: dict[str, Any] | None = None) -> Answer:
-        address = at_address(Address("127.0.0.1", self.port))
-        return await ask(address, method, path, message, key=self.key, timeout_s=5.0)
+    async def call(
+        self, method: str, path: str, message: dict[str, Any] | None = None
+    ) -> ApiResponse:
+        address = tcp_opener(Address("127.0.0.1", self.port))
+        return await call_api(address, method, path, message, key=self.key, timeout_s=5.0)
 
     async def set(self, **values: object) -> int:
         return (await self.call("POST", "/v1/change", {"values": values})).status
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -43,8 +43,8 @@
 from onyxpass.net import replica as net_replica
 from onyxpass.net.client import HttpClient
 from onyxpass.net.dialer import connect
-from onyxpass.net.endpoint_watcher import News
-from onyxpass.net.http import Wire
+from onyxpass.net.endpoint_watcher import DiscoveryUpdate
+from onyxpass.net.http import HttpConnection
 from onyxpass.scheduling import contract
 from onyxpass.scheduling.contract import AttemptStatus
 from onyxpass.serve import DispatcherProcess
@@ -118,7 +118,7 @@
             for i in range(3):
                 assert b"HTTP/1.1 200" in await w.ask(f"c{i}")
             assert writer.connections == 4, "what may be repeated goes out on kept ones"
-            kept = connection_budget.Budget(9, risk_us=10**9)
+            kept = connection_budget.ConnectionBudget(9, risk_us=10**9)
             for n in range(3):
                 assert (kept.risk_at(10**9) > net_replica.RISK_ANY) == (n == 2), (
                     "till they break often"
@@ -167,7 +167,7 @@
             transport = SimpleNamespace(
                 get_write_buffer_size=lambda: left, is_closing=lambda: False, abort=lambda: None
             )
-            wire = Wire(h11.CLIENT, None, None)
+            wire = HttpConnection(h11.CLIENT, None, None)
             wire.writer = SimpleNamespace(  # type: ignore[assignment]
                 transport=transport, is_closing=lambda: False, writelines=lambda _: None
             )
@@ -381,7 +381,7 @@
             new.hosts, new.seq = w.discovery.hosts, 7
             await w.discovery.stop()
             await paused.wait()
-            w.dispatcher.list.move(Address("127.0.0.1", new.port))
+            w.dispatcher.list.set_discovery(Address("127.0.0.1", new.port))
             await until(lambda: w.dispatcher.list.seq == 7)
             await new.stop()
 
@@ -398,10 +398,12 @@
             reader, writer = await w.send(ask("a1", close=True))
             await reader.readuntil(b"[DONE]")
             await until(lambda: old.writers)
-            d.list.move(Address("127.0.0.1", new.port))
+            d.list.set_discovery(Address("127.0.0.1", new.port))
             await until(lambda: not old.writers and d.list.seq == 7)
             assert d.list.ready and new.asked[0] == "/registry/instances"
-            d.list.receive(News({"seq": 90, "whole": False, "hosts": []}, d.list.era - 1))
+            d.list.receive(
+                DiscoveryUpdate({"seq": 90, "whole": False, "hosts": []}, d.list.era - 1)
+            )
             assert d.list.seq == 7, (
                 "what the old address still had to say counts, its version does not"
             )
@@ -530,7 +532,7 @@
 def test_silent_and_slow_clients_are_closed(
     monkeypatch: pytest.MonkeyPatch, end: int, code: bytes
 ) -> None:
-    monkeypatch.setattr(front, "FIRST_US", 50_000)
+    monkeypatch.setattr(front, "REQUEST_TIMEOUT_US", 50_000)
 
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
@@ -544,7 +546,7 @@
 def test_silent_connections_make_room_and_open_requests_do_not() -> None:
     async def go() -> None:
         async with world([Replica(READ), Replica(READ)], [Replica(silence)]) as w:
-            w.dispatcher.front.most = 2
+            w.dispatcher.front.max_connections = 2
             silent = [await w.send(b"") for _ in range(5)]
             held = [await w.send(ask(f"a{i}")) for i in range(2)]
             await until(lambda: len(w.writers[0].heads) == 2)
@@ -570,14 +572,14 @@
 
             def pieces() -> list[int]:
                 return sorted(
-                    peer.wire.pieces for peer in held.open.values() if peer.wire is not None
+                    peer.wire.pieces for peer in held.connections.values() if peer.wire is not None
                 )
 
             slow, writer = await w.send(b"")
             for i in range(3):  # the eldest of all, but it keeps coming
                 writer.write(text[20 * i : 20 * (i + 1)])
                 await until(lambda i=i: pieces() == [i + 1])
-            held.most = 4
+            held.max_connections = 4
             crowd = [await w.send(b"POST /v1/chat") for _ in range(12)]
             ended = [asyncio.create_task(reader.read()) for reader, _ in crowd]
             await until(lambda: sum(task.done() for task in ended) == 9)
@@ -688,7 +690,7 @@
 def test_a_stream_that_stops_is_given_up_in_time(
     monkeypatch: pytest.MonkeyPatch, begun: bytes
 ) -> None:
-    for name in ("OPENING_US", "STALL_US"):
+    for name in ("FIRST_EVENT_TIMEOUT_US", "STREAM_STALL_TIMEOUT_US"):
         monkeypatch.setattr(net_replica, name, 100_000)
 
     async def go() -> None:
@@ -746,11 +748,11 @@
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM), Replica(STREAM)]) as w:
             budget, core = w.dispatcher.replicas.budget, w.dispatcher.core
-            budget.most = 1
+            budget.limit = 1
             for i in range(4):
                 assert b"HTTP/1.1 200" in await w.ask(f"a{i}")
             assert budget.open == 1
-            budget.most = 0
+            budget.limit = 0
             w.dispatcher.replicas.sweep(everything=True)
             await until(lambda: not budget.open)
             with structlog.testing.capture_logs() as lines:
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -126,12 +126,13 @@
             assert w.dispatcher.control is not None
             port = w.dispatcher.control.port
             silent = [
-                await asyncio.open_connection("127.0.0.1", port) for _ in range(control.MOST + 4)
+                await asyncio.open_connection("127.0.0.1", port)
+                for _ in range(control.MAX_CALLS + 4)
             ]
             assert (await call(w, READY)).startswith(b"HTTP/1.1 200"), (
                 "a newcomer takes a silent one's place"
             )
-            monkeypatch.setattr(control, "CALL_US", 30_000)
+            monkeypatch.setattr(control, "CALL_TIMEOUT_US", 30_000)
             assert (await call(w, READY[:20])).startswith(b"HTTP/1.1 408")
             assert await call(w) == b""
             for _, writer in silent:
@@ -300,13 +301,13 @@
     async def go() -> None:
         hold = Held()
         passed = socket.create_server(("127.0.0.1", 0))
-        monkeypatch.setattr(front, "LAST_US", 0)
-        monkeypatch.setattr(front, "END_US", -2_900_000)  # all is answered soon
+        monkeypatch.setattr(front, "REJECT_NEW_DELAY_US", 0)
+        monkeypatch.setattr(front, "SHUTDOWN_MARGIN_US", -2_900_000)  # all is answered soon
         async with world([Replica(hold)], [Replica(STREAM)], passed=passed.detach()) as w:
             open_one, stays = await w.send(ask("a1", ms=9000))
             await hold.there.wait()
             fresh, late = await asyncio.open_connection("127.0.0.1", w.port)
-            await until(lambda: len(w.dispatcher.front.open) == 2)
+            await until(lambda: len(w.dispatcher.front.connections) == 2)
             stopping = asyncio.create_task(w.dispatcher.stop())
             await until(lambda: w.dispatcher.core.shutdown.begun)
             late.write(ask("a2"))
@@ -336,7 +337,7 @@
             await until(lambda: not any(actor.tasks for actor in actors))
             assert budget.open >= 20
             w.dispatcher._share(20)
-            assert budget.open <= budget.most == w.dispatcher.front.most == 8
+            assert budget.open <= budget.limit == w.dispatcher.front.max_connections == 8
 
     run(go)
 
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -17,11 +17,11 @@
 from onyxpass.core.clock import Clock
 from onyxpass.core.dispatcher import RequestDispatcher
 from onyxpass.core.timer_wheel import TimerWheel
-from onyxpass.net.endpoint_watcher import Lines, ListError, read_list
-from onyxpass.net.http import Broken, Wire, body
+from onyxpass.net.endpoint_watcher import EndpointListError, JsonObjectSplitter, parse_endpoint_list
+from onyxpass.net.http import HttpConnection, HttpError, read_body
 from onyxpass.net.replica import cached_tokens
 from onyxpass.net.request_parser import BadRequest, read_arrival
-from onyxpass.net.response_reader import Events, Incoming
+from onyxpass.net.response_reader import EventSplitter, ResponseReader
 from onyxpass.scheduling import contract
 from onyxpass.toolcalls import rpc
 from onyxpass.toolcalls.front import Connection, RpcFront
@@ -52,12 +52,12 @@
         return next(rest, b"")
 
     reader.read = read
-    wire = Wire(role, reader, None)
+    wire = HttpConnection(role, reader, None)
     if role is h11.CLIENT:
         wire.h11.send(h11.Request(method="GET", target="/", headers=[("host", "x")]))
         wire.h11.send(h11.EndOfMessage())
     head = await wire.event()
-    return head, await body(wire)
+    return head, await read_body(wire)
 
 
 PLACES = st.lists(st.integers(0, 400), max_size=30)
@@ -77,7 +77,7 @@
 def test_a_stream_that_ends_early_is_never_whole(places: list[int], end: int) -> None:
     try:
         asyncio.run(hear(h11.CLIENT, cut(STREAM[:end] or b"\0", places)))
-    except Broken:
+    except HttpError:
         return
     raise AssertionError("taken as whole")
 
@@ -89,7 +89,7 @@
     text = good[:at] + junk + good[at:]
     try:
         head, _ = asyncio.run(hear(role, [text]))
-    except Broken as problem:
+    except HttpError as problem:
         assert problem.status == 0 or 400 <= problem.status < 600
     else:
         assert (
@@ -100,7 +100,7 @@
 @FIXED
 @given(PLACES)
 def test_cuts_of_the_watch_change_nothing(places: list[int]) -> None:
-    lines = Lines()
+    lines = JsonObjectSplitter()
     found = [message["seq"] for part in cut(VERSIONS, places) for message in lines.feed(part)]
     assert found == [1, 2]
 
@@ -112,15 +112,15 @@
     async def read(_: int) -> bytes:
         return next(rest, b"")
 
-    wire = Wire(h11.CLIENT, SimpleNamespace(read=read), None)
+    wire = HttpConnection(h11.CLIENT, SimpleNamespace(read=read), None)
     wire.h11.send(h11.Request(method="GET", target="/", headers=[("host", "x")]))
     wire.h11.send(h11.EndOfMessage())
-    incoming, events, seen = Incoming(wire, TimerWheel(Clock())), Events(), b""
+    incoming, events, seen = ResponseReader(wire, TimerWheel(Clock())), EventSplitter(), b""
     assert isinstance(await incoming.next(), h11.Response)
     while isinstance(part := await incoming.next(), bytes):
         seen += events.feed(part)
     if not isinstance(part, h11.EndOfMessage) or events.rest:
-        raise Broken("not whole")
+        raise HttpError("not whole")
     return seen
 
 
@@ -145,7 +145,7 @@
     try:
         parts = cut(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + body, places)
         assert asyncio.run(stream(parts)) == b""
-    except Broken:
+    except HttpError:
         return
 
 
@@ -164,8 +164,8 @@
 @given(st.fixed_dictionaries({"seq": JSON, "hosts": JSON | st.lists(ENTRY, max_size=3)}))
 def test_a_list_is_read_or_refused(message: dict[str, Any]) -> None:
     try:
-        update, addresses = read_list(message)
-    except ListError:
+        update, addresses = parse_endpoint_list(message)
+    except EndpointListError:
         return
     assert len(update.endpoints) >= len(addresses)
 
--- a/tests/test_reasons.py
+++ b/tests/test_reasons.py
@@ -18,8 +18,8 @@
 
 
 async def closed(w: World, why: CloseReason) -> None:
-    await until(lambda: w.dispatcher.front.open.closed[why] == 1)
-    assert w.dispatcher.front.open.closed.total() == 1
+    await until(lambda: w.dispatcher.front.connections.closed[why] == 1)
+    assert w.dispatcher.front.connections.closed.total() == 1
 
 
 def test_why_a_clients_connection_ended_is_counted() -> None:
--- a/tests/test_stream_migration.py
+++ b/tests/test_stream_migration.py
@@ -17,8 +17,8 @@
 
 from onyxpass.core.timer_wheel import TimerWheel
 from onyxpass.net import stream_migration
-from onyxpass.net.http import Wire
-from onyxpass.net.response_reader import Incoming
+from onyxpass.net.http import HttpConnection
+from onyxpass.net.response_reader import ResponseReader
 from onyxpass.scheduling import contract
 from onyxpass.scheduling.contract import AttemptStatus
 from tests.support.dispatcher_bed import HandClock
@@ -34,7 +34,7 @@
     """The new process's word on an offer; it is never told to go on."""
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
         sock.setblocking(False)
-        with stream_migration.short(path) as short:
+        with stream_migration.short_socket_path(path) as short:
             sock.connect(short)
         socket.send_fds(sock, [message], [s.fileno() for s in sockets])
         return await asyncio.get_running_loop().sock_recv(sock, 1)
@@ -64,7 +64,7 @@
                 )
             assert w.dispatcher.stream_receiver is not None
             await until(lambda: not w.dispatcher.stream_receiver.tasks)
-            assert not w.dispatcher.core.registry.by_number and not w.dispatcher.front.open
+            assert not w.dispatcher.core.registry.by_number and not w.dispatcher.front.connections
             one.send(b"x")
             assert two.recv(1) == b"x", "what was only offered is left as it was"
             one.close()
@@ -78,7 +78,7 @@
     async def go() -> None:
         hold, asked = asyncio.Event(), asyncio.Event()
         listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        with stream_migration.short(tmp_path / "x.heir") as short:
+        with stream_migration.short_socket_path(tmp_path / "x.heir") as short:
             listener.bind(short)
         listener.listen()
         listener.setblocking(False)
@@ -100,7 +100,7 @@
             await until(
                 lambda: any(actor.streams for actor in w.dispatcher.replicas.actors.values())
             )
-            w.dispatcher.replicas.hand_over(heirs)  # the stream waits for its next event
+            w.dispatcher.replicas.migrate_streams(heirs)  # the stream waits for its next event
             await asked.wait()
             hold.set()
             assert (await served).endswith(b"0\r\n\r\n")
@@ -111,14 +111,14 @@
     run(go)
 
 
-async def fed(*parts: bytes) -> Incoming:
+async def fed(*parts: bytes) -> ResponseReader:
     """An answer in chunks of which these parts have come, with all whole chunks taken out."""
     wheel = TimerWheel(HandClock())
     reader = asyncio.StreamReader()
-    wire = Wire(h11.CLIENT, reader, None)
+    wire = HttpConnection(h11.CLIENT, reader, None)
     wire.h11.send(h11.Request(method="GET", target="/", headers=[("host", "x")]))
     wire.h11.send(h11.EndOfMessage())
-    incoming = Incoming(wire, wheel)
+    incoming = ResponseReader(wire, wheel)
     reader.feed_data(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
     assert isinstance(await incoming.next(), h11.Response)
     for part in parts:
@@ -149,7 +149,7 @@
 
 
 def test_two_h11_machines_are_brought_within_a_body() -> None:
-    wire, client = Wire(h11.CLIENT, None, None), Wire(h11.SERVER, None, None)
+    wire, client = HttpConnection(h11.CLIENT, None, None), HttpConnection(h11.SERVER, None, None)
     stream_migration.replay(wire, client, keeps=True)
     wire.h11.receive_data(b"2\r\nhi\r\n0\r\n\r\n")
     event = wire.poll()
@@ -158,7 +158,9 @@
     assert client.h11.send(h11.EndOfMessage()) == b"0\r\n\r\n"
     client.h11.start_next_cycle()
     stream_migration.replay(
-        Wire(h11.CLIENT, None, None), last := Wire(h11.SERVER, None, None), keeps=False
+        HttpConnection(h11.CLIENT, None, None),
+        last := HttpConnection(h11.SERVER, None, None),
+        keeps=False,
     )
     last.h11.send(h11.EndOfMessage())
     assert last.h11.our_state is h11.MUST_CLOSE
@@ -196,7 +198,7 @@
             wire, replica = pair()
             with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
                 sock.setblocking(False)
-                with stream_migration.short(path) as short:
+                with stream_migration.short_socket_path(path) as short:
                     sock.connect(short)
                 told = {**OFFER, "version": stream_migration.VERSION}
                 socket.send_fds(sock, [json.dumps(told).encode()], [ours.fileno(), wire.fileno()])
@@ -211,7 +213,9 @@
                 with contextlib.suppress(ConnectionResetError):  # or reset: it must not look whole
                     assert await asyncio.wait_for(loop.sock_recv(client, 100), 10) == b""
             await until(
-                lambda: not w.dispatcher.core.registry.by_number and not w.dispatcher.front.open
+                lambda: (
+                    not w.dispatcher.core.registry.by_number and not w.dispatcher.front.connections
+                )
             )
             client.close()
 
--- a/tests/test_worth.py
+++ b/tests/test_worth.py
@@ -13,7 +13,7 @@
 from onyxpass.config import toml_config
 from onyxpass.config.platform_file import ConfigError
 from onyxpass.core.answer_value import Assessment, Timing, assess, mean_token_us
-from onyxpass.net.response_reader import Events
+from onyxpass.net.response_reader import EventSplitter
 from onyxpass.optional_dependencies import EXTRAS
 from onyxpass.scheduling import attempt_timeouts, contract
 from onyxpass.scheduling.contract import AttemptStatus
@@ -62,11 +62,11 @@
     ]
     text = b"".join(events)
     for size in (1, 7, 100, len(text)):
-        cut = Events()
+        cut = EventSplitter()
         for at in range(0, len(text), size):
             cut.feed(text[at : at + size])
         assert cut.tokens() == 40
-    assert Events().tokens() == 0
+    assert EventSplitter().tokens() == 0
 
 
 def test_a_served_answer_that_came_too_slowly_is_told_and_counted() -> None:
