--- a/onyxpass/hollow/dispatchers.py
+++ b/onyxpass/hollow/dispatchers.py
@@ -22,13 +22,13 @@
     def __init__(self) -> None:
         self.known: dict[str, Address] = {}
 
-    def told(self, name: str, address: Address, left: bool) -> None:
+    def set_address(self, name: str, address: Address, left: bool) -> None:
         if left:
             self.known.pop(name, None)
         else:
             self.known[name] = address
 
-    def only(self, addresses: Mapping[str, Address]) -> None:
+    def retain_only(self, addresses: Mapping[str, Address]) -> None:
         self.known = dict(addresses)
 
 
--- a/onyxpass/net/endpoint_watcher.py
+++ b/onyxpass/net/endpoint_watcher.py
@@ -172,9 +172,9 @@
     ) -> None:
         for server in update.endpoints:
             left = server.condition is contract.EndpointCondition.REMOVED
-            self.replicas.told(server.id, addresses[server.id], left)
+            self.replicas.set_address(server.id, addresses[server.id], left)
         if update.form is not contract.EndpointUpdateForm.DELTA:
-            self.replicas.only(addresses)
+            self.replicas.retain_only(addresses)
         self.core.update_endpoints(self._overlaid(update), absent_us)
 
     def _overlaid(self, update: contract.EndpointUpdate) -> contract.EndpointUpdate:
@@ -305,7 +305,7 @@
         """
         while True:
             async with self.core.wheel.limit(due_us - self.core.clock.now_us()):
-                event = await wire.event()
+                event = await wire.next_event()
             if isinstance(event, h11.Response) and event.status_code != 200:
                 raise HttpError(f"discovery answers {event.status_code}")
             if isinstance(event, h11.Data):
--- a/onyxpass/net/front.py
+++ b/onyxpass/net/front.py
@@ -401,7 +401,7 @@
     ) -> None:
         arrived_us, now_us = self._arrived_us(connection, wire), self.clock.now_us()
         async with self.wheel.limit(min(connection.due_us - now_us, REQUEST_TIMEOUT_US)):
-            head = await wire.event()
+            head = await wire.next_event()
             if not isinstance(head, h11.Request):
                 raise HttpError("closed")
             check_framing(head)
--- a/onyxpass/net/http.py
+++ b/onyxpass/net/http.py
@@ -87,7 +87,7 @@
         wire.timed = protocol
         return wire
 
-    async def event(self) -> h11.Event | type[h11.PAUSED]:
+    async def next_event(self) -> h11.Event | type[h11.PAUSED]:
         """The next event. HttpError if the other side ends within a message or breaks the protocol."""
         while (event := self.poll()) is None:
             await self.fill()
@@ -230,7 +230,7 @@
     parts: list[bytes] = []
     size = 0
     while True:
-        event = await wire.event()
+        event = await wire.next_event()
         if isinstance(event, h11.Data):
             size += len(event.data)
             if size > most:
--- a/onyxpass/net/http_server.py
+++ b/onyxpass/net/http_server.py
@@ -119,7 +119,7 @@
                 await wire.fill()
                 if not (began := wire.pending):
                     return  # it left without a word
-                head = await wire.event()
+                head = await wire.next_event()
                 if not isinstance(head, h11.Request):
                     raise HttpError("not a call", 400)
                 text = await read_body(wire, self.max_body_bytes)
--- a/onyxpass/net/replica.py
+++ b/onyxpass/net/replica.py
@@ -404,7 +404,7 @@
                 await turn.end_step()
             elif isinstance(part, h11.EndOfMessage):
                 attempt.output_tokens = events.tokens()
-                if attempt.committed and whole_at_end and not events.rest:
+                if attempt.committed and whole_at_end and not events.has_partial_event:
                     return AttemptStatus.COMPLETED, 0, ""
                 raise HttpError("the stream was not whole")
             else:
@@ -427,7 +427,7 @@
                 ):  # taken out while the connection was coming up
                     return
                 wire.write(request(b"GET", b"/health/live"), h11.EndOfMessage())
-                head = await wire.event()
+                head = await wire.next_event()
                 if isinstance(head, h11.Response):
                     await read_body(wire)
                     ok = head.status_code == 200
@@ -449,7 +449,7 @@
                 wire = self._reuse() or await self._open()
                 target = b"/kv/leases/" + request_id.encode("ascii")
                 wire.write(request(b"DELETE", target), h11.EndOfMessage())
-                head = await wire.event()
+                head = await wire.next_event()
                 if not isinstance(head, h11.Response):
                     return False
                 await read_body(wire)
--- a/onyxpass/net/replicas.py
+++ b/onyxpass/net/replicas.py
@@ -21,7 +21,7 @@
         self.heirs: Heirs | None = None
         self.budget = ConnectionBudget(most, make_room=self._make_room)
 
-    def told(self, name: str, address: Address, left: bool) -> None:
+    def set_address(self, name: str, address: Address, left: bool) -> None:
         """What the list says of where a replica listens."""
         if (actor := self.actors.get(name)) is None:
             self._enter(name, address)
@@ -30,7 +30,7 @@
 
     def member(self, server: contract.Endpoint, address: Address, left: bool) -> None:
         """What a source of membership says of a server."""
-        self.told(server.id, address, left)
+        self.set_address(server.id, address, left)
 
     def _enter(self, name: str, address: Address) -> Replica:
         actor = Replica(name, address, self.core, self.budget, self.connect_us, self.idle_us)
@@ -69,7 +69,7 @@
             min(idle, key=lambda actor: actor.idle[0].since_us).give_up_idle()
         return bool(idle)
 
-    def only(self, names: Container[str]) -> None:
+    def retain_only(self, names: Container[str]) -> None:
         """A whole list has come: what it does not name has left."""
         for name, actor in self.actors.items():
             if name not in names:
--- a/onyxpass/net/response_reader.py
+++ b/onyxpass/net/response_reader.py
@@ -152,12 +152,12 @@
         return min(BODY_LIMIT, int(told[-1])) if told else 0
 
     @property
-    def held(self) -> bytes:
+    def partial_event(self) -> bytes:
         """The part of the next event that has come."""
         return bytes(self._rest)
 
     @property
-    def rest(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Whether an event has begun and not ended."""
         return bool(self._rest)
 
--- a/onyxpass/net/stream_migration.py
+++ b/onyxpass/net/stream_migration.py
@@ -96,7 +96,7 @@
                 or not all(map(quiet, wires))
             ):
                 return False
-            message = describe(attempt, events.held, client.keeps, self.core.clock)
+            message = describe(attempt, events.partial_event, client.keeps, self.core.clock)
             if len(message) > MESSAGE_MOST:
                 return False
             for wire in wires:  # what comes from now on is for the one who goes on
--- a/onyxpass/testbed/agents.py
+++ b/onyxpass/testbed/agents.py
@@ -27,7 +27,7 @@
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         wire = HttpConnection(h11.SERVER, reader, writer)
         try:
-            head = await wire.event()
+            head = await wire.next_event()
             if not isinstance(head, h11.Request):
                 return
             text = await read_body(wire)
--- a/onyxpass/testbed/replicas.py
+++ b/onyxpass/testbed/replicas.py
@@ -68,7 +68,7 @@
         wire = HttpConnection(h11.SERVER, reader, writer)
         try:
             while True:
-                head = await wire.event()
+                head = await wire.next_event()
                 if not isinstance(head, h11.Request):
                     return
                 text = await read_body(wire)
@@ -261,7 +261,7 @@
         wire = HttpConnection(h11.SERVER, reader, writer)
         try:
             while True:
-                head = await wire.event()
+                head = await wire.next_event()
                 if not isinstance(head, h11.Request):
                     return
                 await read_body(wire)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -145,7 +145,8 @@
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM)], control=CONTROL) as w:
             found = w.dispatcher.list
-            found.move(Address("127.0.0.1", 1))  # nobody is there who could make it ready again
+            # nobody is there who could make it ready again
+            found.set_discovery(Address("127.0.0.1", 1))
             await until(found.mailbox.empty)
             await asyncio.sleep(0)
             found.ready = False
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -56,7 +56,7 @@
     if role is h11.CLIENT:
         wire.h11.send(h11.Request(method="GET", target="/", headers=[("host", "x")]))
         wire.h11.send(h11.EndOfMessage())
-    head = await wire.event()
+    head = await wire.next_event()
     return head, await read_body(wire)
 
 
@@ -119,7 +119,7 @@
     assert isinstance(await incoming.next(), h11.Response)
     while isinstance(part := await incoming.next(), bytes):
         seen += events.feed(part)
-    if not isinstance(part, h11.EndOfMessage) or events.rest:
+    if not isinstance(part, h11.EndOfMessage) or events.has_partial_event:
         raise HttpError("not whole")
     return seen
 
