--- a/onyxpass/agent/api_requests.py
+++ b/onyxpass/agent/api_requests.py
@@ -77,7 +77,7 @@
     rollout = _id(body, "rollout")
     holder = _text(body, "holder")
     max_ttl_ms = round(MAX_TTL_S * 1000)
-    ttl_ms = integer_field(body, "ttl_ms", DEFAULT_LOCK_TTL_MS, max_ttl_ms, least=1)
+    ttl_ms = integer_field(body, "ttl_ms", DEFAULT_LOCK_TTL_MS, max_ttl_ms, minimum=1)
     return RolloutLockRequest(rollout, holder, ttl_ms / 1000, _lease(body))
 
 
@@ -111,7 +111,9 @@
 
 
 def _options(body: Body) -> OperationOptions:
-    deadline_ms = integer_field(body, "deadline_ms", DEFAULT_DEADLINE_MS, MAX_DURATION_MS, least=1)
+    deadline_ms = integer_field(
+        body, "deadline_ms", DEFAULT_DEADLINE_MS, MAX_DURATION_MS, minimum=1
+    )
     return OperationOptions(
         deadline_s=deadline_ms / 1000,
         notice_s=integer_field(body, "notice_ms", DEFAULT_NOTICE_MS, MAX_DURATION_MS) / 1000,
@@ -130,5 +132,5 @@
         raise ApiError(400, "lease must be an object")
     reject_unknown_fields(found, "name", "token", "holder")
     name = _id(found, "name")
-    token = integer_field(found, "token", 0, MAX_TOKEN, least=1)
+    token = integer_field(found, "token", 0, MAX_TOKEN, minimum=1)
     return LeaseClaim(name, token, _id(found, "holder"))
--- a/onyxpass/net/http_server.py
+++ b/onyxpass/net/http_server.py
@@ -174,12 +174,12 @@
 
 
 def integer_field(
-    call: Mapping[str, Any], name: str, fallback: int, most: int, *, least: int = 0
+    call: Mapping[str, Any], name: str, fallback: int, maximum: int, *, minimum: int = 0
 ) -> int:
     """A whole number of a call's body; 400 if it is none, or out of its bounds."""
     value = call.get(name, fallback)
-    if type(value) is not int or not least <= value <= most:
-        raise ApiError(400, f"{name} must be a whole number from {least} to {most}")
+    if type(value) is not int or not minimum <= value <= maximum:
+        raise ApiError(400, f"{name} must be a whole number from {minimum} to {maximum}")
     return value
 
 
