--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -157,7 +157,7 @@
             suspensions=0,
             kills=0,
             store_restarts=0,
-            orders=0,
+            commands=0,
             reacquisitions=0,
         )
     ).run()
@@ -169,7 +169,7 @@
             late_requests=3,
             suspensions=2,
             kills=2,
-            orders=4,
+            commands=4,
             reacquisitions=3,
         )
     ).walk(1, 3_000)
--- a/onyxpass/agent/api.py
+++ b/onyxpass/agent/api.py
@@ -43,8 +43,8 @@
 from onyxpass.agent.operation_options import OperationKind
 from onyxpass.agent.operation_records import Operation, OperationState
 from onyxpass.agent.operations import InstanceBusyError, OperationCallback, Operations
-from onyxpass.agent.rollout_locks import RolloutLock, RolloutLocks
-from onyxpass.agent.state_store import StateStoreBusyError
+from onyxpass.agent.rollout_locks import GrantedRolloutLock, RolloutLockManager
+from onyxpass.agent.state_store import StateStoreWriteError
 from onyxpass.agent.supervisor import Agent
 from onyxpass.config.platform_file import Address, ConfigError
 from onyxpass.net.http import header
@@ -74,7 +74,7 @@
         self._key = key
         self._operations = Operations(agent.state_store, agent.by_name)
         self._admission = LeaseAdmission(agent.state_store, agent.config.name)
-        self._locks = RolloutLocks()
+        self._locks = RolloutLockManager()
         if (saved := agent.state_store.locks.rollout_lock()) is not None:
             # Its whole time runs again: no clock outlives the agent.
             self._locks.acquire(saved.rollout, saved.holder, saved.ttl_s, time.monotonic())
@@ -98,7 +98,7 @@
         method = bytes(head.method).decode("ascii", "replace")
         try:
             return await self._route(method, path.split("/")[1:], query, body)
-        except StateStoreBusyError as error:
+        except StateStoreWriteError as error:
             reason = f"the agent's record takes nothing at present: {error}"
             raise Refusal(503, reason) from error
         except LeaseRejectedError as error:
@@ -187,7 +187,7 @@
             operation = self._operations.begin(
                 operation_id, instance.name, kind, request.options, on_end
             )
-        except StateStoreBusyError as error:
+        except StateStoreWriteError as error:
             # It never began, so what it was admitted for has ended.
             on_end(
                 Operation(
@@ -226,7 +226,7 @@
             state_store.locks.save_rollout_lock(
                 RolloutLockRecord(request.rollout, request.holder, request.ttl_s)
             )
-        except StateStoreBusyError:
+        except StateStoreWriteError:
             self._locks.release(request.rollout, time.monotonic())
             raise
         state_store.events.append("", "held", rollout=request.rollout, holder=request.holder)
@@ -253,6 +253,6 @@
     return status, json.dumps(body).encode() + b"\n"
 
 
-def _locked_refusal(lock: RolloutLock, now_s: float) -> Refusal:
+def _locked_refusal(lock: GrantedRolloutLock, now_s: float) -> Refusal:
     reason = f"rollout {lock.rollout} holds this agent"
     return Refusal(409, reason, hold=lock_view(lock, now_s))
--- a/onyxpass/agent/api_requests.py
+++ b/onyxpass/agent/api_requests.py
@@ -9,14 +9,14 @@
 from onyxpass.agent.rollout_locks import MAX_TTL_S
 from onyxpass.net.http_server import Refusal, flag, only, whole
 
-MAX_TEXT = 512  # characters
+MAX_TEXT_CHARACTERS = 512  # characters
 MAX_DURATION_MS = 24 * 3600 * 1000
 MAX_TOKEN = 2**53  # what every JSON reader takes exactly
 MAX_NUMBER_DIGITS = 16
 DEFAULT_DEADLINE_MS = 60_000
 DEFAULT_NOTICE_MS = 1_000
 DEFAULT_LOCK_TTL_MS = 30_000
-ID = re.compile(r"[A-Za-z0-9._:-]{1,192}\Z")
+ID_PATTERN = re.compile(r"[A-Za-z0-9._:-]{1,192}\Z")
 
 Body = dict[str, Any]
 
@@ -98,14 +98,18 @@
 
 def _text(body: Body, name: str, default: str | None = None) -> str:
     value = body.get(name, default)
-    if not isinstance(value, str) or len(value) > MAX_TEXT or (value and not value.isprintable()):
-        raise Refusal(400, f"{name} must be a text of at most {MAX_TEXT} characters")
+    if (
+        not isinstance(value, str)
+        or len(value) > MAX_TEXT_CHARACTERS
+        or (value and not value.isprintable())
+    ):
+        raise Refusal(400, f"{name} must be a text of at most {MAX_TEXT_CHARACTERS} characters")
     return value
 
 
 def _id(body: Body, name: str) -> str:
     value = _text(body, name)
-    if not ID.match(value):
+    if not ID_PATTERN.match(value):
         raise Refusal(400, f"{name} must be 1 to 192 letters, digits or ._:-")
     return value
 
--- a/onyxpass/agent/api_views.py
+++ b/onyxpass/agent/api_views.py
@@ -6,7 +6,7 @@
 from onyxpass import __version__
 from onyxpass.agent.expected_config import expected_digest
 from onyxpass.agent.instance import Instance
-from onyxpass.agent.rollout_locks import RolloutLock
+from onyxpass.agent.rollout_locks import GrantedRolloutLock
 from onyxpass.config.platform_file import ConfigError
 from onyxpass.net.http_client import RequestNotSentError, ResponseLostError
 
@@ -16,7 +16,7 @@
 def agent_view(
     name: str,
     instances: list[str],
-    lock: RolloutLock | None,
+    lock: GrantedRolloutLock | None,
     fences: Mapping[str, object],
     now_s: float,
 ) -> dict[str, Any]:
@@ -30,7 +30,7 @@
     }
 
 
-def lock_view(lock: RolloutLock, now_s: float) -> dict[str, Any]:
+def lock_view(lock: GrantedRolloutLock, now_s: float) -> dict[str, Any]:
     """Return a rollout lock with the time that it has left."""
     return {
         "rollout": lock.rollout,
--- a/onyxpass/agent/config.py
+++ b/onyxpass/agent/config.py
@@ -16,9 +16,9 @@
 from onyxpass.config import toml_config
 from onyxpass.config.platform_file import Address
 
-Kind = Literal["serve", "toolcalls"]
+InstanceKind = Literal["serve", "toolcalls"]
 Name = Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")]
-Positive = Annotated[float, Field(gt=0, le=86_400)]
+Seconds = Annotated[float, Field(gt=0, le=86_400)]
 
 
 class StoreTable(toml_config.Model):
@@ -30,17 +30,17 @@
 class RestartTable(toml_config.Model):
     """All times are seconds."""
 
-    first_s: Positive = 0.2  # the pause before the first restart; it doubles
-    most_s: Positive = 15.0
-    steady_s: Positive = 30.0  # an instance that ran for so long starts over with the first pause
-    grace_s: Positive = 20.0  # from SIGTERM to SIGKILL
-    start_s: Positive = 5.0  # a check may fail for so long after a start
-    poll_s: Positive = 1.0  # how often instances are checked, and the store told and asked
+    first_s: Seconds = 0.2  # the pause before the first restart; it doubles
+    most_s: Seconds = 15.0
+    steady_s: Seconds = 30.0  # an instance that ran for so long starts over with the first pause
+    grace_s: Seconds = 20.0  # from SIGTERM to SIGKILL
+    start_s: Seconds = 5.0  # a check may fail for so long after a start
+    poll_s: Seconds = 1.0  # how often instances are checked, and the store told and asked
 
 
 class InstanceTable(toml_config.Model):  # noqa: D101 - a docstring is part of the schema
     name: Name
-    kind: Kind
+    kind: InstanceKind
     config: str  # relative to the agent's file
     env: dict[str, str] = Field(default_factory=dict)
     check: toml_config.PlaceText | None = None  # where it must take connections while it runs
--- a/onyxpass/agent/event_records.py
+++ b/onyxpass/agent/event_records.py
@@ -9,7 +9,7 @@
 from onyxpass.agent.state_database import StateDatabase
 
 MAX_EVENTS = 10_000
-PAGE_EVENTS = 500
+MAX_EVENTS_PER_QUERY = 500
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,14 +41,14 @@
 
     def append(self, instance: str, what: str, **detail: Any) -> None:
         """Record an event of now; written now, or once the disk takes it."""
-        self._database.append_line(
+        self._database.append_row(
             "events",
             MAX_EVENTS,
             "INSERT INTO events (at, name, what, detail) VALUES (?, ?, ?, ?)",
             (time.time(), instance, what, json.dumps(detail)),
         )
 
-    def after(self, number: int, limit: int = PAGE_EVENTS) -> list[EventRecord]:
+    def after(self, number: int, limit: int = MAX_EVENTS_PER_QUERY) -> list[EventRecord]:
         """Return the events after ``number``, oldest first, at most ``limit``."""
         rows = self._database.query(
             "SELECT number, at, name, what, detail FROM events WHERE number > ?"
--- a/onyxpass/agent/folder_lock.py
+++ b/onyxpass/agent/folder_lock.py
@@ -11,7 +11,7 @@
 from onyxpass.agent.state_errors import StateStoreInUseError
 
 LOCK_FILE = "lock"
-OWNER_MAX_BYTES = 64
+MAX_OWNER_BYTES = 64
 
 
 class FolderLock:
@@ -24,7 +24,7 @@
             fcntl.flock(self._descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
             self._write_owner()
         except BlockingIOError as error:
-            owner = os.pread(self._descriptor, OWNER_MAX_BYTES, 0).decode("ascii", "replace")
+            owner = os.pread(self._descriptor, MAX_OWNER_BYTES, 0).decode("ascii", "replace")
             self.close()
             raise StateStoreInUseError(folder, owner.strip()) from error
         except OSError:
--- a/onyxpass/agent/instance.py
+++ b/onyxpass/agent/instance.py
@@ -36,8 +36,8 @@
     ScheduleLaunch,
     Terminate,
 )
-from onyxpass.agent.process import Identity, Process, find_by_launch, rotate_log
-from onyxpass.agent.state_store import StateStore, StateStoreBusyError
+from onyxpass.agent.process import Process, ProcessIdentity, find_by_environment, rotate_log
+from onyxpass.agent.state_store import StateStore, StateStoreWriteError
 from onyxpass.config.platform_file import ADMIN, GENERATION, LAUNCH
 from onyxpass.core.actor import Actor
 from onyxpass.invariants import ProcessStartChecker
@@ -71,7 +71,7 @@
             config.restart, wanted=self.record.wanted, restarts=self.record.restarts
         )
         self.process: Process | None = None
-        self.since = time.time()  # for people; nothing is decided by it
+        self.state_since_unix_s = time.time()  # for people; nothing is decided by it
         self.adopted = False
         self.no_process = asyncio.Event()  # set while no process runs or is being started
         self.no_process.set()
@@ -130,7 +130,7 @@
             self.state_store.instances.save(self.record)
 
     def _report_state(self) -> None:
-        self.since = time.time()
+        self.state_since_unix_s = time.time()
         pid = self.process.pid if self.process else None
         log.info("instance_state_changed", name=self.name, state=self.state, pid=pid)
         self.state_store.events.append(self.name, self.state, pid=pid)
@@ -176,14 +176,14 @@
         self.state_store.events.append(self.name, "adopted", pid=process.pid)
         return self.lifecycle.adopted(now_s, process.identity.age_s)
 
-    def _recorded_identity(self) -> Identity | None:
+    def _recorded_identity(self) -> ProcessIdentity | None:
         """Return the identity of the last process, if there is one.
 
         Where the agent was killed before it could record it, the process is found by the name of
         its launch, which it carries in its environment.
         """
         if self.record.process is None and self.record.launch:
-            return find_by_launch(LAUNCH, self.record.launch)
+            return find_by_environment(LAUNCH, self.record.launch)
         return self.record.process
 
     def _launch(self) -> None:
@@ -211,8 +211,8 @@
         self.record.launch = secrets.token_hex(LAUNCH_ID_BYTES)
         self.record.process = None
         try:
-            self.state_store.instances.save_first(self.record)
-        except StateStoreBusyError as error:
+            self.state_store.instances.save_now(self.record)
+        except StateStoreWriteError as error:
             log.error("instance_launch_not_recorded", name=self.name, error=error.reason)
             self.record.launch = ""
             return False
@@ -257,7 +257,7 @@
             await self._state_changed.wait()
 
     def _process_exited(self, now_s: float, code: int | None) -> list[Action]:
-        ran_s = now_s - self.lifecycle.since_s
+        ran_s = now_s - self.lifecycle.state_since_s
         self.process = None
         self.start_checker.ended(self.name)
         self.no_process.set()
@@ -312,5 +312,5 @@
             "generation": self.record.generation,
             "restarts": self.lifecycle.restarts,
             "last_exit": self.record.last_exit,
-            "since": round(self.since, 3),
+            "since": round(self.state_since_unix_s, 3),
         }
--- a/onyxpass/agent/instance_records.py
+++ b/onyxpass/agent/instance_records.py
@@ -4,12 +4,12 @@
 from dataclasses import dataclass
 from typing import Any
 
-from onyxpass.agent.process import Identity
+from onyxpass.agent.process import ProcessIdentity
 from onyxpass.agent.state_database import Row, StateDatabase
 
 MAX_EXITS = 2_000
 EXITS_SHOWN = 5
-SAVE = "INSERT OR REPLACE INTO instances VALUES (?, ?, ?, ?, ?, ?, ?, ?, ?, ?)"
+SAVE_STATEMENT = "INSERT OR REPLACE INTO instances VALUES (?, ?, ?, ?, ?, ?, ?, ?, ?, ?)"
 
 
 @dataclass(slots=True)
@@ -25,7 +25,7 @@
     generation: int = 0
     digest: str = ""
     launch: str = ""
-    process: Identity | None = None
+    process: ProcessIdentity | None = None
     restarts: int = 0
     last_exit: int | None = None
 
@@ -58,16 +58,16 @@
         records = [_from_row(row) for row in rows]
         return {record.name: record for record in records}
 
-    def save_first(self, record: InstanceRecord) -> None:
+    def save_now(self, record: InstanceRecord) -> None:
         """Record before an action that must not happen unrecorded.
 
-        ``StateStoreBusyError`` if the disk takes no write: the action must not be done then.
+        ``StateStoreWriteError`` if the disk takes no write: the action must not be done then.
         """
-        self._database.write_now(record.name, SAVE, _to_row(record))
+        self._database.write_now(record.name, SAVE_STATEMENT, _to_row(record))
 
     def save(self, record: InstanceRecord) -> None:
         """Record what has happened already; written now, or once the disk takes it."""
-        self._database.write_state(record.name, SAVE, _to_row(record))
+        self._database.write_state(record.name, SAVE_STATEMENT, _to_row(record))
 
     def delete(self, name: str) -> None:
         """Remove an instance that the configuration no longer names."""
@@ -75,7 +75,7 @@
 
     def add_exit(self, name: str, code: int | None, ran_s: float) -> None:
         """Record that the instance's process has ended just now, after ``ran_s`` seconds."""
-        self._database.append_line(
+        self._database.append_row(
             "exits",
             MAX_EXITS,
             "INSERT INTO exits (name, at, code, ran_s) VALUES (?, ?, ?, ?)",
@@ -99,7 +99,7 @@
         generation=generation,
         digest=digest,
         launch=launch,
-        process=Identity(pid, ticks, boot) if pid is not None else None,
+        process=ProcessIdentity(pid, ticks, boot) if pid is not None else None,
         restarts=restarts,
         last_exit=last_exit,
     )
--- a/onyxpass/agent/lease_admission.py
+++ b/onyxpass/agent/lease_admission.py
@@ -10,7 +10,7 @@
 from onyxpass.agent.api_requests import LeaseClaim
 from onyxpass.agent.lock_records import FenceRecord
 from onyxpass.agent.operation_records import Operation
-from onyxpass.agent.state_store import StateStore, StateStoreBusyError
+from onyxpass.agent.state_store import StateStore, StateStoreWriteError
 from onyxpass.leases.event_log import record_event
 from onyxpass.leases.fence import AdmittedToken, Fence
 
@@ -44,7 +44,7 @@
     def admit(self, lease: LeaseClaim, effect: str) -> dict[str, Any]:
         """Admit one effect of a lease and return what the history says of it.
 
-        ``LeaseRejectedError`` for an old holder; ``StateStoreBusyError`` if the fence can't be
+        ``LeaseRejectedError`` for an old holder; ``StateStoreWriteError`` if the fence can't be
         recorded, and then nothing is admitted.
         """
         fields = {
@@ -61,16 +61,16 @@
             )
             under_way = self._fence.supersedes_admitted(lease.name, lease.token)
             raise LeaseRejectedError(reason, under_way=under_way)
-        self._raise_fence(lease)
+        self._record_admission(lease)
         return fields
 
-    def _raise_fence(self, lease: LeaseClaim) -> None:
+    def _record_admission(self, lease: LeaseClaim) -> None:
         previous = self._fence.admitted.get(lease.name)
         if not self._fence.admit(lease.name, lease.token, lease.holder):
             return
         try:
             self._state_store.locks.save_fence(lease.name, FenceRecord(lease.token, lease.holder))
-        except StateStoreBusyError:
+        except StateStoreWriteError:
             # Prevents the next call from passing as one whose fence is on record.
             self._fence.restore(lease.name, previous)
             raise
--- a/onyxpass/agent/lifecycle.py
+++ b/onyxpass/agent/lifecycle.py
@@ -81,17 +81,17 @@
     policy: RestartPolicy
     state: InstanceState = InstanceState.NEW
     wanted: bool = True
-    since_s: float = 0.0  # when the state was entered
+    state_since_s: float = 0.0  # when the state was entered
     restarts: int = 0  # after a failure, not by an operator's order
     consecutive_failures: int = 0
     failed_checks: int = 0  # in a row
-    restart_ordered: bool = False  # it stops because a restart was ordered
+    restart_requested: bool = False  # it stops because a restart was ordered
     state_sequence: int = 0  # counts the states entered; prevents a late timer from acting
     last_exit: int | None = None
 
     def _enter(self, state: InstanceState, now_s: float) -> None:
         self.state = state
-        self.since_s = now_s
+        self.state_since_s = now_s
         self.state_sequence += 1
 
     @property
@@ -132,10 +132,10 @@
         """Stop the instance by an operator's order and start it at once, without backoff."""
         self.wanted = True
         if self.state is InstanceState.RUNNING:
-            self.restart_ordered = True
+            self.restart_requested = True
             return self._stop(now_s, "restarted by an operator")
         if self.has_process:
-            self.restart_ordered = True
+            self.restart_requested = True
             return []
         self.consecutive_failures = 0
         return self.start(now_s)
@@ -154,14 +154,14 @@
 
     def exited(self, now_s: float, code: int | None) -> list[Action]:
         """Take note that the process has ended, or could not be made at all."""
-        ran_s = now_s - self.since_s if self.state is InstanceState.RUNNING else 0.0
+        ran_s = now_s - self.state_since_s if self.state is InstanceState.RUNNING else 0.0
         self.last_exit = code
         self.failed_checks = 0
         if not self.wanted:
             self._enter(InstanceState.STOPPED, now_s)
             return []
-        if self.restart_ordered:
-            self.restart_ordered = False
+        if self.restart_requested:
+            self.restart_requested = False
             self.consecutive_failures = 0
             self._enter(InstanceState.STARTING, now_s)
             return [Launch()]
@@ -181,7 +181,7 @@
         """Count whether the instance took a connection; one that is still starting may not."""
         if self.state is not InstanceState.RUNNING:
             return []
-        if accepted or now_s - self.since_s < self.policy.startup_grace_s:
+        if accepted or now_s - self.state_since_s < self.policy.startup_grace_s:
             self.failed_checks = 0
             return []
         self.failed_checks += 1
--- a/onyxpass/agent/lock_records.py
+++ b/onyxpass/agent/lock_records.py
@@ -39,7 +39,7 @@
         return RolloutLockRecord(str(rollout), str(holder), float(ttl_s))
 
     def save_rollout_lock(self, lock: RolloutLockRecord) -> None:
-        """Record a lock before it is granted; ``StateStoreBusyError`` if it can't be."""
+        """Record a lock before it is granted; ``StateStoreWriteError`` if it can't be."""
         self._database.write_now(
             ROLLOUT_LOCK_KEY,
             "INSERT OR REPLACE INTO holds VALUES (1, ?, ?, ?)",
@@ -56,7 +56,7 @@
         return {str(lease): FenceRecord(int(token), str(holder)) for lease, token, holder in rows}
 
     def save_fence(self, lease: str, fence: FenceRecord) -> None:
-        """Record a fence before it admits anything; ``StateStoreBusyError`` if it can't be."""
+        """Record a fence before it admits anything; ``StateStoreWriteError`` if it can't be."""
         self._database.write_now(
             f"fence {lease}",
             "INSERT OR REPLACE INTO fences VALUES (?, ?, ?)",
--- a/onyxpass/agent/operation_records.py
+++ b/onyxpass/agent/operation_records.py
@@ -67,7 +67,7 @@
     def begin(self, operation: Operation) -> None:
         """Record an operation before anything of it is done.
 
-        ``StateStoreBusyError``, with nothing of it on record, if the disk takes no write.
+        ``StateStoreWriteError``, with nothing of it on record, if the disk takes no write.
         """
         operation.began_s = time.time()
         with self._database.transaction():
--- a/onyxpass/agent/operation_steps.py
+++ b/onyxpass/agent/operation_steps.py
@@ -19,7 +19,7 @@
 from onyxpass.agent.state_store import StateStore
 from onyxpass.net.http_client import Answer, RequestNotSentError, ResponseLostError
 
-POLL_S = 0.03
+POLL_INTERVAL_S = 0.03
 DRAIN_CLEANUP_S = 5.0  # past the deadline: requests that were cut have to be tidied up as well
 MAX_KEYS_SHOWN = 4
 GOES_ON_DRAINING = "; it goes on draining"
@@ -36,7 +36,7 @@
         self.detail = detail
 
 
-async def carry_out(
+async def execute_operation(
     state_store: StateStore, kind: OperationKind, instance: Instance, options: OperationOptions
 ) -> Detail:
     """Carry out one operation; the module's text names its errors."""
@@ -67,7 +67,9 @@
         self._require_running()
         digest = self._file_digest(reload=True)
         generation = self._assign_generation(digest)
-        _body_of(await self._instance.request("POST", "/reload", {"generation": generation}))
+        _successful_body(
+            await self._instance.request("POST", "/reload", {"generation": generation})
+        )
         config = (await self._status())["config"]  # read back, not the order's own answer
         if config["digest"] == digest:
             return {"digest": digest, "generation": config["generation"], "restarted": False}
@@ -79,7 +81,7 @@
         if self._options.allow_restart:
             return await self.restart()
         raise OperationFailedError(
-            f"needs a restart: {_shortened(keys)}", digest=config["digest"], needs_restart=keys
+            f"needs a restart: {_abbreviated(keys)}", digest=config["digest"], needs_restart=keys
         )
 
     async def drain(self) -> Detail:
@@ -90,7 +92,7 @@
             "notice_ms": round(self._options.notice_s * 1000),
             "force": self._options.force,
         }
-        _body_of(await self._instance.request("POST", "/drain", order))
+        _successful_body(await self._instance.request("POST", "/drain", order))
         due_s = time.monotonic() + self._options.deadline_s + DRAIN_CLEANUP_S
         while True:
             drain = (await self._status())["drain"]
@@ -106,11 +108,11 @@
                 raise OperationFailedError(
                     f"not drained by the deadline: {open_requests}{GOES_ON_DRAINING}", drain=drain
                 )
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def undrain(self) -> Detail:
         """Let the instance take requests again."""
-        _body_of(await self._instance.request("POST", "/undrain"))
+        _successful_body(await self._instance.request("POST", "/undrain"))
         status = await self._status()
         if status["drain"]["phase"] != "serving":
             raise OperationFailedError(f"it is {status['drain']['phase']} still")
@@ -120,17 +122,17 @@
         """Drain the instance, start it anew and wait until it is ready on its file."""
         digest = self._file_digest(reload=False)  # an invalid file fails before the drain
         due_s = time.monotonic() + self._options.deadline_s
-        drained = await self._drain_before_end()
+        drained = await self._drain_if_requested()
         previous_launch = self._instance.record.launch
         generation = self._assign_generation(digest)
         self._instance.tell(RestartInstance())
         reason = "it has not started"
         while time.monotonic() < due_s + self._instance.config.termination_grace_s:
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             reason = await self._restart_pending_reason(previous_launch, digest)
             if not reason:
                 return {"digest": digest, "generation": generation, "restarted": True, **drained}
-        raise self._not_in_time(reason)
+        raise self._timeout_error(reason)
 
     async def _restart_pending_reason(self, previous_launch: str, digest: str) -> str:
         """Say why a new process is not ready yet; empty once it is, on this configuration."""
@@ -153,15 +155,15 @@
 
     async def stop(self) -> Detail:
         """Drain the instance and stop it."""
-        drained = await self._drain_before_end()
+        drained = await self._drain_if_requested()
         self._instance.tell(SetWanted(False))
         due_s = (
             time.monotonic() + self._options.deadline_s + self._instance.config.termination_grace_s
         )
         while self._instance.lifecycle.state is not InstanceState.STOPPED:
             if time.monotonic() > due_s:
-                raise self._wrong_state()
-            await asyncio.sleep(POLL_S)
+                raise self._wrong_state_error()
+            await asyncio.sleep(POLL_INTERVAL_S)
         return drained
 
     async def start(self) -> Detail:
@@ -173,7 +175,7 @@
         due_s = time.monotonic() + self._options.deadline_s
         reason = "it has not started"
         while time.monotonic() < due_s:
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             if self._instance.lifecycle.state is not InstanceState.RUNNING:
                 continue
             try:
@@ -185,9 +187,9 @@
                 process = self._instance.process
                 return {"pid": process.pid if process else None}
             reason = "it is not ready"
-        raise self._not_in_time(reason)
+        raise self._timeout_error(reason)
 
-    async def _drain_before_end(self) -> Detail:
+    async def _drain_if_requested(self) -> Detail:
         """Drain the instance where it runs and that is wanted.
 
         One that can't be drained serves on, and the operation fails, unless it is forced.
@@ -209,7 +211,7 @@
             raise
 
     async def _status(self) -> Detail:
-        return _body_of(await self._instance.request("GET", "/status"))
+        return _successful_body(await self._instance.request("GET", "/status"))
 
     def _file_digest(self, reload: bool) -> str:
         """Return the digest of the instance's file, which must be the one that was planned."""
@@ -232,22 +234,22 @@
 
     def _require_running(self) -> None:
         if self._instance.lifecycle.state is not InstanceState.RUNNING:
-            raise self._wrong_state()
+            raise self._wrong_state_error()
 
-    def _wrong_state(self) -> OperationFailedError:
+    def _wrong_state_error(self) -> OperationFailedError:
         return OperationFailedError(f"the instance is {self._instance.state}")
 
-    def _not_in_time(self, reason: str) -> OperationFailedError:
+    def _timeout_error(self, reason: str) -> OperationFailedError:
         return OperationFailedError(f"{reason} {self._options.deadline_s:g} s after the order")
 
 
-def _body_of(answer: Answer) -> Detail:
+def _successful_body(answer: Answer) -> Detail:
     if answer.status != 200:
         raise OperationFailedError(answer.reason)
     return answer.body
 
 
-def _shortened(keys: list[str]) -> str:
+def _abbreviated(keys: list[str]) -> str:
     shown = ", ".join(keys[:MAX_KEYS_SHOWN])
     hidden = len(keys) - MAX_KEYS_SHOWN
     return f"{shown} and {hidden} more" if hidden > 0 else shown
--- a/onyxpass/agent/operations.py
+++ b/onyxpass/agent/operations.py
@@ -13,13 +13,13 @@
 from onyxpass.agent.instance import Instance
 from onyxpass.agent.operation_options import OperationKind, OperationOptions
 from onyxpass.agent.operation_records import INTERRUPTED_REASON, Operation, OperationState
-from onyxpass.agent.operation_steps import OperationFailedError, carry_out
+from onyxpass.agent.operation_steps import OperationFailedError, execute_operation
 from onyxpass.agent.state_store import StateStore
 from onyxpass.config.platform_file import ConfigError
 from onyxpass.net.http_client import RequestNotSentError, ResponseLostError
 
 MAX_END_EVENTS = 500  # operations whose end can be waited for
-HARD_LIMIT_S = 30.0  # past the deadline, which each step observes itself
+TIMEOUT_MARGIN_S = 30.0  # past the deadline, which each step observes itself
 log = structlog.get_logger("operations")
 
 OperationCallback = Callable[[Operation], None]
@@ -58,7 +58,7 @@
     ) -> Operation:
         """Return the operation under this id: a new one, or the one that was begun before.
 
-        ``InstanceBusyError`` if another runs on the instance; ``StateStoreBusyError``, with
+        ``InstanceBusyError`` if another runs on the instance; ``StateStoreWriteError``, with
         nothing done, if it can't be recorded. ``on_end`` is called once a new one has ended.
         """
         if (known := self.find(operation_id)) is not None:
@@ -99,8 +99,8 @@
             instance.name, operation.kind, operation=operation.id, state="running"
         )
         try:
-            async with asyncio.timeout(options.deadline_s + HARD_LIMIT_S):
-                detail = await carry_out(
+            async with asyncio.timeout(options.deadline_s + TIMEOUT_MARGIN_S):
+                detail = await execute_operation(
                     self._state_store, OperationKind(operation.kind), instance, options
                 )
             operation.finish(OperationState.DONE, detail=detail)
@@ -108,11 +108,11 @@
             operation.finish(OperationState.UNKNOWN, INTERRUPTED_REASON)
             raise
         except Exception as error:  # noqa: BLE001 - prevents an operation without an end
-            _finish_with(operation, error)
+            _finish_after_error(operation, error)
         finally:
-            self._finish(operation, instance)
+            self._complete(operation, instance)
 
-    def _finish(self, operation: Operation, instance: Instance) -> None:
+    def _complete(self, operation: Operation, instance: Instance) -> None:
         self._state_store.operations.end(operation)
         self._state_store.events.append(
             instance.name,
@@ -128,7 +128,7 @@
             del self._end_events[old]
 
 
-def _finish_with(operation: Operation, error: Exception) -> None:
+def _finish_after_error(operation: Operation, error: Exception) -> None:
     """Set how an operation ended by an error.
 
     It failed where it is certain that it has not taken effect, and is unknown otherwise.
--- a/onyxpass/agent/process.py
+++ b/onyxpass/agent/process.py
@@ -18,8 +18,8 @@
 MAX_LOG_BYTES = 16 * 1024 * 1024  # of an instance's log; one older part of it stays
 CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 START_TIME_FIELD = 19  # of /proc/PID/stat, counted after the name in brackets
-LOG_FLAGS = os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC
-END_STATES = "ZX"  # of /proc/PID/stat: a zombie, dead
+LOG_OPEN_FLAGS = os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC
+ENDED_STATES = "ZX"  # of /proc/PID/stat: a zombie, dead
 
 
 def boot_id() -> str:
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Identity:
+class ProcessIdentity:
     """Names one process; ``ticks`` is its start in clock ticks since ``boot``."""
 
     pid: int
@@ -41,19 +41,19 @@
         return max(0.0, time.clock_gettime(time.CLOCK_BOOTTIME) - self.ticks / CLOCK_TICKS_PER_S)
 
 
-def identify(pid: int) -> Identity | None:
+def identify(pid: int) -> ProcessIdentity | None:
     """Return the identity of the process under this id; None if none runs, or only a zombie."""
     try:
         text = Path(f"/proc/{pid}/stat").read_text()
     except (FileNotFoundError, ProcessLookupError):
         return None
     fields = text.rpartition(")")[2].split()  # the name in brackets may hold anything
-    if fields[0] in END_STATES:
+    if fields[0] in ENDED_STATES:
         return None
-    return Identity(pid, int(fields[START_TIME_FIELD]), boot_id())
+    return ProcessIdentity(pid, int(fields[START_TIME_FIELD]), boot_id())
 
 
-def find_by_launch(variable: str, launch: str) -> Identity | None:
+def find_by_environment(variable: str, launch: str) -> ProcessIdentity | None:
     """Return the process that has ``variable=launch`` in its environment, if one runs.
 
     Finds a process whose id could not be recorded in time.
@@ -74,10 +74,10 @@
     """A process that was started here or adopted; ``wait`` must be called once to free it."""
 
     def __init__(
-        self, identity: Identity, descriptor: int, child: subprocess.Popen[bytes] | None
+        self, identity: ProcessIdentity, descriptor: int, child: subprocess.Popen[bytes] | None
     ) -> None:
         self.identity = identity
-        self.descriptor = descriptor
+        self.pidfd = descriptor
         self.child = child  # None where it was another process's child
 
     @property
@@ -96,7 +96,7 @@
             output = None
             if log is not None:
                 log.parent.mkdir(parents=True, exist_ok=True)
-                output = os.open(log, LOG_FLAGS, 0o600)
+                output = os.open(log, LOG_OPEN_FLAGS, 0o600)
                 resources.callback(os.close, output)
             child = subprocess.Popen(
                 list(command),
@@ -107,10 +107,12 @@
                 start_new_session=True,
             )
         descriptor = os.pidfd_open(child.pid)
-        return cls(identify(child.pid) or Identity(child.pid, 0, boot_id()), descriptor, child)
+        return cls(
+            identify(child.pid) or ProcessIdentity(child.pid, 0, boot_id()), descriptor, child
+        )
 
     @classmethod
-    def adopt(cls, identity: Identity) -> "Process | None":
+    def adopt(cls, identity: ProcessIdentity) -> "Process | None":
         """Adopt a process that runs already; None if that very process has ended."""
         try:
             descriptor = os.pidfd_open(identity.pid)
@@ -124,7 +126,7 @@
 
     def send(self, number: signal.Signals) -> None:
         """Send a signal; ``ProcessLookupError`` once the process has ended."""
-        signal.pidfd_send_signal(self.descriptor, number)
+        signal.pidfd_send_signal(self.pidfd, number)
 
     async def wait(self) -> int | None:
         """Wait for its end and free its descriptor.
@@ -133,13 +135,13 @@
         """
         loop = asyncio.get_running_loop()
         ended = asyncio.Event()
-        loop.add_reader(self.descriptor, ended.set)
+        loop.add_reader(self.pidfd, ended.set)
         try:
             await ended.wait()
         finally:
-            loop.remove_reader(self.descriptor)
+            loop.remove_reader(self.pidfd)
         code = self.child.wait() if self.child is not None else None
-        os.close(self.descriptor)
+        os.close(self.pidfd)
         return code
 
 
--- a/onyxpass/agent/state_database.py
+++ b/onyxpass/agent/state_database.py
@@ -5,7 +5,7 @@
 
 - ``write_now``, before an action that must not happen unrecorded: it fails if the disk does;
 - ``write_state``, after something that has happened: written now, or once the disk takes it;
-- ``append_line``, for logs: like ``write_state``, with a bounded number of rows.
+- ``append_row``, for logs: like ``write_state``, with a bounded number of rows.
 
 A damaged file is refused and left as it is: starting over could start instances twice.
 """
@@ -20,10 +20,10 @@
 
 from onyxpass.agent.folder_lock import FolderLock
 from onyxpass.agent.state_errors import (
-    StateStoreBusyError,
     StateStoreDamagedError,
     StateStoreError,
     StateStoreVersionError,
+    StateStoreWriteError,
 )
 from onyxpass.agent.write_behind import WriteBehindQueue
 
@@ -119,18 +119,18 @@
     def write_now(self, key: str, statement: str, values: Sequence[object]) -> None:
         """Write the state of ``key`` before something takes effect.
 
-        Whatever was pending for ``key`` is dropped. ``StateStoreBusyError`` if the disk takes no
+        Whatever was pending for ``key`` is dropped. ``StateStoreWriteError`` if the disk takes no
         write: nothing is recorded then, and what is pending stays so.
         """
         try:
             self.execute(statement, values)
         except sqlite3.OperationalError as error:
-            raise StateStoreBusyError(str(error)) from error
+            raise StateStoreWriteError(str(error)) from error
         self._pending.discard_state(key)
 
     @contextlib.contextmanager
     def transaction(self) -> Iterator[None]:
-        """Do several statements or none; ``StateStoreBusyError`` if the disk takes no write."""
+        """Do several statements or none; ``StateStoreWriteError`` if the disk takes no write."""
         try:
             self.execute("BEGIN")
             yield
@@ -139,13 +139,15 @@
             # Prevents a transaction left open, after which no later one could begin.
             if self._connection.in_transaction:
                 self.execute("ROLLBACK")
-            raise StateStoreBusyError(str(error)) from error
+            raise StateStoreWriteError(str(error)) from error
 
     def write_state(self, key: str, statement: str, values: Sequence[object] = ()) -> None:
         """Write the state of ``key`` now, or once the disk takes it; only the latest is kept."""
-        self._note_lag(self._pending.write_state(key, lambda: self.execute(statement, values)))
+        self._log_backlog_change(
+            self._pending.write_state(key, lambda: self.execute(statement, values))
+        )
 
-    def append_line(
+    def append_row(
         self, table: str, max_rows: int, statement: str, values: Sequence[object]
     ) -> None:
         """Append a row to a log table now or later, and delete those beyond ``max_rows``."""
@@ -154,7 +156,7 @@
             self.execute(statement, values)
             self._delete_oldest(table, max_rows)
 
-        self._note_lag(self._pending.write_line(write))
+        self._log_backlog_change(self._pending.write_row(write))
 
     def _delete_oldest(self, table: str, max_rows: int) -> None:
         """Prevent a log that grows for ever; rows that stay now are deleted with the next line."""
@@ -167,9 +169,9 @@
     def flush(self) -> None:
         """Write what is pending, if the disk takes it again."""
         if self._pending:
-            self._note_lag(self._pending.flush())
+            self._log_backlog_change(self._pending.flush())
 
-    def _note_lag(self, error: Exception | None) -> None:
+    def _log_backlog_change(self, error: Exception | None) -> None:
         """Log each change between up to date and behind."""
         is_behind = error is not None
         if is_behind == self._is_behind:
--- a/onyxpass/agent/state_errors.py
+++ b/onyxpass/agent/state_errors.py
@@ -1,7 +1,7 @@
 """Errors of the agent's state store.
 
 ``StateStoreError`` and its subclasses mean that the store can't be opened at all.
-``StateStoreBusyError`` means that a store in use takes no write at present.
+``StateStoreWriteError`` means that a store in use takes no write at present.
 """
 
 from pathlib import Path
@@ -11,7 +11,7 @@
 )
 
 
-class StateStoreBusyError(RuntimeError):
+class StateStoreWriteError(RuntimeError):
     """The disk takes no write at present, so an action that must be recorded first can't be done.
 
     ``reason`` is the database's own text.
--- a/onyxpass/agent/state_store.py
+++ b/onyxpass/agent/state_store.py
@@ -4,7 +4,7 @@
 (``instances``), operations with their ends (``operations``), what happened (``events``), and the
 rollout lock with the fences of leases (``locks``). ``StateStore`` owns them and the database's
 connection. Where the disk takes nothing for a while, what must not happen unrecorded is refused
-with ``StateStoreBusyError``, and what has happened already is written later.
+with ``StateStoreWriteError``, and what has happened already is written later.
 """
 
 from pathlib import Path
@@ -15,9 +15,9 @@
 from onyxpass.agent.lock_records import LockRecords
 from onyxpass.agent.operation_records import OperationRecords
 from onyxpass.agent.state_database import StateDatabase
-from onyxpass.agent.state_errors import StateStoreBusyError, StateStoreError
+from onyxpass.agent.state_errors import StateStoreError, StateStoreWriteError
 
-__all__ = ["StateStore", "StateStoreBusyError", "StateStoreError"]
+__all__ = ["StateStore", "StateStoreError", "StateStoreWriteError"]
 
 
 class StateStore:
--- a/onyxpass/agent/supervisor.py
+++ b/onyxpass/agent/supervisor.py
@@ -29,7 +29,7 @@
 
 STORE_TTL_POLLS = 5  # an instance's entry in the store outlives so many missed polls
 MIN_STORE_TTL_S = 2
-STOP_POLL_S = 0.01
+STOP_POLL_INTERVAL_S = 0.01
 log = structlog.get_logger("agent")
 
 
@@ -40,8 +40,10 @@
         """Open the state; ``StateStoreError`` if it can't be used."""
         self.config = config
         self.store = store
-        self._temporary = tempfile.mkdtemp(prefix="onyxpass-agent-") if config.state is None else ""
-        self.folder = config.state or Path(self._temporary)
+        self._temporary_folder = (
+            tempfile.mkdtemp(prefix="onyxpass-agent-") if config.state is None else ""
+        )
+        self.folder = config.state or Path(self._temporary_folder)
         self.state_store = StateStore(config.state)
         (self.folder / "run").mkdir(mode=0o700, parents=True, exist_ok=True)
         self.wheel = TimerWheel(Clock())
@@ -66,7 +68,7 @@
                 instance=operation.instance,
                 kind=operation.kind,
             )
-        self._review_unconfigured()
+        self._remove_unconfigured()
         self._tasks.append(asyncio.create_task(self.wheel.run()))
         self._tasks += [asyncio.create_task(instance.run()) for instance in self.instances]
         await self._sync_store()  # what an operator stopped before stays stopped
@@ -74,7 +76,7 @@
             instance.tell(StartOrAdopt())
         self._poll_task = asyncio.create_task(self._poll())
 
-    def _review_unconfigured(self) -> None:
+    def _remove_unconfigured(self) -> None:
         """Forget instances that left the file, or report those whose process still runs."""
         for name, record in self.state_store.instances.load().items():
             if name in self.by_name:
@@ -130,7 +132,7 @@
         await asyncio.sleep(0)
         for instance in self.instances:
             while instance.lifecycle.wanted:  # noqa: ASYNC110 - until its mailbox has been read
-                await asyncio.sleep(STOP_POLL_S)
+                await asyncio.sleep(STOP_POLL_INTERVAL_S)
             await instance.no_process.wait()
         for task in self._tasks:
             task.cancel()
@@ -153,8 +155,8 @@
     def close(self) -> None:
         """Free the state folder. The instances run on, if any do."""
         self.state_store.close()
-        if self._temporary:
-            shutil.rmtree(self._temporary, ignore_errors=True)
+        if self._temporary_folder:
+            shutil.rmtree(self._temporary_folder, ignore_errors=True)
 
     async def _remove_from_store(self, store: "RedisStore") -> None:
         from onyxpass.store.redis import StoreUnavailableError
--- a/onyxpass/agent/write_behind.py
+++ b/onyxpass/agent/write_behind.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Any
 
-MAX_PENDING_LINES = 1_000  # past that, the oldest are dropped
+MAX_PENDING_ROWS = 1_000  # past that, the oldest are dropped
 
 Write = Callable[[], None]
 
@@ -20,12 +20,12 @@
     def __init__(self, *retryable: type[Exception]) -> None:
         self._retryable = retryable
         self._states: OrderedDict[str, Write] = OrderedDict()
-        self._lines: OrderedDict[int, Write] = OrderedDict()
-        self._next_line = 0
-        self.dropped_lines = 0
+        self._rows: OrderedDict[int, Write] = OrderedDict()
+        self._next_row = 0
+        self.dropped_rows = 0
 
     def __len__(self) -> int:
-        return len(self._states) + len(self._lines)
+        return len(self._states) + len(self._rows)
 
     def write_state(self, key: str, write: Write) -> Exception | None:
         """Write the state of ``key``, in place of what is pending for it; like ``flush``."""
@@ -37,13 +37,13 @@
         """Drop what is pending for ``key``, because a newer state has been written directly."""
         self._states.pop(key, None)
 
-    def write_line(self, write: Write) -> Exception | None:
+    def write_row(self, write: Write) -> Exception | None:
         """Write one line of a log; like ``flush``."""
-        self._lines[self._next_line] = write
-        self._next_line += 1
-        while len(self._lines) > MAX_PENDING_LINES:
-            self._lines.popitem(last=False)
-            self.dropped_lines += 1
+        self._rows[self._next_row] = write
+        self._next_row += 1
+        while len(self._rows) > MAX_PENDING_ROWS:
+            self._rows.popitem(last=False)
+            self.dropped_rows += 1
         return self.flush()
 
     def flush(self) -> Exception | None:
@@ -52,7 +52,7 @@
         Returns the retryable error at which it stopped, or None if nothing is pending any more.
         Any other error is raised, and its write stays pending.
         """
-        return self._flush(self._states) or self._flush(self._lines)
+        return self._flush(self._states) or self._flush(self._rows)
 
     def _flush(self, pending: OrderedDict[Any, Write]) -> Exception | None:
         while pending:
--- a/onyxpass/leases/holder.py
+++ b/onyxpass/leases/holder.py
@@ -36,14 +36,15 @@
 class HolderState(Enum):
     """Where a holder stands.
 
-    ``acquire`` leads from IDLE to WAITING, a grant on to HELD, ``release`` from either to LEAVING.
-    A lost lease leads from HELD to IDLE, the end of a release from LEAVING to IDLE.
+    ``acquire`` leads from IDLE to WAITING, and a grant from WAITING to HELD. ``release`` leads from
+    WAITING or HELD to RELEASING, and its end from there to IDLE. A lost lease leads from HELD to
+    IDLE.
     """
 
     IDLE = "idle"
     WAITING = "waiting"
     HELD = "held"
-    LEAVING = "leaving"
+    RELEASING = "leaving"
 
 
 @dataclass(frozen=True, slots=True)
@@ -142,13 +143,13 @@
 
     def release(self, now_ms: int) -> list[HolderAction]:
         """Give the lease back, or stop waiting. No effect under it may be in progress any more."""
-        if self.state in (HolderState.IDLE, HolderState.LEAVING):
+        if self.state in (HolderState.IDLE, HolderState.RELEASING):
             return []
         actions: list[HolderAction] = []
         if self.state is HolderState.HELD:
             actions.append(StopActing(self.token, "given back"))
             self.last_valid_until_ms = min(now_ms, self.valid_until_ms)
-        self.state = HolderState.LEAVING
+        self.state = HolderState.RELEASING
         self.valid_until_ms = 0
         return [*actions, *self._send(ReleaseRequest(self.name, self.token), now_ms)]
 
@@ -158,7 +159,7 @@
             return []
         request = pending.request
         is_current = request.holder == self.name
-        if not is_current or self.state in (HolderState.IDLE, HolderState.LEAVING):
+        if not is_current or self.state in (HolderState.IDLE, HolderState.RELEASING):
             return self._on_late_reply(request, reply, now_ms)
         self.retry_delay_ms = INITIAL_RETRY_DELAY_MS
         match reply:
@@ -179,7 +180,7 @@
         request = pending.request
         is_current = request.holder == self.name
         if isinstance(request, ReleaseRequest) or not is_current:  # expires without a release
-            if is_current and self.state is HolderState.LEAVING:
+            if is_current and self.state is HolderState.RELEASING:
                 self.state = HolderState.IDLE
             return []
         delay_ms = self.retry_delay_ms
@@ -239,7 +240,7 @@
             # Prevents a grant that nobody else would give back from blocking the lease.
             return self._send(ReleaseRequest(request.holder, reply.token), now_ms)
         is_current = request.holder == self.name
-        if isinstance(reply, LeaseReleased) and is_current and self.state is HolderState.LEAVING:
+        if isinstance(reply, LeaseReleased) and is_current and self.state is HolderState.RELEASING:
             self.state = HolderState.IDLE
         return []
 
--- a/onyxpass/leases/lease_client.py
+++ b/onyxpass/leases/lease_client.py
@@ -90,7 +90,7 @@
         self._perform(self.holder.release(self._clock_ms()))
         try:
             async with asyncio.timeout(timeout_s):
-                while self.holder.state is HolderState.LEAVING:
+                while self.holder.state is HolderState.RELEASING:
                     self._state_changed.clear()
                     await self._state_changed.wait()
         except TimeoutError:
--- a/onyxpass/leases/model_checker.py
+++ b/onyxpass/leases/model_checker.py
@@ -68,7 +68,7 @@
         )
         state.fence.admit(LEASE_NAME, 3, "last")
         for index, holder in enumerate(state.holders):
-            state.perform(index, holder.acquire(state.now_ms))
+            state.send_requests(index, holder.acquire(state.now_ms))
         return state
 
     def run(self) -> SearchResult:
@@ -122,16 +122,18 @@
         return f"{' and '.join(acting)} may act at once"
     if len(after.granted) > len({grant.token for grant in after.granted}):
         return f"one token was granted to two: {after.granted}"
-    tokens = {order.token for order in after.running}
-    holders = {order.holder for order in after.running}
+    tokens = {command.token for command in after.running}
+    holders = {command.holder for command in after.running}
     if len(tokens) > 1 or len(holders) > 1:
         return f"effects of {after.running} overlap at the resource"
-    if after.accepted != before.accepted and before.accepted:
-        last = before.accepted[0]
-        order = after.accepted[0]
-        if order.token < last.token or (order.token == last.token and order.holder != last.holder):
+    if after.last_admitted != before.last_admitted and before.last_admitted:
+        last = before.last_admitted[0]
+        command = after.last_admitted[0]
+        if command.token < last.token or (
+            command.token == last.token and command.holder != last.holder
+        ):
             return (
-                f"token {order.token} of {order.holder} was admitted"
+                f"token {command.token} of {command.holder} was admitted"
                 f" after {last.token} of {last.holder}"
             )
     return ""
--- a/onyxpass/leases/model_state.py
+++ b/onyxpass/leases/model_state.py
@@ -29,7 +29,7 @@
     SUSPENSION = 2
     KILL = 3
     STORE_RESTART = 4
-    ORDER = 5
+    COMMAND = 5
     REACQUISITION = 6
 
 
@@ -37,9 +37,9 @@
 class SearchBounds:
     """How often each disturbance may happen on one path, and how far paths go.
 
-    ``late_requests`` are those whose sender gave up and that arrive all the same; ``orders`` go to
-    the resource, each with any delay and length; ``reacquisitions`` are by a holder that released
-    or lost the lease before.
+    ``late_requests`` arrive although their sender has given up on them. ``commands`` go to the
+    resource, each with any delay and duration. ``reacquisitions`` are acquisitions by a holder
+    that released or lost the lease before.
     """
 
     contenders: int = 2
@@ -49,19 +49,19 @@
     suspensions: int = 1
     kills: int = 1
     store_restarts: int = 1
-    orders: int = 2
+    commands: int = 2
     reacquisitions: int = 1
     max_states: int = 200_000
 
     def limits(self) -> tuple[int, ...]:
-        """Return the limit of each ``Disturbance``, in its order."""
+        """Return the limit of each ``Disturbance``, in the order of its members."""
         return (
             self.lost_messages,
             self.late_requests,
             self.suspensions,
             self.kills,
             self.store_restarts,
-            self.orders,
+            self.commands,
             self.reacquisitions,
         )
 
@@ -94,8 +94,8 @@
     reply: LeaseReply
 
 
-class Order(NamedTuple):
-    """An order to the resource, under a holder's token."""
+class ResourceCommand(NamedTuple):
+    """A command to the resource, under a holder's token."""
 
     holder: str
     token: int
@@ -112,9 +112,9 @@
 class ModelState:
     """A moment of the model.
 
-    ``snapshot`` is the older record that a restarted store may come back with. ``orders`` are on
-    their way to the resource, ``running`` take effect there, ``accepted`` is the last one admitted.
-    ``spent`` counts each ``Disturbance`` so far.
+    ``snapshot`` is the older record that a restarted store may come back with. ``commands`` are in
+    flight to the resource, ``running`` are those in effect there, and ``last_admitted`` holds the
+    one admitted last, if any. ``spent`` counts each ``Disturbance`` so far.
     """
 
     now_ms: int
@@ -125,9 +125,9 @@
     suspended: frozenset[int] = frozenset()
     requests: tuple[RequestInFlight, ...] = ()
     replies: tuple[ReplyInFlight, ...] = ()
-    orders: tuple[Order, ...] = ()
-    running: tuple[Order, ...] = ()
-    accepted: tuple[Order, ...] = ()
+    commands: tuple[ResourceCommand, ...] = ()
+    running: tuple[ResourceCommand, ...] = ()
+    last_admitted: tuple[ResourceCommand, ...] = ()
     fence: Fence = field(default_factory=Fence)
     granted: tuple[Grant, ...] = ()
     spent: tuple[int, ...] = (0,) * len(Disturbance)
@@ -146,9 +146,9 @@
             self.suspended,
             self.requests,
             self.replies,
-            self.orders,
+            self.commands,
             self.running,
-            self.accepted,
+            self.last_admitted,
             self.granted,
             admitted,
             self.spent,
@@ -161,7 +161,7 @@
         after.fence = type(self.fence)(dict(self.fence.admitted), dict(self.fence.running))
         return after
 
-    def perform(self, sender: int, actions: list[HolderAction]) -> None:
+    def send_requests(self, sender: int, actions: list[HolderAction]) -> None:
         """Put the requests among a holder's actions on their way; the rest is in its state."""
         name_prefix = self.holders[sender].name_prefix
         self.requests += tuple(
--- a/onyxpass/leases/model_steps.py
+++ b/onyxpass/leases/model_steps.py
@@ -1,8 +1,8 @@
 """What may happen next in a state of the lease model.
 
 Time passes; messages arrive, are lost or come too late; processes are suspended, resumed or
-killed; the store restarts empty or with an older record; orders reach the resource late. Each step
-is a description and the state after it. The order of the steps is fixed, so that seeded walks
+killed; the store restarts empty or with an older record; commands reach the resource late. Each
+step is a description and the state after it. The order of the steps is fixed, so that seeded walks
 repeat.
 """
 
@@ -19,9 +19,9 @@
     Disturbance,
     Grant,
     ModelState,
-    Order,
     ReplyInFlight,
     RequestInFlight,
+    ResourceCommand,
     SearchBounds,
 )
 
@@ -40,33 +40,33 @@
 
     def steps(self, state: ModelState) -> Iterator[Step]:
         """Yield each step that may follow."""
-        yield from self._time(state)
-        yield from self._requests(state)
-        yield from self._replies(state)
+        yield from self._time_steps(state)
+        yield from self._request_steps(state)
+        yield from self._reply_steps(state)
         for index in range(len(state.holders)):
-            yield from self._process(state, index)
-        yield from self._store(state)
-        yield from self._new_orders(state)
-        yield from self._order_arrivals(state)
-        yield from self._effect_ends(state)
+            yield from self._process_steps(state, index)
+        yield from self._store_restart_steps(state)
+        yield from self._new_command_steps(state)
+        yield from self._command_arrival_steps(state)
+        yield from self._effect_end_steps(state)
 
     def _allowed(self, state: ModelState, disturbance: Disturbance) -> bool:
         return state.spent[disturbance] < self._limits[disturbance]
 
-    def _time(self, state: ModelState) -> Iterator[Step]:
+    def _time_steps(self, state: ModelState) -> Iterator[Step]:
         if state.now_ms >= self._end_ms:
             return
         after = state.copy()
         after.now_ms += STEP_MS
         for index, holder in enumerate(after.holders):
             if index not in after.suspended:
-                after.perform(index, holder.tick(after.now_ms))
+                after.send_requests(index, holder.tick(after.now_ms))
         yield f"{after.now_ms} ms", after
 
-    def _requests(self, state: ModelState) -> Iterator[Step]:
+    def _request_steps(self, state: ModelState) -> Iterator[Step]:
         for index, message in enumerate(state.requests):
             kind = type(message.request).__name__
-            yield self._request_arrives(state, index, message)
+            yield self._request_arrival_step(state, index, message)
             if message.abandoned:
                 continue
             if self._allowed(state, Disturbance.LOST_MESSAGE):
@@ -86,7 +86,9 @@
                 _give_up(late, message)
                 yield f"{message.name_prefix} gives up on its {kind}, which is on its way", late
 
-    def _request_arrives(self, state: ModelState, index: int, message: RequestInFlight) -> Step:
+    def _request_arrival_step(
+        self, state: ModelState, index: int, message: RequestInFlight
+    ) -> Step:
         after = state.copy()
         after.requests = _without(state.requests, index)
         reply, written = self._system.apply_request(
@@ -103,7 +105,7 @@
             )
         return f"{message.name_prefix}'s {type(message.request).__name__} arrives: {reply}", after
 
-    def _replies(self, state: ModelState) -> Iterator[Step]:
+    def _reply_steps(self, state: ModelState) -> Iterator[Step]:
         for index, message in enumerate(state.replies):
             receiver = message.receiver
             if receiver not in state.suspended:
@@ -112,7 +114,7 @@
                 holder = after.holders[receiver]
                 if holder.name_prefix == message.name_prefix:
                     actions = holder.on_reply(message.number, message.reply, after.now_ms)
-                    after.perform(receiver, actions)
+                    after.send_requests(receiver, actions)
                 yield f"{message.name_prefix} receives {message.reply}", after
             if self._allowed(state, Disturbance.LOST_MESSAGE):
                 lost = state.copy()
@@ -121,22 +123,22 @@
                 _give_up(lost, message)
                 yield f"the reply to {message.name_prefix} is lost", lost
 
-    def _process(self, state: ModelState, index: int) -> Iterator[Step]:
+    def _process_steps(self, state: ModelState, index: int) -> Iterator[Step]:
         holder = state.holders[index]
         if index in state.suspended:
             after = state.copy()
             after.suspended = state.suspended - {index}
-            after.perform(index, after.holders[index].tick(after.now_ms))
+            after.send_requests(index, after.holders[index].tick(after.now_ms))
             yield f"{holder.name} is resumed", after
             return
         if holder.state is HolderState.IDLE and self._allowed(state, Disturbance.REACQUISITION):
             after = state.copy()
             after.spend(Disturbance.REACQUISITION)
-            after.perform(index, after.holders[index].acquire(after.now_ms))
+            after.send_requests(index, after.holders[index].acquire(after.now_ms))
             yield f"{holder.name} acquires it again", after
         if holder.state is HolderState.HELD:
             after = state.copy()
-            after.perform(index, after.holders[index].release(after.now_ms))
+            after.send_requests(index, after.holders[index].release(after.now_ms))
             yield f"{holder.name} releases it", after
         if self._allowed(state, Disturbance.SUSPENSION):
             after = state.copy()
@@ -144,18 +146,18 @@
             after.spend(Disturbance.SUSPENSION)
             yield f"{holder.name} is suspended", after
         if self._allowed(state, Disturbance.KILL):
-            yield self._killed(state, index)
+            yield self._kill_step(state, index)
 
-    def _killed(self, state: ModelState, index: int) -> Step:
+    def _kill_step(self, state: ModelState, index: int) -> Step:
         killed = state.holders[index]
         after = state.copy()
         started = self._system.holder(f"{killed.name_prefix}'", TTL_MS)
         after.holders = (*after.holders[:index], started, *after.holders[index + 1 :])
         after.spend(Disturbance.KILL)
-        after.perform(index, started.acquire(after.now_ms))
+        after.send_requests(index, started.acquire(after.now_ms))
         return f"{killed.name} is killed, and starts anew", after
 
-    def _store(self, state: ModelState) -> Iterator[Step]:
+    def _store_restart_steps(self, state: ModelState) -> Iterator[Step]:
         if not self._allowed(state, Disturbance.STORE_RESTART):
             return
         for description, record in (("empty", None), ("with an older record", state.snapshot)):
@@ -165,33 +167,33 @@
             after.spend(Disturbance.STORE_RESTART)
             yield f"the store restarts {description}", after
 
-    def _new_orders(self, state: ModelState) -> Iterator[Step]:
+    def _new_command_steps(self, state: ModelState) -> Iterator[Step]:
         for index, holder in enumerate(state.holders):
-            may_order = index not in state.suspended and holder.may_act(state.now_ms)
-            if may_order and self._allowed(state, Disturbance.ORDER):
+            may_command = index not in state.suspended and holder.may_act(state.now_ms)
+            if may_command and self._allowed(state, Disturbance.COMMAND):
                 after = state.copy()
-                after.orders += (Order(holder.name, holder.token),)
-                after.spend(Disturbance.ORDER)
-                yield f"{holder.name} orders under token {holder.token}", after
+                after.commands += (ResourceCommand(holder.name, holder.token),)
+                after.spend(Disturbance.COMMAND)
+                yield f"{holder.name} sends a command under token {holder.token}", after
 
-    def _order_arrivals(self, state: ModelState) -> Iterator[Step]:
-        for index, order in enumerate(state.orders):
+    def _command_arrival_steps(self, state: ModelState) -> Iterator[Step]:
+        for index, command in enumerate(state.commands):
             after = state.copy()
-            after.orders = _without(state.orders, index)
-            rejection = after.fence.rejection_reason(LEASE_NAME, order.token, order.holder)
+            after.commands = _without(state.commands, index)
+            rejection = after.fence.rejection_reason(LEASE_NAME, command.token, command.holder)
             if not rejection:
-                after.fence.admit(LEASE_NAME, order.token, order.holder)
+                after.fence.admit(LEASE_NAME, command.token, command.holder)
                 after.fence.effect_started(LEASE_NAME)
-                after.running += (order,)
-                after.accepted = (order,)
-            yield f"the resource has {order.holder}'s order: {rejection or 'admitted'}", after
+                after.running += (command,)
+                after.last_admitted = (command,)
+            yield f"the command of {command.holder} arrives: {rejection or 'admitted'}", after
 
-    def _effect_ends(self, state: ModelState) -> Iterator[Step]:
-        for index, order in enumerate(state.running):
+    def _effect_end_steps(self, state: ModelState) -> Iterator[Step]:
+        for index, command in enumerate(state.running):
             after = state.copy()
             after.running = _without(state.running, index)
             after.fence.effect_finished(LEASE_NAME)
-            yield f"the effect of token {order.token} ends", after
+            yield f"the effect of token {command.token} ends", after
 
 
 def _give_up(state: ModelState, message: RequestInFlight | ReplyInFlight) -> None:
@@ -199,7 +201,7 @@
     index = message[0]
     holder = state.holders[index]
     if holder.name_prefix == message.name_prefix:
-        state.perform(index, holder.on_no_reply(message.number, state.now_ms))
+        state.send_requests(index, holder.on_no_reply(message.number, state.now_ms))
 
 
 def _without(items: tuple[Any, ...], index: int) -> tuple[Any, ...]:
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -23,7 +23,7 @@
 )
 from onyxpass.agent.credentials import is_authorized, make_key, read_key
 from onyxpass.agent.lifecycle import InstanceState, Launch, Lifecycle, RestartPolicy, Terminate
-from onyxpass.agent.rollout_locks import RolloutLocks
+from onyxpass.agent.rollout_locks import RolloutLockManager
 from onyxpass.config.platform_file import ConfigError
 from onyxpass.config.toml_config import schema_text
 from onyxpass.fleet import config as fleet_config
@@ -364,7 +364,7 @@
 
 
 def test_one_rollout_holds_an_agent_till_it_lets_go_or_is_silent() -> None:
-    locks = RolloutLocks()
+    locks = RolloutLockManager()
     assert locks.acquire("r1", "ana", 10, 0.0).rollout == "r1"
     assert (
         locks.acquire("r2", "rui", 10, 5.0).holder == "ana"
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -232,7 +232,7 @@
     suspensions=0,
     kills=0,
     store_restarts=0,
-    orders=0,
+    commands=0,
     reacquisitions=0,
 )
 WILD = SearchBounds(
@@ -242,7 +242,7 @@
     suspensions=2,
     kills=2,
     store_restarts=1,
-    orders=4,
+    commands=4,
     reacquisitions=3,
     contenders=3,
 )
@@ -318,7 +318,7 @@
     [
         (CheckedSystem(holder=FromTheAnswer), QUIET),
         (CheckedSystem(holder=NoMargin), replace(QUIET, lost_messages=8, duration_ms=1000)),
-        (CheckedSystem(fence=Open), replace(QUIET, orders=2, duration_ms=600)),
+        (CheckedSystem(fence=Open), replace(QUIET, commands=2, duration_ms=600)),
         (CheckedSystem(apply_request=forgetful), replace(QUIET, store_restarts=1)),
         (CheckedSystem(apply_request=generous), replace(LEAVES, suspensions=1)),
         (CheckedSystem(apply_request=anybodys), LEAVES),
--- a/tests/test_state_store.py
+++ b/tests/test_state_store.py
@@ -11,12 +11,12 @@
 from onyxpass.agent.instance_records import InstanceRecord, InstanceRecords
 from onyxpass.agent.lock_records import FenceRecord, LockRecords, RolloutLockRecord
 from onyxpass.agent.operation_records import Operation, OperationRecords, OperationState
-from onyxpass.agent.process import Identity
+from onyxpass.agent.process import ProcessIdentity
 from onyxpass.agent.state_database import DATABASE_FILE, SCHEMA_VERSION, StateDatabase
 from onyxpass.agent.state_errors import (
-    StateStoreBusyError,
     StateStoreInUseError,
     StateStoreVersionError,
+    StateStoreWriteError,
 )
 from onyxpass.agent.state_store import StateStore
 
@@ -45,7 +45,7 @@
 
 
 def test_records_are_read_back_by_the_next_agent(tmp_path: Path) -> None:
-    record = InstanceRecord("d1", False, 3, "abc", "l1", Identity(7, 8, "boot"), 2, -9)
+    record = InstanceRecord("d1", False, 3, "abc", "l1", ProcessIdentity(7, 8, "boot"), 2, -9)
     with StateStore(tmp_path) as store:
         store.instances.save(record)
         store.locks.save_rollout_lock(RolloutLockRecord("r1", "ana", 30.0))
@@ -88,14 +88,14 @@
 
 def test_a_launch_is_refused_while_the_disk_takes_no_write(database: StateDatabase) -> None:
     records = InstanceRecords(database)
-    with no_writes(database), pytest.raises(StateStoreBusyError, match="readonly"):
-        records.save_first(InstanceRecord("d1"))
+    with no_writes(database), pytest.raises(StateStoreWriteError, match="readonly"):
+        records.save_now(InstanceRecord("d1"))
     assert records.load() == {}
 
 
 def test_an_operation_is_refused_whole_and_a_later_one_can_begin(database: StateDatabase) -> None:
     records = OperationRecords(database)
-    with no_writes(database), pytest.raises(StateStoreBusyError):
+    with no_writes(database), pytest.raises(StateStoreWriteError):
         records.begin(Operation("o1", "d1", "drain"))
     records.begin(Operation("o2", "d1", "drain"))
     assert records.find("o1") is None
--- a/tests/test_write_behind.py
+++ b/tests/test_write_behind.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from onyxpass.agent.write_behind import MAX_PENDING_LINES, WriteBehindQueue
+from onyxpass.agent.write_behind import MAX_PENDING_ROWS, WriteBehindQueue
 
 
 class Disk:
@@ -20,10 +20,10 @@
     assert queue.write_state("n1", lambda: disk.write("n1 a")) is None
     disk.full = True
     assert queue.write_state("n1", lambda: disk.write("n1 b")) is not None
-    queue.write_line(lambda: disk.write("event 1"))
+    queue.write_row(lambda: disk.write("event 1"))
     queue.write_state("n2", lambda: disk.write("n2 a"))
     queue.write_state("n1", lambda: disk.write("n1 c"))
-    queue.write_line(lambda: disk.write("event 2"))
+    queue.write_row(lambda: disk.write("event 2"))
     assert len(queue) == 4 and disk.lines == ["n1 a"]
     disk.full = False
     assert queue.flush() is None and not queue
@@ -43,9 +43,9 @@
 def test_pending_lines_are_bounded_and_the_oldest_are_dropped() -> None:
     disk, queue = Disk(), WriteBehindQueue(OSError)
     disk.full = True
-    for n in range(MAX_PENDING_LINES + 3):
-        queue.write_line(lambda n=n: disk.write(f"event {n}"))  # type: ignore[misc]
-    assert len(queue) == MAX_PENDING_LINES and queue.dropped_lines == 3
+    for n in range(MAX_PENDING_ROWS + 3):
+        queue.write_row(lambda n=n: disk.write(f"event {n}"))  # type: ignore[misc]
+    assert len(queue) == MAX_PENDING_ROWS and queue.dropped_rows == 3
     disk.full = False
     queue.flush()
     assert disk.lines[0] == "event 3"
@@ -57,4 +57,4 @@
 
     queue = WriteBehindQueue(OSError)
     with pytest.raises(ValueError):
-        queue.write_line(broken)
+        queue.write_row(broken)
