--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -19,8 +19,8 @@
 
 from onyxpass.agent.credentials import make_key, read_key
 from onyxpass.fleet import config as fleet_config
+from onyxpass.fleet.controller import FleetController, Report
 from onyxpass.fleet.planner import DisruptionLimits, PlannedInstance, fewest_waves, plan
-from onyxpass.fleet.tool import Report, Tool
 from onyxpass.testbed.agents import StandinAgent
 
 ROOT = Path(__file__).parent.parent
@@ -78,13 +78,13 @@
         for hall in set(HALLS) - halls:
             text = text.replace(f'[[halls]]\nname = "{hall}"\n', "")
         (base / "fleet.toml").write_text(text)
-        tool = Tool(fleet_config.load(base / "fleet.toml"))
-        members = tool.fleet.members
+        controller = FleetController(fleet_config.load(base / "fleet.toml"))
+        members = controller.fleet.members
 
         async def go() -> Report:
             if command == "list":
-                return await tool.survey(members, DEADLINE_S)
-            return await tool.order("reload", members, DEADLINE_S, {})
+                return await controller.survey(members, DEADLINE_S)
+            return await controller.order("reload", members, DEADLINE_S, {})
 
         began_s = time.monotonic()
         report = asyncio.run(go())
@@ -95,7 +95,14 @@
     counts = report.tally.counts()
     assert sum(counts.values()) == count
     print(
-        json.dumps({"seconds": seconds, "open": tool.caller.most_open, "mb": mb, "counts": counts})
+        json.dumps(
+            {
+                "seconds": seconds,
+                "open": controller.agent_client.peak_connections,
+                "mb": mb,
+                "counts": counts,
+            }
+        )
     )
 
 
--- a/onyxpass/fleet/agent_client.py
+++ b/onyxpass/fleet/agent_client.py
@@ -43,15 +43,15 @@
 class AgentClient:
     """Calls agents, with at most ``max_connections`` open at once.
 
-    Raises ConfigError where a key can't be used, before anything is sent. ``most_open`` is the
-    highest number of connections that were open together.
+    Raises ConfigError where a key can't be used, before anything is sent. ``peak_connections`` is
+    the highest number of connections that were open together.
     """
 
     def __init__(self, agents: tuple[AgentRef, ...]) -> None:
         self._keys = {path: read_key(path) for path in {agent.key for agent in agents}}
         self._slots = asyncio.Semaphore(max_connections())
         self._open = 0
-        self.most_open = 0
+        self.peak_connections = 0
 
     async def call(
         self,
@@ -73,7 +73,7 @@
         except TimeoutError as error:
             raise RequestNotSentError("no descriptor was free in time") from error
         self._open += 1
-        self.most_open = max(self.most_open, self._open)
+        self.peak_connections = max(self.peak_connections, self._open)
         try:
             timeout_s = max(MIN_TIMEOUT_S, deadline_s - loop.time())
             address = at_address(agent.address)
--- a/onyxpass/fleet/cli.py
+++ b/onyxpass/fleet/cli.py
@@ -12,13 +12,13 @@
 from onyxpass.fleet import config as fleet_config
 from onyxpass.fleet import render
 from onyxpass.fleet.config import Fleet, Member
+from onyxpass.fleet.controller import CommandRejectedError, FleetController, Report, with_limits
 from onyxpass.fleet.outcome import ExitCode
 from onyxpass.fleet.record import RolloutRecordError
 from onyxpass.fleet.rollout import ChangeMethod
 from onyxpass.fleet.rollout_lock import RolloutLockedError
 from onyxpass.fleet.runner import ChangeOrder
 from onyxpass.fleet.selector import SelectorError, select
-from onyxpass.fleet.tool import CommandRejectedError, Report, Tool, with_limits
 
 fleet_app = typer.Typer(
     no_args_is_help=True,
@@ -76,7 +76,7 @@
 
 def finish(report: Report, json: bool, show: Callable[[Report], None]) -> None:
     if json:
-        render.as_json(report.told())
+        render.as_json(report.to_dict())
     else:
         show(report)
     raise typer.Exit(int(report.tally.exit_code()))
@@ -103,8 +103,8 @@
 ) -> None:
     """How each instance stands: state, configuration, what is open, its drain."""
     found, members = guarded(lambda: opened(fleet, names, where))
-    tool = guarded(lambda: Tool(found))
-    finish(run(tool.survey(members, deadline)), json, render.survey)
+    controller = guarded(lambda: FleetController(found))
+    finish(run(controller.survey(members, deadline)), json, render.survey)
 
 
 @fleet_app.command("inspect")
@@ -113,8 +113,8 @@
 ) -> None:
     """All that is known of instances, as JSON: figures, configuration, last exits."""
     found, members = guarded(lambda: opened(fleet, names, where))
-    tool = guarded(lambda: Tool(found))
-    finish(run(tool.inspect(members, deadline)), True, render.survey)
+    controller = guarded(lambda: FleetController(found))
+    finish(run(controller.inspect(members, deadline)), True, render.survey)
 
 
 def ordered(
@@ -128,10 +128,10 @@
     regardless: bool = False,
 ) -> None:
     found, members = guarded(lambda: opened(path, names, where))
-    tool = guarded(lambda: Tool(found))
+    controller = guarded(lambda: FleetController(found))
     deadline_s = deadline or found.limits.deadline_s
-    order = tool.order(kind, members, deadline_s, options, regardless=regardless)
-    report = run(order if json else render.watched(tool, members, order))
+    order = controller.order(kind, members, deadline_s, options, regardless=regardless)
+    report = run(order if json else render.watched(controller, members, order))
     finish(report, json, render.outcomes)
 
 
@@ -205,12 +205,12 @@
 ) -> None:
     """What has happened at all agents, by time."""
     found = guarded(lambda: fleet_config.load(fleet))
-    tool = guarded(lambda: Tool(found))
+    controller = guarded(lambda: FleetController(found))
     since: dict[str, int] = {}
     silent: list[str] = []
     try:
         while True:
-            news, silent = run(tool.events(since, deadline))
+            news, silent = run(controller.events(since, deadline))
             for event in news:
                 since[event["host"]] = max(since.get(event["host"], 0), event["number"])
             if json:
@@ -284,8 +284,8 @@
     """The waves as they would be if each change went well. Nothing is done."""
     found, members = guarded(lambda: opened(fleet, names, where))
     found = guarded(lambda: limited(found, out, out_hall, out_host, canaries, None, None, None))
-    tool = guarded(lambda: Tool(found))
-    waves, targets, beside, _ = run(tool.planned(members, method))
+    controller = guarded(lambda: FleetController(found))
+    waves, targets, beside, _ = run(controller.plan_rollout(members, method))
     changing = {unit.name for wave in waves.waves for unit in wave} | set(waves.impossible)
     same = sorted(targets.keys() - changing)
     if json:
@@ -323,9 +323,11 @@
     found = guarded(
         lambda: limited(found, out, out_hall, out_host, canaries, pause, abort_after, deadline)
     )
-    tool = guarded(lambda: Tool(found))
+    controller = guarded(lambda: FleetController(found))
     order = ChangeOrder(method, found.limits.deadline_s, force)
-    id, report = run(tool.run(members, order, (lambda *_: None) if json else render.step))
+    id, report = run(
+        controller.run_rollout(members, order, (lambda *_: None) if json else render.step)
+    )
     if not json:
         typer.echo(f"rollout {id}")
     finish(report, json, render.outcomes)
@@ -339,8 +341,8 @@
 ) -> None:
     """Go on with a rollout whose tool was ended, from what is really so."""
     found = guarded(lambda: fleet_config.load(fleet))
-    tool = guarded(lambda: Tool(found))
-    id, report = run(tool.resume(id, (lambda *_: None) if json else render.step))
+    controller = guarded(lambda: FleetController(found))
+    id, report = run(controller.resume_rollout(id, (lambda *_: None) if json else render.step))
     if not json:
         typer.echo(f"rollout {id}")
     finish(report, json, render.outcomes)
@@ -354,8 +356,8 @@
 ) -> None:
     """A rollout as it is on record, and who runs it."""
     found = guarded(lambda: fleet_config.load(fleet))
-    tool = guarded(lambda: Tool(found))
-    recorded, holder = guarded(lambda: tool.status(id))
+    controller = guarded(lambda: FleetController(found))
+    recorded, holder = guarded(lambda: controller.rollout_status(id))
     if json:
         render.as_json(render.recorded_told(recorded, holder))
     else:
@@ -370,8 +372,8 @@
 ) -> None:
     """Order nothing more. What was ordered is waited for by the tool that runs the rollout."""
     found = guarded(lambda: fleet_config.load(fleet))
-    tool = guarded(lambda: Tool(found))
-    id, runs = run(tool.abort(id, why))
+    controller = guarded(lambda: FleetController(found))
+    id, runs = run(controller.abort_rollout(id, why))
     typer.echo(
         f"rollout {id}: " + ("its tool ends it before its next order" if runs else "aborted")
     )
--- a/onyxpass/fleet/tool.py
+++ b/onyxpass/fleet/controller.py
@@ -14,7 +14,7 @@
 from onyxpass.fleet.planner import Plan, Planner, plan
 from onyxpass.fleet.record import RecordedRollout, RolloutRecord, RolloutState
 from onyxpass.fleet.rollout import ChangeMethod, InstanceTarget, Rollout
-from onyxpass.fleet.runner import ChangeOrder, Runner, Told, limits_of, pace_of, units_of
+from onyxpass.fleet.runner import ChangeOrder, RolloutRunner, Told, limits_of, pace_of, units_of
 from onyxpass.fleet.views import View, gather, look
 from onyxpass.net.http_client import RequestNotSentError, ResponseLostError
 
@@ -38,9 +38,9 @@
     tally: OutcomeTally
     views: Mapping[str, View] = field(default_factory=dict)
     seconds: float = 0.0
-    most_open: int = 0  # connections at once
+    peak_connections: int = 0  # connections at once
 
-    def told(self) -> dict[str, Any]:
+    def to_dict(self) -> dict[str, Any]:
         rows = []
         for member in self.members:
             row: dict[str, Any] = {
@@ -62,11 +62,11 @@
         }
 
 
-class Tool:
+class FleetController:
     def __init__(self, fleet: Fleet) -> None:
         """ConfigError where a key is no use."""
         self.fleet = fleet
-        self.caller = AgentClient(fleet.agents)
+        self.agent_client = AgentClient(fleet.agents)
         self.leases: RolloutLeases | None = None
 
     def _report(
@@ -78,13 +78,18 @@
         began_s: float,
     ) -> Report:
         return Report(
-            command, members, tally, views, time.monotonic() - began_s, self.caller.most_open
+            command,
+            members,
+            tally,
+            views,
+            time.monotonic() - began_s,
+            self.agent_client.peak_connections,
         )
 
     async def survey(self, members: Sequence[Member], within_s: float = LIST_S) -> Report:
         """How each one stands. Done: it was seen in its own words; unknown: it was not."""
         began_s, tally = time.monotonic(), OutcomeTally(member.name for member in members)
-        views = await gather(self.caller, members, within_s)
+        views = await gather(self.agent_client, members, within_s)
         for name, view in views.items():
             tally.settle(name, view.outcome)
         return self._report("list", members, tally, views, began_s)
@@ -92,7 +97,9 @@
     async def inspect(self, members: Sequence[Member], within_s: float = LIST_S) -> Report:
         """As ``list``, one by one, with the last exits."""
         began_s, tally = time.monotonic(), OutcomeTally(member.name for member in members)
-        found = await asyncio.gather(*(look(self.caller, member, within_s) for member in members))
+        found = await asyncio.gather(
+            *(look(self.agent_client, member, within_s) for member in members)
+        )
         views = {view.member.name: view for view in found}
         for name, view in views.items():
             tally.settle(name, view.outcome)
@@ -119,7 +126,7 @@
             operation = secrets.token_hex(8)
             told = lambda body: heard(member.name, body)  # noqa: E731
             try:
-                return member.name, await self.caller.order(
+                return member.name, await self.agent_client.order(
                     member, kind, operation, options, deadline_s, told
                 )
             # guards against one instance's fault that hides all the others
@@ -128,11 +135,11 @@
 
         for name, outcome in await asyncio.gather(*(one(member) for member in members)):
             tally.settle(name, outcome)
-        views = await gather(self.caller, members, SETTLE_S)
+        views = await gather(self.agent_client, members, SETTLE_S)
         return self._report(kind, members, tally, views, began_s)
 
     async def _guard(self, kind: str, members: Sequence[Member]) -> None:
-        views = await gather(self.caller, self.fleet.members, LIST_S)
+        views = await gather(self.agent_client, self.fleet.members, LIST_S)
         planner = Planner(
             units_of(views), [member.name for member in members], limits_of(self.fleet)
         )
@@ -154,7 +161,7 @@
             agent = next(agent for agent in self.fleet.agents if agent.host == host)
             try:
                 target = f"/v1/events?since={since.get(host, 0)}"
-                answer = await self.caller.call(agent, "GET", target, None, within_s)
+                answer = await self.agent_client.call(agent, "GET", target, None, within_s)
             except (RequestNotSentError, ResponseLostError) as problem:
                 return [], f"{host}: {problem}"
             if answer.status != 200:
@@ -170,11 +177,11 @@
 
     # Rollouts
 
-    async def planned(
+    async def plan_rollout(
         self, members: Sequence[Member], method: ChangeMethod
     ) -> tuple[Plan, dict[str, InstanceTarget], dict[str, InstanceOutcome], dict[str, View]]:
         """The waves if all goes well, the targets, and who can't be or need not be changed."""
-        views = await gather(self.caller, self.fleet.members, LIST_S)
+        views = await gather(self.agent_client, self.fleet.members, LIST_S)
         targets, beside = {}, {}
         for member in members:
             view = views[member.name]
@@ -194,7 +201,7 @@
         waves = plan(units_of(views), change, limits_of(self.fleet), self.fleet.limits.canaries)
         return waves, targets, beside, views
 
-    async def run(
+    async def run_rollout(
         self,
         members: Sequence[Member],
         order: ChangeOrder,
@@ -205,7 +212,7 @@
         try:
             id = time.strftime("%Y%m%d-%H%M%S-") + secrets.token_hex(3)
             record.lock(id)
-            _, targets, beside, views = await self.planned(members, order.method)
+            _, targets, beside, views = await self.plan_rollout(members, order.method)
             everybody = {m.name: targets.get(m.name, InstanceTarget("")) for m in members}
             runner = self._runner(id, everybody, order, views, record, told)
             runner.rollout.barred = beside
@@ -223,18 +230,20 @@
         if leases is not None:
             await leases.close()
 
-    async def _leased(self, runner: Runner, members: Sequence[Member]) -> None:
+    async def _leased(self, runner: RolloutRunner, members: Sequence[Member]) -> None:
         """Where a store is told: Held unless the leases of all its halls are had."""
         if self.fleet.store is None:
             return
         from onyxpass.fleet.leases import RolloutLeases
 
         runner.leases = self.leases = RolloutLeases(
-            self.fleet, self.caller, f"rollout {runner.id}", runner.abort
+            self.fleet, self.agent_client, f"rollout {runner.id}", runner.abort
         )
         await self.leases.acquire(members, self.fleet.store.wait_s)
 
-    async def resume(self, id: str, told: Told = lambda _what, _detail: None) -> tuple[str, Report]:
+    async def resume_rollout(
+        self, id: str, told: Told = lambda _what, _detail: None
+    ) -> tuple[str, Report]:
         """Go on with a rollout whose tool ended too early: from what is so, not from what is on
         record.
         """
@@ -254,7 +263,7 @@
                 )
             members = [by_name[name] for name in found.instances]
             order = ChangeOrder(found.method, **found.options)
-            views = await gather(self.caller, self.fleet.members, LIST_S)
+            views = await gather(self.agent_client, self.fleet.members, LIST_S)
             targets = {name: entry.target for name, entry in found.instances.items()}
             runner = self._runner(found.id, targets, order, views, record, told)
             await self._leased(runner, members)
@@ -275,16 +284,16 @@
         views: Mapping[str, View],
         record: RolloutRecord,
         told: Told,
-    ) -> Runner:
+    ) -> RolloutRunner:
         rollout = Rollout(
             units_of(views), targets, order.method, limits_of(self.fleet), pace_of(self.fleet)
         )
         members = {member.name: member for member in self.fleet.members}
-        return Runner(id, rollout, order, members, self.caller, record, told)
+        return RolloutRunner(id, rollout, order, members, self.agent_client, record, told)
 
     async def _finish(
         self,
-        runner: Runner,
+        runner: RolloutRunner,
         record: RolloutRecord,
         members: Sequence[Member],
         began_s: float,
@@ -297,10 +306,10 @@
             RolloutState.ABORTED if rollout.aborted else RolloutState.ENDED,
             rollout.aborted,
         )
-        views = await gather(self.caller, members, SETTLE_S)
+        views = await gather(self.agent_client, members, SETTLE_S)
         return self._report("rollout", members, rollout.tally, views, began_s)
 
-    def status(self, id: str = "") -> tuple[RecordedRollout, str]:
+    def rollout_status(self, id: str = "") -> tuple[RecordedRollout, str]:
         """A rollout as it is on record, and who runs it now."""
         record = RolloutRecord(self.fleet.state)
         try:
@@ -312,7 +321,7 @@
         finally:
             record.close()
 
-    async def abort(self, id: str, why: str) -> tuple[str, bool]:
+    async def abort_rollout(self, id: str, why: str) -> tuple[str, bool]:
         """The rollout's id, and whether a tool still runs it: that one ends it before its next
         order.
         """
@@ -329,7 +338,7 @@
             record.lock(found.id)
             record.end(found.id, RolloutState.ABORTED, why)
             await asyncio.gather(
-                *(self.caller.release(agent, found.id) for agent in self.fleet.agents)
+                *(self.agent_client.release(agent, found.id) for agent in self.fleet.agents)
             )
             return found.id, False
         finally:
--- a/onyxpass/fleet/render.py
+++ b/onyxpass/fleet/render.py
@@ -14,10 +14,10 @@
 from rich.table import Table
 
 from onyxpass.fleet.config import Member
+from onyxpass.fleet.controller import FleetController, Report
 from onyxpass.fleet.outcome import OutcomeKind
 from onyxpass.fleet.planner import Plan
 from onyxpass.fleet.record import RecordedRollout
-from onyxpass.fleet.tool import Report, Tool
 from onyxpass.fleet.views import View
 
 COLOURS = {
@@ -113,7 +113,7 @@
 
 
 async def watched(
-    tool: Tool, members: Sequence[Member], order: Coroutine[Any, Any, Report]
+    controller: FleetController, members: Sequence[Member], order: Coroutine[Any, Any, Report]
 ) -> Report:
     """The order, and on a terminal meanwhile how each instance stands: what is open, how old,
     how long.
@@ -124,7 +124,7 @@
     running = asyncio.ensure_future(order)
     with Live(console=out, transient=True, refresh_per_second=4) as live:
         while not running.done():
-            report = await tool.survey(members, WATCH_S)
+            report = await controller.survey(members, WATCH_S)
             live.update(progress(report))
             await asyncio.wait([running], timeout=WATCH_S)
     return await running
--- a/onyxpass/fleet/runner.py
+++ b/onyxpass/fleet/runner.py
@@ -89,7 +89,7 @@
 Told = Callable[[str, Mapping[str, Any]], None]
 
 
-class Runner:
+class RolloutRunner:
     """``told`` hears of each step: ``wave``, ``ordered``, ``settled``, ``stage``."""
 
     def __init__(
@@ -98,7 +98,7 @@
         rollout: Rollout,
         order: ChangeOrder,
         members: Mapping[str, Member],
-        caller: AgentClient,
+        agent_client: AgentClient,
         record: RolloutRecord,
         told: Told = lambda _what, _detail: None,
         leases: "RolloutLeases | None" = None,
@@ -110,7 +110,7 @@
             members,
             leases,
         )
-        self.caller, self.record, self.told = caller, record, told
+        self.agent_client, self.record, self.told = agent_client, record, told
         self.tasks: set[asyncio.Task[None]] = set()
         self.changed = asyncio.Event()
         self.known: dict[str, InstanceOutcome] = {}
@@ -147,11 +147,11 @@
             body["lease"] = shown
         due_s = self.now_s + self.order.deadline_s
         try:
-            answer = await self.caller.call(agent, "POST", "/v1/hold", body, LOOK_S)
+            answer = await self.agent_client.call(agent, "POST", "/v1/hold", body, LOOK_S)
             # by whoever had the lease before
             while answer.body.get("under_way") and self.now_s < due_s:
                 await asyncio.sleep(UNDER_WAY_PAUSE_S)
-                answer = await self.caller.call(agent, "POST", "/v1/hold", body, LOOK_S)
+                answer = await self.agent_client.call(agent, "POST", "/v1/hold", body, LOOK_S)
         except (RequestNotSentError, ResponseLostError):
             return ""
         if answer.status != 409:
@@ -163,7 +163,7 @@
 
     async def give_agents_back(self) -> None:
         async def release(agent: AgentRef) -> None:
-            if problem := await self.caller.release(agent, self.id):
+            if problem := await self.agent_client.release(agent, self.id):
                 self.told("release", {"host": agent.host, "problem": problem})
 
         await asyncio.gather(*(release(agent) for agent in self._agents()))
@@ -264,10 +264,10 @@
         kind, body = self.order.call(self.rollout.targets[name], self.id)
         body |= {"lease": lease} if lease is not None else {}
         self.told("ordered", {"instance": name, "kind": kind, "operation": operation})
-        outcome = await self.caller.order(
+        outcome = await self.agent_client.order(
             self.members[name], kind, operation, body, self.order.deadline_s
         )
-        view = await look(self.caller, self.members[name], LOOK_S)
+        view = await look(self.agent_client, self.members[name], LOOK_S)
         self._carry_out(self.rollout.ended(name, outcome, view.observation(), self.now_s))
 
     async def _look(self, name: str) -> None:
@@ -277,7 +277,7 @@
         began_s = self.now_s
         due_s = began_s + self.order.deadline_s
         while True:
-            view = await look(self.caller, self.members[name], LOOK_S)
+            view = await look(self.agent_client, self.members[name], LOOK_S)
             observation: Observation = view.observation()
             waits = bool(observation.under_way)
             if self.rollout.stage is RolloutStage.VERIFYING and observation.digest is None:
--- a/onyxpass/fleet/views.py
+++ b/onyxpass/fleet/views.py
@@ -67,11 +67,11 @@
 
 
 async def of_agent(
-    caller: AgentClient, agent: AgentRef, within_s: float
+    agent_client: AgentClient, agent: AgentRef, within_s: float
 ) -> tuple[Mapping[str, Any], str]:
     """What an agent tells of each of its instances, by name; or why it tells nothing."""
     try:
-        answer = await caller.call(agent, "GET", "/v1/instances", None, within_s)
+        answer = await agent_client.call(agent, "GET", "/v1/instances", None, within_s)
     except RequestNotSentError as problem:
         return {}, f"no agent on {agent.host} ({problem}); its instances may serve all the same"
     except ResponseLostError as problem:
@@ -87,12 +87,12 @@
 
 
 async def gather(
-    caller: AgentClient, members: Iterable[Member], within_s: float
+    agent_client: AgentClient, members: Iterable[Member], within_s: float
 ) -> dict[str, View]:
     """All of them at once; the whole takes ``within_s`` at most, however many are silent."""
     wanted = list(members)
     agents = list({member.host: member.agent for member in wanted}.values())
-    answers = await asyncio.gather(*(of_agent(caller, agent, within_s) for agent in agents))
+    answers = await asyncio.gather(*(of_agent(agent_client, agent, within_s) for agent in agents))
     by_host = {agent.host: answer for agent, answer in zip(agents, answers, strict=True)}
     views = {}
     for member in wanted:
@@ -107,10 +107,10 @@
     return views
 
 
-async def look(caller: AgentClient, member: Member, within_s: float) -> View:
+async def look(agent_client: AgentClient, member: Member, within_s: float) -> View:
     """One instance alone."""
     try:
-        answer = await caller.call(
+        answer = await agent_client.call(
             member.agent, "GET", f"/v1/instances/{member.name}", None, within_s
         )
     except RequestNotSentError as problem:
--- a/onyxpass/testbed/demo.py
+++ b/onyxpass/testbed/demo.py
@@ -13,8 +13,8 @@
 
 from onyxpass.fleet import config as fleet_config
 from onyxpass.fleet import render
+from onyxpass.fleet.controller import FleetController, Report
 from onyxpass.fleet.outcome import ExitCode
-from onyxpass.fleet.tool import Report, Tool
 from onyxpass.history_checkers.trace import breaches
 from onyxpass.testbed.client import CLASSES, ask
 from onyxpass.testbed.replicas import Speed, StandinFleet
@@ -24,11 +24,11 @@
 AT_ONCE = 24
 
 
-async def ready(tool: Tool, limit_s: float = READY_S) -> Report:
+async def ready(controller: FleetController, limit_s: float = READY_S) -> Report:
     """The first report in which every instance is seen and serves, or the last one."""
     due_s = time.monotonic() + limit_s
     while True:
-        report = await tool.survey(tool.fleet.members, 1.0)
+        report = await controller.survey(controller.fleet.members, 1.0)
         if all(view.serving for view in report.views.values()) or time.monotonic() > due_s:
             return report
         await asyncio.sleep(0.1)
@@ -76,8 +76,8 @@
         site.write()
         try:
             await site.start(site.hosts[0])
-            tool = Tool(fleet_config.load(Path(folder) / "fleet.toml"))
-            first = await ready(tool)
+            controller = FleetController(fleet_config.load(Path(folder) / "fleet.toml"))
+            first = await ready(controller)
             if first.tally.exit_code() is not ExitCode.DONE or not all(
                 v.serving for v in first.views.values()
             ):
@@ -87,7 +87,7 @@
             began_s = time.monotonic()
             ends = await load(site, requests)
             seconds = time.monotonic() - began_s
-            report = await tool.survey(tool.fleet.members)
+            report = await controller.survey(controller.fleet.members)
             render.survey(report)
             for traffic_class in CLASSES:
                 told = ", ".join(
--- a/onyxpass/testbed/process_trial.py
+++ b/onyxpass/testbed/process_trial.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from onyxpass.fleet import config as fleet_config
-from onyxpass.fleet.tool import Tool
+from onyxpass.fleet.controller import FleetController
 from onyxpass.history_checkers import history
 from onyxpass.history_checkers.history import Line
 from onyxpass.logs import LOG_FILE_VARIABLE
@@ -125,7 +125,7 @@
     try:
         for host in site.hosts:
             await site.start(host)
-        await ready(Tool(fleet_config.load(folder / "fleet.toml")), 60.0)
+        await ready(FleetController(fleet_config.load(folder / "fleet.toml")), 60.0)
         yield found
     finally:
         await found.close()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -23,12 +23,12 @@
 from onyxpass.fleet import config as fleet_config
 from onyxpass.fleet.cli import fleet_app
 from onyxpass.fleet.config import Fleet
+from onyxpass.fleet.controller import CommandRejectedError, FleetController, Report
 from onyxpass.fleet.outcome import ExitCode, OutcomeKind
 from onyxpass.fleet.record import RolloutRecord
 from onyxpass.fleet.rollout import ChangeMethod
 from onyxpass.fleet.rollout_lock import RolloutLockedError
 from onyxpass.fleet.runner import ChangeOrder
-from onyxpass.fleet.tool import CommandRejectedError, Report, Tool
 from onyxpass.history_checkers.trace import breaches
 from onyxpass.testbed.client import CLASSES
 from onyxpass.testbed.demo import ready
@@ -48,7 +48,7 @@
     def __init__(self, site: Site) -> None:
         self.site = site
         self.fleet: Fleet = fleet_config.load(site.folder / "fleet.toml")
-        self.tool = Tool(self.fleet)
+        self.controller = FleetController(self.fleet)
         self.trace = site.fleet.trace
         self.ends: Counter[str] = Counter()
         self.number = 0
@@ -60,7 +60,7 @@
         return next(host for host in self.site.hosts if host.name == name)
 
     async def views(self) -> dict[str, Any]:
-        return dict((await self.tool.survey(self.fleet.members, 2.0)).views)
+        return dict((await self.controller.survey(self.fleet.members, 2.0)).views)
 
     async def pid(self, name: str) -> int:
         return int((await self.views())[name].told["pid"])
@@ -107,8 +107,8 @@
         for host in made:
             await site.start(host)
         found = Trial(site)
-        first = await ready(found.tool, 30.0)
-        assert all(view.serving for view in first.views.values()), first.told()
+        first = await ready(found.controller, 30.0)
+        assert all(view.serving for view in first.views.values()), first.to_dict()
         yield found
     finally:
         for child in folder.glob("state-*/agent.db"):
@@ -142,7 +142,9 @@
             async with t.traffic():
                 for name in t.site.ports:
                     t.site.config(name, {"sockets": 900})
-                _, report = await t.tool.run(t.fleet.members, ChangeOrder(ChangeMethod.AUTO, 20.0))
+                _, report = await t.controller.run_rollout(
+                    t.fleet.members, ChangeOrder(ChangeMethod.AUTO, 20.0)
+                )
                 await t.reported(report, done=6)
                 reloaded = await t.views()
                 assert all(v.at("config", "digest") == v.file and v.file for v in reloaded.values())
@@ -152,10 +154,12 @@
                 assert all(v.at("config", "generation") == 1 for v in reloaded.values())
                 for name in t.site.ports:
                     t.site.config(name, {"peers": 7})  # this can't be changed in flight
-                report = await t.tool.order("reload", t.fleet.members, 10.0, {})
+                report = await t.controller.order("reload", t.fleet.members, 10.0, {})
                 await t.reported(report, failed=6)
-                assert "needs a restart: settings.routers" in str(report.told())
-                _, report = await t.tool.run(t.fleet.members, ChangeOrder(ChangeMethod.AUTO, 20.0))
+                assert "needs a restart: settings.routers" in str(report.to_dict())
+                _, report = await t.controller.run_rollout(
+                    t.fleet.members, ChangeOrder(ChangeMethod.AUTO, 20.0)
+                )
                 await t.reported(report, done=6)
                 after = await t.views()
                 assert all(after[n].at("launch") != before[n].at("launch") for n in before)
@@ -179,7 +183,9 @@
             (t.site.folder / "santo-amaro-1.json").write_text('{"name": "half')
             os.kill(stopped, signal.SIGSTOP)  # its socket accepts, and nothing is said
             async with t.traffic():
-                _, report = await t.tool.run(t.fleet.members, ChangeOrder(ChangeMethod.RELOAD, 4.0))
+                _, report = await t.controller.run_rollout(
+                    t.fleet.members, ChangeOrder(ChangeMethod.RELOAD, 4.0)
+                )
             outcomes = report.tally.outcomes()
             assert outcomes["derby-1"].kind in (OutcomeKind.UNKNOWN, OutcomeKind.NOT_TRIED)
             assert outcomes["santo-amaro-1"].kind is OutcomeKind.FAILED
@@ -192,8 +198,10 @@
             assert shown.exit_code == 3 and told["counts"]["unknown"] == 1 and told["selected"] == 6
             os.kill(stopped, signal.SIGCONT)
             t.site.config("santo-amaro-1", {"sockets": 800})
-            await ready(t.tool)
-            _, report = await t.tool.run(t.fleet.members, ChangeOrder(ChangeMethod.RELOAD, 10.0))
+            await ready(t.controller)
+            _, report = await t.controller.run_rollout(
+                t.fleet.members, ChangeOrder(ChangeMethod.RELOAD, 10.0)
+            )
             await t.reported(report, done=6)
 
     run(go)
@@ -204,7 +212,7 @@
         async with trial(tmp_path, hosts=1) as t:
             one, two = t.fleet.members
             with pytest.raises(CommandRejectedError, match="passes the fleet's limits"):
-                await t.tool.order("drain", t.fleet.members, 5.0, {})
+                await t.controller.order("drain", t.fleet.members, 5.0, {})
             for replica in t.site.fleet.replicas.values():
                 replica.hold.clear()
             front = FrontLayer(t.trace, {one.name: t.site.ports[one.name]})
@@ -214,7 +222,7 @@
             ]
             while (await t.views())[one.name].at("drain", "streams") != 3:
                 await asyncio.sleep(0.02)
-            report = await t.tool.order("drain", [one], 0.4, {"notice_ms": 100})
+            report = await t.controller.order("drain", [one], 0.4, {"notice_ms": 100})
             await t.reported(report, failed=1)
             reason = report.tally.outcomes()[one.name].reason
             assert "3 requests open, 3 of them streaming" in reason and "goes on draining" in reason
@@ -227,10 +235,12 @@
             assert (await front.ask("late", "stock-booking", "s")).end == "refused"
             for replica in t.site.fleet.replicas.values():
                 replica.hold.set()
-            report = await t.tool.order("drain", [one], 10.0, {"notice_ms": 0}, regardless=True)
+            report = await t.controller.order(
+                "drain", [one], 10.0, {"notice_ms": 0}, regardless=True
+            )
             await t.reported(report, done=1)
             assert [(await stream).end for stream in streams] == ["served"] * 3
-            await t.reported(await t.tool.order("undrain", [one], 5.0, {}), done=1)
+            await t.reported(await t.controller.order("undrain", [one], 5.0, {}), done=1)
             assert (await front.ask("again", "part-lookup", "s")).end == "served"
             for replica in t.site.fleet.replicas.values():
                 replica.hold.clear()
@@ -238,7 +248,7 @@
             while (await t.views())[one.name].at("drain", "streams") != 1:
                 await asyncio.sleep(0.02)
             options = {"notice_ms": 0, "force": True}
-            report = await t.tool.order("drain", [one], 0.2, options)
+            report = await t.controller.order("drain", [one], 0.2, options)
             await t.reported(report, done=1)
             assert report.tally.outcomes()[one.name].reason == "forced: 1 cut short"
             assert (await stream).end == "broken"
@@ -262,14 +272,14 @@
             stream = asyncio.create_task(front.ask("r1", "shift-summary", "s"))
             while (await t.views())[one.name].at("drain", "streams") != 1:
                 await asyncio.sleep(0.02)
-            order = asyncio.create_task(t.tool.order("restart", [one], 6.0, {"notice_ms": 0}))
+            order = asyncio.create_task(t.controller.order("restart", [one], 6.0, {"notice_ms": 0}))
             while (await t.views())[one.name].at("drain", "phase") != "draining":
                 await asyncio.sleep(0.02)
             host.process.kill()
             await host.process.wait()
-            gone = await t.tool.survey(t.fleet.members, 1.0)
+            gone = await t.controller.survey(t.fleet.members, 1.0)
             await t.reported(gone, unknown=2)
-            assert "its instances may serve all the same" in str(gone.told())
+            assert "its instances may serve all the same" in str(gone.to_dict())
             direct = FrontLayer(t.trace, {two.name: t.site.ports[two.name]})
             direct.ready.add(two.name)
             for replica in t.site.fleet.replicas.values():
@@ -284,7 +294,7 @@
             assert all(
                 view.told["adopted"] and view.told["restarts"] == 0 for view in found.values()
             )
-            report = await t.tool.order("restart", [one], 10.0, {})
+            report = await t.controller.order("restart", [one], 10.0, {})
             await t.reported(report, done=1)
             os.kill(await t.pid(two.name), signal.SIGKILL)  # adopted, and still watched
             while (await t.views())[two.name].at("launch") in (None, before[two.name]):
@@ -318,28 +328,28 @@
                 pass
             # a second tool is told who has it
             with pytest.raises(RolloutLockedError, match=f"process {tool.pid}"):
-                await t.tool.run(t.fleet.members, ChangeOrder())
+                await t.controller.run_rollout(t.fleet.members, ChangeOrder())
             busy = await asyncio.to_thread(
                 CliRunner().invoke, fleet_app, ["rollout", "run", "--fleet", t.path("fleet.toml")]
             )
             assert busy.exit_code == 4 and busy.output.count("\n") == 1
             tool.kill()  # between an order and its answer
             await tool.wait()
-            found, holder = t.tool.status()
+            found, holder = t.controller.rollout_status()
             assert found.state == "running" and not holder
             assert any(
                 entry.operation and entry.outcome is None for entry in found.instances.values()
             )
-            id, report = await t.tool.resume("")
+            id, report = await t.controller.resume_rollout("")
             assert id == found.id
             await t.reported(report, done=6)
-            events, silent = await t.tool.events({})
+            events, silent = await t.controller.events({})
             restarts = Counter(
                 e["instance"] for e in events if e["what"] == "restart" and e["state"] == "done"
             )
             assert restarts == Counter(list(t.site.ports)) and not silent, "each was restarted once"
             with pytest.raises(CommandRejectedError, match="has ended"):
-                await t.tool.resume("")
+                await t.controller.resume_rollout("")
 
     run(go)
 
@@ -358,19 +368,21 @@
                     first.append(detail["instance"])
 
             running = asyncio.create_task(
-                t.tool.run(t.fleet.members, ChangeOrder(ChangeMethod.RELOAD, 10.0), told)
+                t.controller.run_rollout(
+                    t.fleet.members, ChangeOrder(ChangeMethod.RELOAD, 10.0), told
+                )
             )
             while not first:
                 await asyncio.sleep(0.02)
             t.site.config(first[0])  # the old file is back, and its instance dies
             os.kill(await t.pid(first[0]), signal.SIGKILL)
-            await t.tool.abort("", "seen enough")
+            await t.controller.abort_rollout("", "seen enough")
             id, report = await running
             counts = report.tally.counts()
-            assert counts["failed"] == 1 and counts["not tried"] >= 2, report.told()
+            assert counts["failed"] == 1 and counts["not tried"] >= 2, report.to_dict()
             assert "had taken the change" in report.tally.outcomes()[first[0]].reason
-            assert "seen enough" in str(report.told())
-            assert t.tool.status(id)[0].state == "aborted"
+            assert "seen enough" in str(report.to_dict())
+            assert t.controller.rollout_status(id)[0].state == "aborted"
 
     run(go)
 
@@ -383,11 +395,11 @@
             os.kill(process.pid, signal.SIGSTOP)
             loop = asyncio.get_running_loop()
             began_s = loop.time()
-            await t.reported(await t.tool.survey(t.fleet.members, 0.5), done=4, unknown=2)
+            await t.reported(await t.controller.survey(t.fleet.members, 0.5), done=4, unknown=2)
             assert loop.time() - began_s < 4.0, "two silent instances cost one deadline of 0.5 s"
             for name in t.site.ports:
                 t.site.config(name, {"sockets": 500})
-            report = await t.tool.order("reload", t.fleet.members, 1.0, {})
+            report = await t.controller.order("reload", t.fleet.members, 1.0, {})
             await t.reported(report, done=4, unknown=2)
             assert "it may have arrived" in report.tally.outcomes()["santo-amaro-1"].reason
             os.kill(
@@ -395,7 +407,7 @@
             )  # it takes the order after all: late, and found out by a look
             while (await t.views())["santo-amaro-1"].at("config", "digest") in (None, ""):
                 await asyncio.sleep(0.05)
-            await t.reported(await t.tool.order("reload", t.fleet.members, 10.0, {}), done=6)
+            await t.reported(await t.controller.order("reload", t.fleet.members, 10.0, {}), done=6)
 
     run(go)
 
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -13,10 +13,10 @@
 from test_fleet import run
 
 from onyxpass.fleet import config as fleet_config
+from onyxpass.fleet.controller import FleetController
 from onyxpass.fleet.leases import RolloutLeases
 from onyxpass.fleet.rollout import ChangeMethod
 from onyxpass.fleet.runner import ChangeOrder
-from onyxpass.fleet.tool import Tool
 from onyxpass.history_checkers import history
 from onyxpass.history_checkers.history import Line
 from onyxpass.testbed.process_trial import Together, drawn, play, together
@@ -106,19 +106,19 @@
 
     async def go() -> None:
         monkeypatch.setattr(RolloutLeases, "proof_for", believes)
-        monkeypatch.setattr("onyxpass.fleet.runner.Runner.abort", lambda self, reason: None)
+        monkeypatch.setattr("onyxpass.fleet.runner.RolloutRunner.abort", lambda self, reason: None)
         async with together(tmp_path) as t:
-            tool = Tool(fleet_config.load(tmp_path / "fleet-a.toml"))
-            members = tool.fleet.members
+            controller = FleetController(fleet_config.load(tmp_path / "fleet-a.toml"))
+            members = controller.fleet.members
             rollout = asyncio.create_task(
-                tool.run(members, ChangeOrder(ChangeMethod.RESTART, 20.0))
+                controller.run_rollout(members, ChangeOrder(ChangeMethod.RESTART, 20.0))
             )
             await until(lambda: t.seen("begin"), 60)
             t.links["a"].cut()
             await t.start("b")
             await until(lambda: t.seen("held", "tool-b"), 60)
             _, report = await rollout
-            assert report.tally.counts()["failed"] >= 1, report.told()
+            assert report.tally.counts()["failed"] >= 1, report.to_dict()
             assert t.seen("refused", "agent-"), "the agent had to refuse it"
             code, told, _ = await t.ended("b")
             assert code in (0, 1) and told
