--- a/onyxpass/scheduling/contract/events.py
+++ b/onyxpass/scheduling/contract/events.py
@@ -9,9 +9,9 @@
 # Notes of an AttemptOutcome
 STATE_LOST = 1  # with OVERLOADED or RESET: there is no prefilled state left to fetch
 # with RESET: an idle connection from the pool broke, which says nothing of the server
-IDLE_CONNECTION_BROKE = 2
+STALE_CONNECTION = 2
 # with TIMED_OUT, CANCELLED or RESET: nothing shows that the server ever got the attempt
-NOT_ARRIVED = 3
+DELIVERY_UNCONFIRMED = 3
 
 
 class AttemptStatus(Enum):
@@ -67,7 +67,7 @@
     """A client's request; the router owes it exactly one final answer by ``deadline_us``.
 
     ``prefix`` names what its prompt shares with others at the start, ``prefix_tokens`` its length.
-    ``hint_us`` is how long the client expects its answer to stream.
+    ``expected_stream_us`` is how long the client expects its answer to stream.
     """
 
     id: int
@@ -79,7 +79,7 @@
     prefix: str | None = None
     prefix_tokens: int = 0
     tenant: str | None = None
-    hint_us: int | None = None
+    expected_stream_us: int | None = None
     is_retry: bool = False
     resumed: bool = False
 
