--- a/onyxpass/scheduling/__init__.py
+++ b/onyxpass/scheduling/__init__.py
@@ -1,5 +1,5 @@
-"""The decisions of the dispatcher: which server gets a request, when, and what is rejected.
+"""Scheduling decisions of the dispatcher: which server gets a request, when, and what is rejected.
 
-Nothing here does I/O, reads a clock or knows a wire: events with their time go in, actions come
-out.
+The package does no I/O, reads no clock and knows no wire format: timestamped events go in, actions
+come out.
 """
--- a/onyxpass/scheduling/admission.py
+++ b/onyxpass/scheduling/admission.py
@@ -1,4 +1,4 @@
-"""Admission: which requests are shed at once, which wait, and how their tenants' quotas count.
+"""Admission: which requests are shed, which have to wait, and how tenants' quotas count.
 
 Each router owns one ``AdmissionController``; the module does no I/O.
 """
@@ -11,33 +11,34 @@
 from onyxpass.scheduling.server_pool import ServerPool
 from onyxpass.scheduling.stable_hash import stable_hash
 
-# Projected memory utilization at which the highest priority waits, and the span down to the lowest.
+# Projected memory utilization at which requests of the highest priority wait, and by how much this
+# threshold is lower for the lowest priority.
 MAX_UTILIZATION = 0.92
 PRIORITY_SPAN = 0.15
-OUTCOME_HALF_LIFE_US = 4_000_000  # of what the throttle remembers
-THROTTLE_PRIOR = 0.25  # requests of doubt: so many must end before the throttle acts in full
+OUTCOME_HALF_LIFE_US = 4_000_000  # age at which an outcome counts half in the throttle
+THROTTLE_PRIOR = 0.25  # added to the ended requests, so that the throttle acts less on very few
 MAX_SHED_PROBABILITY = 0.9
-QUOTA_BURST_US = 2_000_000  # of a tenant's quota that may come at once
+QUOTA_BURST_US = 2_000_000  # time for which a tenant may save up unused quota
 US_PER_SECOND = 1_000_000
 UNKNOWN_CLASS = contract.TrafficClass("unknown", 1_000_000, 5_000_000, idempotency=Idempotency.NONE)
 
 
 class AdaptiveThrottle:
-    """Sheds a class's requests in proportion to how few of them begin in time.
+    """Sheds requests of one traffic class when too few of them are answered in time.
 
-    Prevents overload that no load report shows: as in adaptive throttling, what is beyond a
-    multiple of those in time is shed at once. It does harm where a few servers spoil everything;
-    outlier detection ejects those first.
+    Prevents overload that no load report shows. As in adaptive throttling, requests beyond a
+    multiple of those answered in time are shed. Shedding does harm where a few faulty servers cause
+    most failures; outlier detection ejects those servers first.
     """
 
     def __init__(self) -> None:
-        self._ended = 0.0  # requests, decayed
-        self._in_time = 0.0  # of these, whose answer began within the objective
+        self._ended = 0.0  # decayed number of requests that have ended
+        self._in_time = 0.0  # those of them whose answer began within the objective
         self._updated_us = 0
-        self.objective_share = 0.0  # mean part of the objective that answered attempts took
+        self.objective_share = 0.0  # moving average: part of the objective in answered attempts
 
     def record(self, now_us: int, *, in_time: bool) -> None:
-        """Count the end of a request."""
+        """Count an ended request, ``in_time`` if its answer began within the objective."""
         self._decay(now_us)
         self._ended += 1
         self._in_time += in_time
@@ -49,17 +50,18 @@
         self._in_time *= remaining
 
     def record_latency(self, objective_share: float) -> None:
-        """Count an answer whose attempts took this part of the objective."""
+        """Count an answer whose attempts took this part of the latency objective."""
         self.objective_share = moving_average(self.objective_share, objective_share, LATENCY_WEIGHT)
 
     def congestion(self) -> float:
-        """Return 0 to 1: a quarter of the objective is no queue, half of it is one."""
+        """Return the congestion: 0 up to a quarter of the objective, 1 from half of it on."""
         return min(1.0, max(0.0, 4 * self.objective_share - 1))
 
     def shed_probability(self, now_us: int, priority: float) -> float:
-        """Return the part of the requests to shed; 0 or less sheds none.
+        """Return the probability with which to shed a request; 0 or less sheds none.
 
-        None is shed while answers come quickly: then answers are lost, but there is no overload.
+        Nothing is shed while answers come quickly: missing answers are then lost, and not delayed
+        by overload.
         """
         self._decay(now_us)
         excess = self._ended - (1 + priority) * self._in_time
@@ -69,7 +71,7 @@
 
 
 class AdmissionController:
-    """Decides on requests that have come but not been sent anywhere yet."""
+    """Decides whether a request that has not been sent yet is shed, and whether it may be sent."""
 
     def __init__(self, pool: ServerPool) -> None:
         self._pool = pool
@@ -78,14 +80,14 @@
             traffic_class.name: AdaptiveThrottle()
             for traffic_class in (*settings.classes, UNKNOWN_CLASS)
         }
-        # By tenant: this router's part of the quota, and when the next request is within it
+        # By tenant: this router's part of the quota per second, and until when it is spent
         self._quotas = {
             tenant.name: (tenant.quota_per_s / settings.routers, 0) for tenant in settings.tenants
         }
         self.reconfigure(settings)
 
     def reconfigure(self, settings: contract.Settings) -> None:
-        """Take over the traffic classes for later requests."""
+        """Apply new traffic classes to later requests."""
         self.classes = {traffic_class.name: traffic_class for traffic_class in settings.classes}
         weights = (traffic_class.priority_weight for traffic_class in settings.classes)
         self._max_weight = max(weights, default=0) or 1.0
@@ -113,7 +115,7 @@
         return self.throttles[request.traffic_class.name]
 
     def should_shed(self, request: RequestState, now_us: int) -> bool:
-        """Return whether to reject the request at once: the same at any time for one request."""
+        """Return whether to shed the request; its random draw depends on its id alone."""
         draw = stable_hash(f"fate|{request.arrival.id}") / 2**64
         return draw < self.throttle_of(request).shed_probability(now_us, request.priority)
 
@@ -123,14 +125,14 @@
         servers = pool.healthy(now_us, Role.DECODE, Role.MIXED)
         if not servers:
             return False
-        # What is being prefilled will need memory too.
+        # Prompts that are being prefilled will need decode memory too.
         prefills = [
             tokens
             for server in pool.available[Role.PREFILL]
             for tokens in server.pending_tokens.values()
         ]
         memory_tokens = sum(server.memory_tokens for server in servers)
-        coming = estimate_all_routers(prefills, pool.settings.routers) / memory_tokens
+        incoming = estimate_all_routers(prefills, pool.settings.routers) / memory_tokens
         projected = projected_utilization(servers, pool.settings, now_us, certain_only=True)
-        utilization = coming + sum(projected.values()) / len(servers)
+        utilization = incoming + sum(projected.values()) / len(servers)
         return utilization < MAX_UTILIZATION - PRIORITY_SPAN * (1 - request.priority)
--- a/onyxpass/scheduling/candidates.py
+++ b/onyxpass/scheduling/candidates.py
@@ -1,4 +1,7 @@
-"""Which servers a request may be sent to: slow start, deduplication, rejections, past attempts."""
+"""Which servers a request may be sent to.
+
+The choice depends on slow start, deduplication, recent rejections and past attempts.
+"""
 
 from onyxpass.scheduling.contract import Idempotency, Role
 from onyxpass.scheduling.request_state import RequestState
@@ -7,11 +10,11 @@
 from onyxpass.scheduling.slow_start import SlowStart
 from onyxpass.scheduling.stable_hash import stable_hash
 
-OVERLOAD_REST_US = 8_000_000  # for which a server that rejected a class is passed by
+OVERLOAD_COOLDOWN_US = 8_000_000  # for which a server that rejected a class is passed over for it
 
 
 class CandidateFilter:
-    """Narrows servers to those that one request may be sent to."""
+    """Selects the servers that a request may be sent to."""
 
     def __init__(self, pool: ServerPool, slow_start: SlowStart) -> None:
         self._pool = pool
@@ -24,25 +27,28 @@
         now_us: int,
         holder: ServerState | None = None,
     ) -> list[ServerState]:
-        """Return the servers that may get the request, those not yet attempted if there are any.
+        """Return the servers that may get the request: those not yet attempted, if there are any.
 
-        ``holder`` is the server that holds its prefilled state. Guarantees that what may have run
-        is not run again, except by servers that discard it as a duplicate.
+        ``holder`` is the server that holds the request's prefilled state. A request that may have
+        run and is not idempotent only goes to servers that discard it as a duplicate.
         """
         servers = self.sample_warming(request, servers, now_us, holder)
         traffic_class = request.traffic_class
-        if request.may_have_run and traffic_class.idempotency is not Idempotency.IDEMPOTENT:
-            where, sent_us = request.may_have_run
+        if request.first_possible_run and traffic_class.idempotency is not Idempotency.IDEMPOTENT:
+            first_endpoint, sent_us = request.first_possible_run
             expired = now_us >= sent_us + traffic_class.deduplication_window_us
             if expired or traffic_class.idempotency is Idempotency.NONE:
                 return []
             scope = traffic_class.deduplication_scope
-            servers = [server for server in servers if scope.covers_both(server.endpoint, where)]
+            servers = [
+                server for server in servers if scope.covers_both(server.endpoint, first_endpoint)
+            ]
         name = traffic_class.name
         servers = [
             server
             for server in servers
-            if server.overloaded_at_us.get(name, -OVERLOAD_REST_US) + OVERLOAD_REST_US <= now_us
+            if server.overloaded_at_us.get(name, -OVERLOAD_COOLDOWN_US) + OVERLOAD_COOLDOWN_US
+            <= now_us
         ] or servers
         attempted = request.attempted_servers
         return [server for server in servers if server.id not in attempted] or servers
@@ -56,11 +62,12 @@
     ) -> list[ServerState]:
         """Return the warm servers, and those in slow start for which the request is sampled.
 
-        A server's part follows who bore the work before some left. Prefills are sampled by session,
-        and all that are as warm share them. A decode server that is sampled is preferred, so its
-        part comes from the prefill servers of its zone.
+        A server's share is based on the peak capacity, before other servers left. Prefills are
+        sampled by session and shared by the servers that are at least as warm. A decode server is
+        preferred for the requests that are sampled for it, so its share is taken from the prefill
+        servers of its zone.
         """
-        # Sampling prevents what each router had saved up from coming at once.
+        # Sampling prevents all routers from spending a saved-up allowance at the same time.
         factors = {server: server.slow_start_factor(now_us) for server in servers}
         capacity = sum(factors.values())
         if capacity >= len(servers):
@@ -68,7 +75,7 @@
         others_warm = any(factor >= 1 for factor in factors.values())
         prefill_zones = [server.endpoint.zone for server in self._pool.available[Role.PREFILL]]
         chosen = set[ServerState]()
-        as_warm = 0.0  # rendezvous weight of all servers that are at least as warm
+        as_warm = 0.0  # rendezvous weight of the servers that are at least as warm
         for server in sorted(servers, key=lambda server: -factors[server]):
             as_warm += server.rendezvous_weight
             factor = factors[server]
@@ -88,9 +95,10 @@
         return [server for server in servers if server in chosen]
 
     def _sampled_share(self, server: ServerState, factor: float, capacity: float) -> float:
-        """Return the part of all calls that a server bears at this slow start factor.
+        """Return the share of all calls that a server can take at this slow start factor.
 
-        ``capacity`` is that of all servers with which it shares the calls now, in warm servers.
+        ``capacity`` is the present capacity of all servers that share the calls, in units of one
+        warm server.
         """
         pool = self._pool
         peak = pool.peak_capacity(server.role)
@@ -101,7 +109,7 @@
 
     @staticmethod
     def _zone_factor(server: ServerState, holder: ServerState, prefill_zones: list[str]) -> float:
-        """Return the factor by which a decode server draws on its own zone's prefills alone."""
+        """Return the factor that confines a decode server's share to prefills of its own zone."""
         in_zone = prefill_zones.count(server.endpoint.zone)
         if not in_zone:
             return 1.0
--- a/onyxpass/scheduling/contract/__init__.py
+++ b/onyxpass/scheduling/contract/__init__.py
@@ -1,9 +1,9 @@
-"""The contract of the decisions: what a router is notified of and what it may ask for.
+"""The interface of a router: the events that it is notified of and the actions that it returns.
 
-Times are whole microseconds (``_us``) on the caller's own clock. Feed a router its events in the
-order in which they happen and carry out the actions that it returns, in order. Nothing is decided
-here. Names on the wire and in files differ from these; the modules that read or write such a form
-hold the mapping.
+Times are whole microseconds (``_us``) on the caller's clock. The caller passes a router its events
+in the order in which they happen and carries out the returned actions in order. The package makes
+no decisions. Names on the wire and in files may differ from these; the modules that read or write
+those formats hold the mapping.
 """
 
 from onyxpass.scheduling.contract.actions import (
--- a/onyxpass/scheduling/contract/actions.py
+++ b/onyxpass/scheduling/contract/actions.py
@@ -1,4 +1,4 @@
-"""What a router asks its caller to do."""
+"""The actions that a router asks its caller to carry out."""
 
 from dataclasses import dataclass
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: shed, and a retry does no harm; ``retry_after_us`` 0 gives no advice."""
+    """Final answer: rejected, and a retry does no harm; ``retry_after_us`` 0 gives no advice."""
 
     id: int
     retry_after_us: int = 0
@@ -22,14 +22,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed, with no promise about what ran."""
+    """Final answer: failed; the request may or may not have run."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class ReleaseState:
-    """Release all prefilled state reserved for a request that no attempt waits for."""
+    """Release the prefilled state of a request, except what an attempt waits for."""
 
     id: int
 
@@ -44,14 +44,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthCheck:
-    """Check the health of a server; the end comes as a HealthCheckResult."""
+    """Check the health of a server; the result comes as a ``HealthCheckResult``."""
 
     server: str
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Send a TimerFired with this reference after ``delay_us``."""
+    """Pass the router a ``TimerFired`` with this reference after ``delay_us``."""
 
     ref: int
     delay_us: int
--- a/onyxpass/scheduling/contract/events.py
+++ b/onyxpass/scheduling/contract/events.py
@@ -1,4 +1,4 @@
-"""What a router is notified of."""
+"""The events that a router is notified of."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -6,11 +6,11 @@
 from onyxpass.scheduling.contract.servers import Endpoint, LoadReport
 from onyxpass.scheduling.contract.settings import Settings
 
-# Notes of an AttemptOutcome
+# Values of ``AttemptOutcome.note``
 STATE_LOST = 1  # with OVERLOADED or RESET: there is no prefilled state left to fetch
-# with RESET: an idle connection from the pool broke, which says nothing of the server
+# With RESET: an idle connection from the pool broke, which says nothing about the server's health.
 STALE_CONNECTION = 2
-# with TIMED_OUT, CANCELLED or RESET: nothing shows that the server ever got the attempt
+# With TIMED_OUT, CANCELLED or RESET: nothing shows that the server received the attempt.
 DELIVERY_UNCONFIRMED = 3
 
 
@@ -19,18 +19,18 @@
 
     COMPLETED = "served"
     ERROR = "error"
-    OVERLOADED = "full"  # the server has no capacity for it and has not begun
+    OVERLOADED = "full"  # rejected for lack of capacity before it ran
     TIMED_OUT = "timeout"
     UNREACHABLE = "unreachable"
     RESET = "reset"
     CANCELLED = "cancelled"
     NOT_SENT = "not_sent"
     PREFILLED = "read"
-    INVALID_REQUEST = "unfit"  # rejected because of the request itself, which no server would take
+    INVALID_REQUEST = "unfit"  # rejected because of the request itself, as by any server
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the server may have begun on an answer: a prefill has had no effect."""
+        """Whether the server may have begun an answer; a prefill alone has no effect."""
         return self not in (
             AttemptStatus.OVERLOADED,
             AttemptStatus.UNREACHABLE,
@@ -43,8 +43,8 @@
 class EndpointUpdateForm(Enum):
     """What an update of the endpoint list carries.
 
-    FAILED carries nothing, and the list before it still holds. PERSISTED is a complete list that
-    was stored earlier and may be out of date.
+    FAILED carries no endpoints, and the previous list stays in force. PERSISTED is a complete list
+    that was stored earlier and may be out of date.
     """
 
     DELTA = "delta"
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """News of the endpoint list."""
+    """An update of the endpoint list, or the failure to get one."""
 
     form: EndpointUpdateForm
     endpoints: tuple[Endpoint, ...] = ()
@@ -64,10 +64,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A client's request; the router owes it exactly one final answer by ``deadline_us``.
+    """A new request, which must get exactly one final answer by ``deadline_us``.
 
-    ``prefix`` names what its prompt shares with others at the start, ``prefix_tokens`` its length.
-    ``expected_stream_us`` is how long the client expects its answer to stream.
+    ``prefix`` identifies the start of the prompt that other requests share, ``prefix_tokens`` is
+    its length. ``expected_stream_us`` is how long the client expects the answer to stream.
     """
 
     id: int
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """The first event of an answer came, which commits the request to this attempt."""
+    """The first event of an answer has arrived, which commits the request to this attempt."""
 
     id: int
     attempt: int
@@ -99,7 +99,8 @@
     """The end of one attempt.
 
     ``note`` is the number of prompt tokens that the server had cached if the status is PREFILLED,
-    else one of the notes above or 0. ``final`` tells that the request has its final answer.
+    else 0 or a constant of this module such as ``STATE_LOST``. ``final`` means that the request has
+    its final answer.
     """
 
     id: int
@@ -114,7 +115,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestWithdrawn:
-    """The client has gone: nothing more is owed to it."""
+    """The client has gone, and the request needs no answer."""
 
     id: int
 
@@ -128,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckResult:
-    """The end of a health check, with the load report that came with it."""
+    """The result of a health check, with the load report that came with it, if any."""
 
     server: str
     ok: bool
@@ -138,7 +139,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Exclusion:
-    """Operators take a server out of use, whatever the list says, or put it back."""
+    """Operators exclude a server, whatever the endpoint list says, or readmit it."""
 
     server: str
     excluded: bool
@@ -146,7 +147,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamAdopted:
-    """A stream in progress that another process of this router began; it ends with an outcome."""
+    """A running stream that another process of this router began.
+
+    An ``AttemptOutcome`` reports its end.
+    """
 
     id: int
     server: str
@@ -155,14 +159,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """New settings for later requests; names, kinds and idempotency are as they were."""
+    """New settings for later requests; names, kinds and idempotency must be unchanged."""
 
     settings: Settings
 
 
 @dataclass(frozen=True, slots=True)
 class IgnoredEvent:
-    """Anything that the decisions have no use for, such as messages of other routers."""
+    """An event that no decision depends on, such as a message from another router."""
 
 
 Event = (
--- a/onyxpass/scheduling/contract/servers.py
+++ b/onyxpass/scheduling/contract/servers.py
@@ -5,7 +5,7 @@
 
 
 class Role(Enum):
-    """What a kind of server does: prefill of prompts, decode of answers, or both."""
+    """The work of a kind of server: prefill of prompts, decode of answers, or both."""
 
     PREFILL = "reader"
     DECODE = "writer"
@@ -13,7 +13,7 @@
 
 
 class EndpointCondition(Enum):
-    """What the endpoint list says of a server."""
+    """The condition of a server according to the endpoint list."""
 
     UP = "up"
     DRAINING = "draining"
@@ -33,8 +33,8 @@
 class Endpoint:
     """One entry of the endpoint list.
 
-    ``started_us`` is the time of its start, None if that was long ago. ``weight`` scales its share
-    of the work; 1.0 is usual.
+    ``started_us`` is the time at which the server started, None if that was long ago. ``weight``
+    scales its share of the work.
     """
 
     id: str
@@ -48,9 +48,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """A server's own account of its load, late and noisy; None where a value is not reported.
+    """The load that a server reports of itself; None for a value that is not reported.
 
-    ``memory_utilization`` is the share of its memory in use, 1.0 if full.
+    Reports arrive late and are noisy. ``memory_utilization`` is the share of the server's memory
+    that is in use, 1.0 if full.
     """
 
     memory_utilization: float | None = None
--- a/onyxpass/scheduling/contract/settings.py
+++ b/onyxpass/scheduling/contract/settings.py
@@ -1,4 +1,4 @@
-"""What a router is configured with: traffic classes, tenants, kinds of servers and limits."""
+"""The configuration of a router: traffic classes, tenants, kinds of servers and limits."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -22,7 +22,7 @@
     CELL = "cell"
 
     def covers_both(self, here: Endpoint, there: Endpoint) -> bool:
-        """Whether the two servers discard each other's duplicates."""
+        """Return whether the two servers discard each other's duplicates."""
         if self is DeduplicationScope.ALL:
             return True
         same_zone = here.zone == there.zone
@@ -39,12 +39,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TrafficClass:
-    """A class of requests, what it earns and how it may be retried.
+    """A class of requests: its objectives, its value and how its requests may be retried.
 
-    An answer whose first token comes within the latency objective earns ``priority_weight``, a
-    later one ``late_weight`` of it. ``latency_objective_us_per_1k_tokens`` is added to the
-    objective for each 1,000 prompt tokens. A keyed request is deduplicated for
-    ``deduplication_window_us``.
+    An answer whose first token comes within the latency objective has the value
+    ``priority_weight``, a later one ``late_weight`` times that. The objective is longer by
+    ``latency_objective_us_per_1k_tokens`` for each 1,000 prompt tokens. A keyed request is
+    deduplicated for ``deduplication_window_us``.
     """
 
     name: str
@@ -60,7 +60,7 @@
 
     @property
     def deduplicated_everywhere(self) -> bool:
-        """Whether every server discards duplicates, so that rejecting does no harm."""
+        """Whether every server discards duplicates, so that a retry by the client does no harm."""
         keyed = self.idempotency is Idempotency.KEYED
         return keyed and self.deduplication_scope is DeduplicationScope.ALL
 
@@ -75,10 +75,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a router is configured with at its start.
+    """The configuration of a router.
 
     ``routers`` is the number of routers that share the servers, ``ordinal`` this one's place among
-    them. ``watch_endpoints`` tells that the endpoint list must be watched, and polled at least
+    them. ``watch_endpoints`` means that the endpoint list must be watched, and polled at least
     every ``poll_within_us``.
     """
 
--- a/onyxpass/scheduling/decode_placement.py
+++ b/onyxpass/scheduling/decode_placement.py
@@ -1,4 +1,4 @@
-"""Chooses the decode server that fetches a prefilled state and writes the answer."""
+"""Selects the decode server that fetches a prefilled state and generates the answer."""
 
 from collections.abc import Mapping
 
@@ -13,14 +13,14 @@
 from onyxpass.scheduling.server_state import ServerState
 from onyxpass.scheduling.stable_hash import stable_hash
 
-# Share of memory by which a near server may be fuller: more than the noise of load reports.
+# Utilization by which a near server may exceed the lowest: more than the noise of load reports.
 NEAR_EXCESS_UTILIZATION = 0.10
 
 
 def place_near(utilization: Mapping[ServerState, float], near: contract.Endpoint) -> ServerState:
-    """Return the server with the lowest utilization in the cell, else zone, of ``near``.
+    """Return the least utilized server in the cell of ``near``, else in its zone, else anywhere.
 
-    Servers that are well above the lowest of all come last.
+    Servers more than ``NEAR_EXCESS_UTILIZATION`` above the lowest utilization are passed over.
     """
     limit = min(utilization.values()) + NEAR_EXCESS_UTILIZATION
     return min(
@@ -35,7 +35,7 @@
 
 
 class DecodePlacer:
-    """Places by projected memory, near the server that holds the state."""
+    """Selects decode servers by projected memory utilization, near the holder of the state."""
 
     def __init__(
         self, pool: ServerPool, candidates: CandidateFilter, baselines: LatencyBaselines
@@ -73,29 +73,30 @@
     def _unseen_utilization(
         self, request: RequestState, servers: list[ServerState], near: contract.Endpoint
     ) -> dict[ServerState, float]:
-        """Estimate the memory that other routers' streams use, by cell.
+        """Return the estimated utilization of each server by the streams of other routers.
 
-        The prefill servers of each cell send to its decode servers.
+        The estimate assumes that the prefill servers of a cell send to its decode servers.
         """
-        # Prevents overload of near servers by routers that each see them empty: if prefill servers
-        # outnumber them or decode servers left, only as many states stay as keep all even.
+        # Prevents overload of near servers by routers that each see them as empty. Where prefill
+        # servers outnumber them, or decode servers have left, only as many states stay near as keep
+        # the utilization even.
         settings = self._pool.settings
         routers = settings.routers if settings.routers >= MANY_ROUTERS else 0
         ratios = self._pool.prefill_to_memory
-        own = sum(tokens for server in servers for _, tokens in server.streams.values())
-        level = routers * own / sum(server.memory_tokens for server in servers)
+        own_tokens = sum(tokens for server in servers for _, tokens in server.streams.values())
+        mean_utilization = routers * own_tokens / sum(server.memory_tokens for server in servers)
         draw = stable_hash(f"turn|{request.arrival.id}") / 2**64
         zone = near.zone
         cell = (near.zone, near.cell)
-        limit = level + NEAR_EXCESS_UTILIZATION
-        stays_in_zone = draw * level * ratios.get(zone, 0.0) <= limit
-        stays_in_cell = draw * level * ratios.get(cell, 0.0) <= limit
+        limit = mean_utilization + NEAR_EXCESS_UTILIZATION
+        stays_in_zone = draw * mean_utilization * ratios.get(zone, 0.0) <= limit
+        stays_in_cell = draw * mean_utilization * ratios.get(cell, 0.0) <= limit
         unseen: dict[ServerState, float] = {}
         for server in servers:
             here = (server.endpoint.zone, server.endpoint.cell)
-            unseen[server] = level * ratios.get(here, 0.0)
+            unseen[server] = mean_utilization * ratios.get(here, 0.0)
             if here[0] == zone and not stays_in_zone:
-                unseen[server] = max(unseen[server], level * ratios.get(zone, 0.0))
+                unseen[server] = max(unseen[server], mean_utilization * ratios.get(zone, 0.0))
             elif here == cell and stays_in_cell:
                 unseen[server] = 0.0
         return unseen
--- a/onyxpass/scheduling/endpoint_polling.py
+++ b/onyxpass/scheduling/endpoint_polling.py
@@ -5,20 +5,20 @@
 
 
 class EndpointPolling:
-    """When one router asks for the endpoint list next; it owns that time."""
+    """The schedule by which one router asks for the endpoint list."""
 
     def __init__(self) -> None:
         self._next_us = -1
 
     @property
     def is_scheduled(self) -> bool:
-        """Whether ticks are needed for it."""
+        """Whether the router has to keep its timer set for polling."""
         return self._next_us >= 0
 
     def after_update(
         self, form: EndpointUpdateForm, settings: contract.Settings, now_us: int
     ) -> list[contract.Action]:
-        """Return what to ask for after an update that may be out of date, or none."""
+        """Return the request for a new list after an update that failed or may be out of date."""
         if not settings.watch_endpoints:
             return []
         action: contract.Action
@@ -32,7 +32,7 @@
         return [action]
 
     def due(self, settings: contract.Settings, now_us: int) -> list[contract.Action]:
-        """Return what to ask for now, at a tick."""
+        """Return the request for a new list if it is due."""
         if not 0 <= self._next_us <= now_us:
             return []
         self._next_us = now_us + settings.poll_within_us // 2
--- a/onyxpass/scheduling/health_checks.py
+++ b/onyxpass/scheduling/health_checks.py
@@ -1,6 +1,6 @@
-"""Health checks: of ejected servers before their trial, and for fresh load reports.
+"""Health checks of ejected servers before their trial, and health checks for fresh load reports.
 
-Health checks cost a part of the result, so requests earn a budget for them. Each router owns one
+Each health check has a cost, so requests earn a budget for them. Each router owns one
 ``HealthChecks``.
 """
 
@@ -10,28 +10,28 @@
 from onyxpass.scheduling.server_pool import ServerPool
 from onyxpass.scheduling.server_state import ServerState
 
-SPENDING_SHARE = 0.003  # of the result that health checks may cost
+MAX_COST_SHARE = 0.003  # of the value of the requests that health checks may cost
 INITIAL_CREDIT = 1.0
 MAX_CREDIT = 3.0
-NEAR_SERVERS = 2  # asked for their load before a state is placed, and one more anywhere
+NEAREST_CHECKED = 2  # before a state is placed, besides the server checked longest ago
 
 
 class HealthChecks:
-    """The budget of health checks, and what it is spent on."""
+    """The budget of health checks and the servers that are checked."""
 
     def __init__(self, pool: ServerPool) -> None:
         self._pool = pool
         self._credit = INITIAL_CREDIT
 
     def earn_credit(self) -> None:
-        """Count a request that came."""
+        """Earn credit for a new request."""
         cost = self._pool.settings.health_check_cost
-        self._credit = min(MAX_CREDIT, self._credit + SPENDING_SHARE / max(SPENDING_SHARE, cost))
+        self._credit = min(MAX_CREDIT, self._credit + MAX_COST_SHARE / max(MAX_COST_SHARE, cost))
 
     def before_placement(self, near: contract.Endpoint, now_us: int) -> list[contract.Action]:
-        """Return checks for fresh load reports of where a state may go once it is prefilled.
+        """Return health checks that get load reports of servers where a state may be placed.
 
-        There are some only where health checks are the one source of load reports.
+        There are none unless health checks are the only source of load reports.
         """
         pool = self._pool
         settings = pool.settings
@@ -46,7 +46,7 @@
         by_age = sorted(
             servers, key=lambda server: (server.last_health_check_us, server.tie_breaker)
         )
-        nearest = sorted(by_age, key=lambda server: server.distance(near))[:NEAR_SERVERS]
+        nearest = sorted(by_age, key=lambda server: server.distance(near))[:NEAREST_CHECKED]
         checks: list[contract.Action] = []
         for server in [*nearest, by_age[0]]:
             if self._credit >= 1 and server.last_health_check_us < now_us:
@@ -55,8 +55,8 @@
                 checks.append(contract.HealthCheck(server.id))
         return checks
 
-    def untested(self) -> list[ServerState]:
-        """Return the ejected servers that have passed no health check since."""
+    def awaiting_health_check(self) -> list[ServerState]:
+        """Return the ejected servers that have passed no health check since their ejection."""
         return [
             server
             for server in self._pool.servers.values()
@@ -64,13 +64,13 @@
         ]
 
     def before_trials(self, servers: list[ServerState], now_us: int) -> list[contract.Action]:
-        """Return checks of those servers whose ejection is over."""
+        """Return health checks of those servers whose ejection time is over."""
         checks: list[contract.Action] = []
         if not self._pool.settings.health_checks_allowed:
             return checks
         for server in servers:
             if now_us >= server.ejected_until_us and self._credit >= 1:
                 self._credit -= 1
-                server.ejected_until_us = now_us + EJECTION_US  # unless the check passes sooner
+                server.ejected_until_us = now_us + EJECTION_US  # ends earlier if the check passes
                 checks.append(contract.HealthCheck(server.id))
         return checks
--- a/onyxpass/scheduling/latency_baselines.py
+++ b/onyxpass/scheduling/latency_baselines.py
@@ -1,4 +1,4 @@
-"""Latency baselines: what prefills, state fetches and first tokens usually take."""
+"""Latency baselines: the usual duration of prefills, state fetches and first tokens."""
 
 from collections import defaultdict
 
@@ -10,17 +10,17 @@
     moving_average,
 )
 
-QUEUE_HALF_LIFE_US = 1_000_000  # of a queue of which nothing more is heard
+QUEUE_HALF_LIFE_US = 1_000_000  # for a queue of which there is no newer observation
 
 
 class LatencyBaselines:
-    """Moving averages over the answers that one router got; it owns them."""
+    """Moving averages over the answers that one router has received."""
 
     def __init__(self) -> None:
         self.typical_us = dict.fromkeys(Role, 0.0)  # of prefills and first tokens
-        # By kind of server: time per token of a prefill that waits for no other.
+        # By kind of server: time per token of a prefill that does not wait for another one.
         self.unloaded_us_per_token = defaultdict[str, float](float)
-        # By kind of server: the part of the objective till the first token of a fetched state.
+        # By kind of server: share of the objective until the first token of a fetched state.
         self.state_fetch_share = defaultdict[str, float](float)
         self.last_stream_start_us = 0
 
@@ -30,20 +30,20 @@
         self.typical_us[role] = moving_average(mean_us, elapsed_us, BASELINE_WEIGHT)
 
     def record_prefill(self, kind: str, us_per_token: float) -> None:
-        """Count a prefill: a low quantile, which falls at once and rises slowly."""
+        """Count a prefill in a baseline like a low quantile, which falls fast and rises slowly."""
         baseline = self.unloaded_us_per_token[kind] or us_per_token
         weight = LATENCY_WEIGHT if us_per_token < baseline else BASELINE_WEIGHT
         self.unloaded_us_per_token[kind] = moving_average(baseline, us_per_token, weight)
 
     def record_state_fetch(self, kind: str, elapsed_us: int, latency_objective_us: int) -> None:
-        """Count a first token from a fetched state, or the time after which it was given up."""
+        """Count a first token from a fetched state, or the time until the attempt was given up."""
         share = elapsed_us / latency_objective_us
         self.state_fetch_share[kind] = moving_average(
             self.state_fetch_share[kind], share, STATE_FETCH_WEIGHT
         )
 
     def decode_queue_us(self, now_us: int) -> float:
-        """Return the time that first tokens likely wait at decode servers; a queue fades."""
+        """Return the estimated wait at decode servers, which halves while no stream starts."""
         age_us = now_us - self.last_stream_start_us
         remaining: float = 0.5 ** (age_us / QUEUE_HALF_LIFE_US)
         return self.typical_us[Role.DECODE] * remaining
--- a/onyxpass/scheduling/memory_projection.py
+++ b/onyxpass/scheduling/memory_projection.py
@@ -1,6 +1,6 @@
-"""Projects the memory that decode servers use, from late load reports and this router's sends.
+"""Projects the memory use of decode servers from late load reports and this router's sends.
 
-Load reports are late and noisy, and each router sees only its own sends; what the others sent is
+Load reports are late and noisy, and each router sees only its own sends; those of the others are
 estimated. The functions keep no state of their own.
 """
 
@@ -11,16 +11,16 @@
 from onyxpass.scheduling import contract
 from onyxpass.scheduling.server_state import ServerState
 
-REPORT_DELAY_US = 400_000  # sends that a load report does not show yet
+REPORT_DELAY_US = 400_000  # age up to which sends are missing from a load report
 REPORT_HALF_LIFE_US = 4_000_000  # age at which a load report counts half
-MAX_HALVINGS = 50.0
-MIN_CAPACITY_SHARE = 0.2  # of a server whose weight in the endpoint list is low
+MAX_HALVINGS = 50.0  # keeps the trust in a report above zero
+MIN_CAPACITY_SHARE = 0.2  # of its memory, for a server of low weight in the endpoint list
 
 
 def estimate_all_routers(own: Sequence[int], routers: int) -> float:
-    """Return the tokens that all routers likely sent where this one sent ``own``.
+    """Return the estimated tokens sent by all routers, given the sends ``own`` of this router.
 
-    A few sends say nothing of the other routers.
+    A few sends say nothing about the other routers and count alone.
     """
     certainty = max(0.0, 1 - 2 / math.sqrt(max(1, len(own))))
     return sum(own) * (1 + (routers - 1) * certainty)
@@ -35,9 +35,9 @@
 ) -> dict[ServerState, float]:
     """Return the share of each server's memory that is likely in use.
 
-    This is the last reported share, fading to the average of all, plus what the streams since then
-    use, taken to be the same at all routers; ``certain_only`` counts no more of the other routers
-    than is certain.
+    The projection is the last reported share, which fades to the average of all servers with its
+    age, plus the memory of streams sent since that report. All routers are taken to have sent as
+    much as this one; with ``certain_only``, only as far as its number of sends makes that certain.
     """
     ages = {
         server: (now_us - server.utilization_reported_us) / REPORT_HALF_LIFE_US
@@ -65,7 +65,7 @@
 def _tokens_sent_since(
     server: ServerState, since_us: float, routers: int, certain_only: bool
 ) -> float:
-    """Estimate the tokens of the streams that all routers sent to a server."""
+    """Estimate the tokens of the streams that all routers have sent to a server since then."""
     sends = [tokens for sent_us, tokens in server.streams.values() if sent_us > since_us]
     if not sends:
         return 0.0
@@ -75,18 +75,20 @@
 def prefill_to_memory_ratios(
     prefill: Sequence[ServerState], decode: Sequence[ServerState]
 ) -> dict[object, float]:
-    """Return the share of all prefill servers over the share of all decode memory.
+    """Return each place's share of the prefill servers divided by its share of the memory.
 
     The keys are zones, and cells as pairs of zone and cell number.
     """
-    sends = Counter[object]()
-    capacity = Counter[object]()
+    prefill_share = Counter[object]()
+    memory_share = Counter[object]()
     for server in prefill:
         here = server.endpoint
-        sends.update({here.zone: 1 / len(prefill), (here.zone, here.cell): 1 / len(prefill)})
+        prefill_share.update(
+            {here.zone: 1 / len(prefill), (here.zone, here.cell): 1 / len(prefill)}
+        )
     memory_tokens = sum(server.memory_tokens for server in decode)
     for server in decode:
         here = server.endpoint
         share = server.memory_tokens / memory_tokens
-        capacity.update({here.zone: share, (here.zone, here.cell): share})
-    return {place: sends[place] / share for place, share in capacity.items()}
+        memory_share.update({here.zone: share, (here.zone, here.cell): share})
+    return {place: prefill_share[place] / share for place, share in memory_share.items()}
--- a/onyxpass/scheduling/moving_average.py
+++ b/onyxpass/scheduling/moving_average.py
@@ -1,10 +1,10 @@
-"""The one definition of an exponentially weighted moving average, and the weights in use."""
+"""The exponentially weighted moving average and the weights of its newest sample."""
 
-LATENCY_WEIGHT = 0.3  # of the newest sample: one server's times, one class's latencies
-BASELINE_WEIGHT = 0.05  # the pool's typical times, which should hardly follow one sample
+LATENCY_WEIGHT = 0.3  # times of one server, latencies of one class
+BASELINE_WEIGHT = 0.05  # typical times of the pool, which should hardly follow one sample
 STATE_FETCH_WEIGHT = 0.15  # the share of the objective that fetching a state takes
-FAILURE_WEIGHT = 0.3  # two failures in a row pass the limit of outlier detection
-RESET_WEIGHT = 0.2  # a reset connection says less of its server: it takes three
+FAILURE_WEIGHT = 0.3  # two failures in a row exceed the limit of outlier detection
+RESET_WEIGHT = 0.2  # a reset says less about its server: three in a row exceed the limit
 
 
 def moving_average(mean: float, sample: float, weight: float) -> float:
--- a/onyxpass/scheduling/outcome_recorder.py
+++ b/onyxpass/scheduling/outcome_recorder.py
@@ -1,7 +1,6 @@
-"""Passes what an attempt's outcome says to the parts that learn from it.
+"""Updates server health, latency baselines, slow start and prefix affinity after each attempt.
 
-These are the server's health, the latency baselines, slow start and prefix affinity. The recorder
-keeps no state of its own.
+The recorder keeps no state of its own.
 """
 
 from onyxpass.scheduling import contract
@@ -16,7 +15,7 @@
 
 
 class OutcomeRecorder:
-    """Learns from the outcomes of one router's attempts."""
+    """Records the outcomes of one router's attempts."""
 
     def __init__(
         self,
@@ -40,7 +39,7 @@
         event: contract.AttemptOutcome,
         now_us: int,
     ) -> None:
-        """Learn from an attempt at ``server``, whose present state is ``known`` if it is listed."""
+        """Record an attempt at ``server``; ``known`` is its current state, None if unlisted."""
         status = event.status
         if status in (AttemptStatus.PREFILLED, AttemptStatus.COMPLETED):
             self.record_answer(request, server, event.elapsed_us, now_us, event.note)
@@ -52,7 +51,7 @@
             self._baselines.record_state_fetch(
                 server.endpoint.kind, event.elapsed_us, request.latency_objective_us
             )
-        if kind := failure_kind(event, request.overtaken):
+        if kind := failure_kind(event, request.overtaken_count):
             known.record_failure(kind, request.sent_us, now_us)
         if status is AttemptStatus.OVERLOADED and event.note != contract.STATE_LOST:
             known.overloaded_at_us[request.traffic_class.name] = now_us
@@ -65,7 +64,7 @@
         now_us: int,
         cached_tokens: int = 0,
     ) -> None:
-        """Learn from a prefill or first token, ``cached_tokens`` of which had been cached."""
+        """Record a prefill or first token; ``cached_tokens`` of the prompt had been cached."""
         kind = server.endpoint.kind
         server.pending_tokens.pop(request.arrival.id, None)
         self._count_overtaken(request, server)
@@ -97,11 +96,11 @@
         ]
 
     def _count_overtaken(self, request: RequestState, server: ServerState) -> None:
-        """Count an answer with the earlier sends of the same sort that still wait there."""
-        fetches = bool(request.state_holder)
+        """Count this answer for the earlier sends of the same kind that still wait there."""
+        is_fetch = bool(request.state_holder)
         for id_ in server.pending_tokens:
             other = self._requests.get(id_)
             if other is None or other.server is not server:
                 continue
-            if bool(other.state_holder) == fetches and other.sent_us < request.sent_us:
-                other.overtaken += 1
+            if bool(other.state_holder) == is_fetch and other.sent_us < request.sent_us:
+                other.overtaken_count += 1
--- a/onyxpass/scheduling/outlier_detection.py
+++ b/onyxpass/scheduling/outlier_detection.py
@@ -1,8 +1,9 @@
 """Outlier detection: which servers are ejected after failures, silence or slow answers.
 
 Each server's ``HealthRecord`` belongs to the one router that made it. A server is ejected for a
-time that doubles each time its return fails. Back from an ejection it gets one request at a time,
-after a health check where those are allowed, until good outcomes have taken its level to zero.
+time that doubles with each failed trial. After an ejection the server is on trial: it gets one
+request at a time, after a health check where those are allowed, until successes have brought its
+ejection level to zero.
 """
 
 from collections.abc import Sequence
@@ -17,16 +18,16 @@
     moving_average,
 )
 
-FAILURE_RATE_LIMIT = 0.45  # two failures in a row, or three resets, are over it
-EJECTION_US = 1_500_000  # the first ejection, where few routers share the servers
+FAILURE_RATE_LIMIT = 0.45  # two failures in a row, or three resets, exceed it
+EJECTION_US = 1_500_000  # length of the first ejection where few routers share the servers
 MAX_EJECTION_US = 12_000_000
 MAX_EJECTION_DOUBLINGS = 5
-EJECTION_LEVEL_STEP = 2  # added by an ejection; a good outcome takes one off
-SLOW_MULTIPLE = 3.0  # times the median of its peers, from which on a server is an outlier
-MIN_SAMPLES = 3  # outcomes before a server's times are believed
-# Later sends answered first that show a lost connection rather than a queue.
+EJECTION_LEVEL_STEP = 2  # added by an ejection; a success subtracts one
+SLOW_MULTIPLE = 3.0  # of the median of its peers, above which a server is an outlier
+MIN_SAMPLES = 3  # successes before a server's mean time is used
+# Number of later sends answered first that shows a lost connection rather than a queue.
 OVERTAKEN_LIMIT = 3
-MANY_ROUTERS = 16  # from so many on, a router's own sends say little of a server's queue
+MANY_ROUTERS = 16  # from this number on, a router's own sends say little about a queue
 
 
 class FailureKind(Enum):
@@ -35,7 +36,7 @@
     ERROR = auto()  # the server answered, with an error
     CONNECTION_RESET = auto()
     NO_ANSWER = auto()  # a timeout, no connection, or a failed health check
-    CANCELLED = auto()  # this router gave up on it
+    CANCELLED = auto()  # this router gave up on the attempt
 
 
 SERVER_NOT_AT_FAULT = frozenset(
@@ -48,29 +49,29 @@
 }
 
 
-def failure_kind(event: contract.AttemptOutcome, overtaken: int) -> FailureKind | None:
-    """Return how the server failed, or None if the outcome says nothing of it.
+def failure_kind(event: contract.AttemptOutcome, overtaken_count: int) -> FailureKind | None:
+    """Return how the server failed, or None if the outcome says nothing about its health.
 
-    ``overtaken`` later sends to the server were answered first.
+    ``overtaken_count`` is the number of later sends to the server that were answered first.
     """
     if event.status in SERVER_NOT_AT_FAULT:
         return None
-    if event.status is AttemptStatus.CANCELLED and overtaken >= OVERTAKEN_LIMIT:
-        return None  # only its connection was lost
+    if event.status is AttemptStatus.CANCELLED and overtaken_count >= OVERTAKEN_LIMIT:
+        return None  # only the connection was lost
     if event.status is AttemptStatus.RESET and event.note == contract.STALE_CONNECTION:
         return None
     return FAILURE_KINDS.get(event.status, FailureKind.NO_ANSWER)
 
 
 def median(values: Sequence[float]) -> float:
-    """Return the median; written out, since ``statistics`` costs 1.5 MB and start time."""
+    """Return the median, without importing ``statistics``: that costs 1.5 MB and start time."""
     ordered = sorted(values)
     half = len(ordered) // 2
     return (ordered[half] + ordered[~half]) / 2
 
 
 class HealthRecord:
-    """One server's outcomes and what is in flight there, from which its health follows."""
+    """The outcomes and pending attempts of one server, which determine its health."""
 
     __slots__ = (
         "ejected_until_us",
@@ -88,16 +89,16 @@
 
     def __init__(self, settings: contract.Settings) -> None:
         self.settings = settings
-        # Attempts that wait for a prefill or a first token, by request: their tokens.
+        # By request: the tokens of an attempt that waits for a prefill or a first token.
         self.pending_tokens: dict[int, int] = {}
         self.reported_in_flight: float | None = None
         self.failure_rate = 0.0
-        self.us_per_token = 0.0  # mean time of a prefill or first token, for each token ahead of it
+        self.us_per_token = 0.0  # mean time of a prefill or first token per token ahead
         self.sample_count = 0
         self.last_answer_us = -1
         self.ejected_until_us = -1
         self.ejection_level = 0
-        self.is_unresponsive = False  # ejected, having answered nothing
+        self.is_unresponsive = False  # ejected after it had answered nothing
         self.health_check_passed = False  # since its last ejection
 
     def record_success(self, us_per_token: float, now_us: int) -> None:
@@ -112,12 +113,13 @@
             self.ejection_level -= 1
 
     def record_failure(self, kind: FailureKind, sent_at_us: int, now_us: int) -> None:
-        """Count a failed attempt, and eject the server if that is one too many.
+        """Count a failed attempt or health check, and eject the server if a limit is reached.
 
-        A server that has answered nothing since the attempt was sent is ejected at once.
+        If there was no answer, a server that has answered nothing since the send is ejected at
+        once.
         """
         # Prevents ejecting healthy servers for a fault that resets a share of all connections:
-        # a reset weighs less, and does not fail a trial.
+        # a reset weighs less and does not fail a trial.
         reset = kind is FailureKind.CONNECTION_RESET
         self.failure_rate = moving_average(
             self.failure_rate, 1, RESET_WEIGHT if reset else FAILURE_WEIGHT
@@ -126,11 +128,11 @@
         unresponsive = no_answer and self.last_answer_us < sent_at_us
         trial_failed = self.ejection_level > 0 and not reset
         if unresponsive or trial_failed or self.failure_rate >= FAILURE_RATE_LIMIT:
-            # Prevents a long ejection for what may be no more than a queue.
+            # Prevents a long ejection after a cancellation, whose cause may be just a queue.
             self.eject(now_us, unresponsive=unresponsive, brief=kind is FailureKind.CANCELLED)
 
     def eject(self, now_us: int, *, unresponsive: bool, brief: bool = False) -> None:
-        """Give the server no work for a time that grows with each failed return."""
+        """Give the server no work for a time that doubles with each failed trial."""
         if now_us < self.ejected_until_us:
             return
         short = brief or self.settings.routers < MANY_ROUTERS
@@ -145,7 +147,7 @@
         self.reported_in_flight = None
 
     def record_health_check(self, now_us: int) -> None:
-        """Open the trial of an ejected server whose health check has passed."""
+        """Let an ejected server begin its trial, as its health check has passed."""
         if self.ejection_level:
             self.health_check_passed = True
             self.ejected_until_us = min(self.ejected_until_us, now_us)
--- a/onyxpass/scheduling/prefill_selection.py
+++ b/onyxpass/scheduling/prefill_selection.py
@@ -1,4 +1,4 @@
-"""Chooses the server that prefills a request's prompt, or lets the request wait."""
+"""Selects the server that prefills a request's prompt, or lets the request wait."""
 
 from onyxpass.scheduling import contract
 from onyxpass.scheduling.candidates import CandidateFilter
@@ -12,17 +12,21 @@
 from onyxpass.scheduling.server_pool import ServerPool
 from onyxpass.scheduling.server_state import PREFILL_OVERHEAD_TOKENS, ServerState
 
-# Sends beyond the median before a match is passed by; 4 and 4 / routers measured worse overall.
+# Requests in flight above the median before a match is passed over; 4 and 4 / routers gave worse
+# results overall.
 MIN_QUEUE_EXCESS = 2.0
-MIXED_EXCESS_UTILIZATION = 0.05  # by which a mixed server may be fuller than decode servers
+MIXED_EXCESS_UTILIZATION = 0.05  # by which a mixed server may exceed the mean of decode servers
 PLANNED_OBJECTIVE_SHARE = 0.8  # of the latency objective that may be planned for a prefill
 
 
-def escape_overload(matched: ServerState, ready: list[ServerState]) -> ServerState:
-    """Return the matched server, or the least busy one if the match is clearly busier than most."""
-    typical = median([server.in_flight() for server in ready])
-    here = matched.in_flight()
-    if here > 2 * typical and here > typical + MIN_QUEUE_EXCESS:
+def divert_if_overloaded(matched: ServerState, ready: list[ServerState]) -> ServerState:
+    """Return the matched server, or the least busy one if the match is far above the median."""
+    median_in_flight = median([server.in_flight() for server in ready])
+    matched_in_flight = matched.in_flight()
+    if (
+        matched_in_flight > 2 * median_in_flight
+        and matched_in_flight > median_in_flight + MIN_QUEUE_EXCESS
+    ):
         return min(
             ready, key=lambda server: (server.in_flight(), sum(server.pending_tokens.values()))
         )
@@ -30,7 +34,7 @@
 
 
 class PrefillSelector:
-    """Selects by prefix affinity, unless the queue there is too long for the objective."""
+    """Selects by prefix affinity, unless the queue at the match is too long for the objective."""
 
     def __init__(
         self,
@@ -46,16 +50,16 @@
         self.reconfigure(pool.settings)
 
     def reconfigure(self, settings: contract.Settings) -> None:
-        """Work out, for each class, the shortest objective of classes of as high a priority."""
-        # With many routers the queue is not this router's to keep short.
+        """Compute for each class the shortest objective among classes of at least its priority."""
+        # With many routers, one router alone cannot keep a queue short.
         classes = settings.classes if settings.routers < MANY_ROUTERS else ()
         self._shortest_objective_us = {
-            one.name: min(
+            traffic_class.name: min(
                 other.latency_objective_us
                 for other in classes
-                if other.priority_weight >= one.priority_weight
+                if other.priority_weight >= traffic_class.priority_weight
             )
-            for one in classes
+            for traffic_class in classes
         }
 
     def select(self, request: RequestState, now_us: int) -> ServerState | None:
@@ -65,9 +69,9 @@
             return None
         ranked = rank_by_rendezvous(shared_key(request.arrival), ready)
         if self._pool.many_routers:
-            ready = ranked  # of equally busy servers the prefix's next owner, else one for all
+            ready = ranked  # ties go to the prefix's next owner, not to one server for all
         matched, cached_tokens = self._affinity.match(request, ranked, now_us)
-        target = escape_overload(matched, ready)
+        target = divert_if_overloaded(matched, ready)
         if request.attempts:
             return target
         tokens = request.arrival.prompt_tokens
@@ -79,11 +83,11 @@
             )
             for server in ready
         }
-        # A prompt's own length is no queue.
-        least_us = min(baselines.values()) * (PREFILL_OVERHEAD_TOKENS + tokens)
-        left_us = max(self._time_left_us(request, now_us), least_us)
-        # Prevents queues: what can't be in time at its match goes to the quickest server, else it
-        # waits.
+        # The time for the prompt itself does not count as a queue.
+        unloaded_us = min(baselines.values()) * (PREFILL_OVERHEAD_TOKENS + tokens)
+        left_us = max(self._time_left_us(request, now_us), unloaded_us)
+        # Prevents queues: a request that would be late at its target goes to the quickest server,
+        # and waits if it would be late there too.
         if expected_us[target] <= left_us:
             return target
         quickest = min(ready, key=expected_us.__getitem__)
@@ -103,7 +107,7 @@
         return readmitted or self._without_full_mixed(ready, now_us)
 
     def _without_full_mixed(self, ready: list[ServerState], now_us: int) -> list[ServerState]:
-        """Leave out mixed servers that are fuller than decode servers are."""
+        """Return ``ready`` without mixed servers fuller than decode servers, unless all are."""
         # Prevents overload of a mixed server that owns a popular prefix.
         decode = self._pool.healthy(now_us, Role.DECODE)
         mixed = self._pool.available[Role.MIXED]
@@ -119,10 +123,10 @@
         ] or ready
 
     def _time_left_us(self, request: RequestState, now_us: int) -> float:
-        """Return the time that a prefill may take, for this request and for those behind it."""
+        """Return the time a prefill may take without making this or later requests late."""
         queue_us = self._baselines.decode_queue_us(now_us)
-        # Prevents a prefill that makes requests late which are of as high a priority and have a
-        # shorter objective.
+        # Prevents a prefill that delays requests of at least the same priority and with a shorter
+        # objective.
         objective_us = request.latency_objective_us
         shortest_us = self._shortest_objective_us.get(request.traffic_class.name, objective_us)
         waited_us = now_us - request.arrived_us
--- a/onyxpass/scheduling/prefix_affinity.py
+++ b/onyxpass/scheduling/prefix_affinity.py
@@ -1,9 +1,9 @@
-"""Prefix affinity: which prefill server likely has a prompt's start cached, and who owns it.
+"""Prefix affinity: which prefill server likely has a prompt's prefix cached, or owns it.
 
-The table holds, for sessions and for prefixes that prompts share, the server that last read them.
-What it does not hold goes to the owners of the key by rendezvous hashing: one owner with few
-routers; several with many routers, where none of them sees the queue at a popular prefix's server.
-Each router owns one table.
+The table maps sessions and shared prefixes to the server that last prefilled them. A key that is
+not in the table belongs to its owners by rendezvous hashing: one owner with few routers, several
+with many routers, since none of those sees the queue at the server of a popular prefix. Each router
+owns one table.
 """
 
 import math
@@ -15,11 +15,11 @@
 from onyxpass.scheduling.server_pool import ServerPool
 from onyxpass.scheduling.server_state import ServerState
 
-MAX_ENTRIES = 20_000  # some minutes of sessions at hundreds of requests a second
-ENTRY_TTL_US = 30_000_000  # a prefix unread for so long has likely been evicted
-RECENT_REQUESTS = 30  # by which the popularity of a prefix is judged
+MAX_ENTRIES = 20_000  # some minutes of sessions at hundreds of requests per second
+ENTRY_TTL_US = 30_000_000  # a prefix unused for this long has likely been evicted by the server
+RECENT_REQUESTS = 30  # over which the popularity of a prefix is measured
 MIN_OWNERS = 4  # of a prefix, where there are many routers
-OWNER_LOAD = 0.5  # that a popular prefix may bring an owner, of an even load
+MAX_OWNER_LOAD_SHARE = 0.5  # of an even load, that a popular prefix may add to an owner
 
 
 def shared_key(arrival: Arrival) -> str:
@@ -41,11 +41,11 @@
         self.recent_prefixes.append(shared_key(arrival))
 
     def store(self, request: RequestState, server: ServerState, now_us: int) -> None:
-        """Record that the server has read the request's prompt, and drop what has expired."""
+        """Record that the server has prefilled the request's prompt, and drop expired entries."""
         for key, tokens in request.prefix_keys.items():
             self.entries[key] = (server, now_us, tokens)
             self.entries.move_to_end(key)
-        # Prevents a table that grows all day with sessions that have ended.
+        # Prevents the table from growing with sessions that have ended.
         while (
             len(self.entries) > MAX_ENTRIES
             or now_us - next(iter(self.entries.values()))[1] > ENTRY_TTL_US
@@ -55,10 +55,10 @@
     def match(
         self, request: RequestState, ranked: list[ServerState], now_us: int
     ) -> tuple[ServerState, int]:
-        """Return the server with the deepest known prefix and the tokens it likely has cached.
+        """Return the server with the longest known prefix and the tokens it likely has cached.
 
-        Where nothing is known it is the request's owner, with 0 tokens. ``ranked`` are the eligible
-        servers in the order of rendezvous hashing.
+        If no prefix is known, this is the request's owner, with 0 tokens. ``ranked`` are the
+        eligible servers in the order of rendezvous hashing.
         """
         owners = ranked[: self._owner_count(request.arrival, len(ranked))]
         owner = rank_by_rendezvous(request.arrival.session, owners)[0]
@@ -79,16 +79,20 @@
         """Return whether the server is still listed and has not restarted."""
         return self._pool.servers.get(server.id) is server
 
-    def _owner_count(self, arrival: Arrival, eligible: int) -> int:
-        """Return how many servers own the prefix: the more popular it surely is, the more."""
+    def _owner_count(self, arrival: Arrival, eligible_count: int) -> int:
+        """Return how many servers own the prefix, which grows with its popularity.
+
+        The popularity is a lower estimate: the count less its standard error.
+        """
         if not self._pool.many_routers:
             return 1
-        seen = self.recent_prefixes.count(shared_key(arrival))
-        among = max(RECENT_REQUESTS / 3, len(self.recent_prefixes))
-        popularity = (seen - math.sqrt(seen)) / among * eligible
-        # What is not shared is read anew anywhere: the less is shared, the more owners may be.
+        count = self.recent_prefixes.count(shared_key(arrival))
+        sample_size = max(RECENT_REQUESTS / 3, len(self.recent_prefixes))
+        popularity = (count - math.sqrt(count)) / sample_size * eligible_count
+        # Every server prefills the unshared tokens anew: the fewer tokens are shared, the less it
+        # costs to have more owners.
         own_tokens = arrival.prompt_tokens - arrival.prefix_tokens
-        spread = MIN_OWNERS * own_tokens / max(1, arrival.prefix_tokens)
-        # Powers of two, so that routers which saw the prefix more or less often agree.
-        wanted = max(1.0, popularity / OWNER_LOAD, spread)
+        unshared_owners = MIN_OWNERS * own_tokens / max(1, arrival.prefix_tokens)
+        # Powers of two let routers agree although they saw the prefix more or less often.
+        wanted = max(1.0, popularity / MAX_OWNER_LOAD_SHARE, unshared_owners)
         return max(MIN_OWNERS, 1 << round(math.log2(wanted)))
--- a/onyxpass/scheduling/rendezvous.py
+++ b/onyxpass/scheduling/rendezvous.py
@@ -1,4 +1,4 @@
-"""Weighted rendezvous hashing: every router ranks the servers for a key alike.
+"""Weighted rendezvous hashing: all routers rank the servers for a key in the same order.
 
 A server that leaves moves only its own keys, since the draw of a server for a key depends on
 nothing else. The module keeps no state.
@@ -12,7 +12,7 @@
 
 
 class WeightedServer(Protocol):
-    """What rendezvous hashing needs to know of a server."""
+    """The attributes of a server that rendezvous hashing uses."""
 
     id: str
     rendezvous_weight: float
--- a/onyxpass/scheduling/router.py
+++ b/onyxpass/scheduling/router.py
@@ -1,7 +1,7 @@
-"""The router: takes events with the time and returns actions, without I/O.
+"""The router: takes timestamped events and returns actions, without I/O.
 
-It passes each event to the modules that decide and has no rule of its own. A router owns all its
-state: the requests that wait or have an attempt in flight, and what its parts keep.
+It passes each event to the modules that make the decisions and makes none itself. A router owns all
+its state: the requests that wait or have an attempt in flight, and the state of its components.
 """
 
 from collections.abc import Callable
@@ -21,16 +21,17 @@
 from onyxpass.scheduling.prefill_selection import PrefillSelector
 from onyxpass.scheduling.prefix_affinity import PrefixAffinityTable
 from onyxpass.scheduling.request_state import RequestState
-from onyxpass.scheduling.retry_policy import TICK_US, RetryPolicy
+from onyxpass.scheduling.retry_policy import TIMER_INTERVAL_US, RetryPolicy
 from onyxpass.scheduling.server_pool import ServerPool
 from onyxpass.scheduling.server_state import ServerState
 from onyxpass.scheduling.slow_start import SlowStart
 
 
 class Router:
-    """Decides on requests: feed it events with the time, carry out its actions in order.
+    """Makes the scheduling decisions of one dispatcher.
 
-    ``seed`` is not used: routers that see the same decide the same.
+    The caller passes it events with their time and carries out its actions in order. ``seed`` is
+    not used: routers with the same settings and events decide alike.
     """
 
     def __init__(self, settings: contract.Settings, seed: int = 0) -> None:  # noqa: ARG002
@@ -52,7 +53,7 @@
             self.requests, self.pool, self.slow_start, self.baselines, self.affinity
         )
         self._now_us = 0
-        self._ticking = False
+        self._timer_set = False
         self._actions: list[contract.Action] = []
         self._handlers: dict[type, Callable[[Any], None]] = {
             contract.Arrival: self._on_arrival,
@@ -73,23 +74,23 @@
         return self.pool.servers
 
     def avoided(self, now_us: int) -> set[str]:
-        """Return the servers that get nothing now, excluded by operators or ejected."""
+        """Return the ids of the servers that get no work now, as they are excluded or ejected."""
         return self.pool.avoided(now_us)
 
     def handle(self, now_us: int, event: contract.Event) -> list[contract.Action]:
-        """Take one event and return what to do about it, in order."""
+        """Handle one event and return the actions to carry out, in order."""
         self._now_us = now_us
         self._actions = []
         if handler := self._handlers.get(type(event)):
             handler(event)
-        # Any event may bring what ticks look at.
-        if not (self._ticking or isinstance(event, contract.TimerFired)):
-            self._ticking = True
-            self._actions.append(contract.SetTimer(0, TICK_US))
+        # Any event may leave work for the timer.
+        if not (self._timer_set or isinstance(event, contract.TimerFired)):
+            self._timer_set = True
+            self._actions.append(contract.SetTimer(0, TIMER_INTERVAL_US))
         return self._actions
 
     def _on_settings_changed(self, event: contract.SettingsChanged) -> None:
-        # Requests under way keep the class that they came with.
+        # Requests in progress keep the traffic class that they arrived with.
         self.pool.settings = event.settings
         self.slow_start.settings = event.settings
         self.admission.reconfigure(event.settings)
@@ -165,7 +166,8 @@
         self._actions.append(contract.SendAttempt(id_, server.id, timeout_us))
 
     def _on_stream_started(self, event: contract.StreamStarted) -> None:
-        request = self.requests.pop(event.id, None)  # the stream is the client's now
+        # A request whose answer has begun needs no further decision.
+        request = self.requests.pop(event.id, None)
         if request is None:
             return
         now_us = self._now_us
@@ -178,7 +180,7 @@
         throttle.record_latency(request.answered_attempts_us / objective_us)
 
     def _on_stream_adopted(self, event: contract.StreamAdopted) -> None:
-        # It uses memory there all the same.
+        # The stream uses the server's memory although another process began it.
         if server := self.pool.servers.get(event.server):
             server.streams[event.id] = (self._now_us, event.tokens)
 
@@ -197,14 +199,14 @@
         server = request.server if request else None
         if request is None or server is None or request.attempts != event.attempt + 1:
             if event.status is AttemptStatus.PREFILLED:
-                # Its request has ended: nobody will fetch the state.
+                # The request has ended, so no server will fetch the state.
                 self._actions.append(contract.ReleaseState(event.id))
             return
         self.outcomes.record_outcome(request, server, known, event, self._now_us)
         request.server = None
         invalid = event.status is AttemptStatus.INVALID_REQUEST
         if invalid:
-            # Prevents attempts at other servers, which would be blamed for what none would take.
+            # Prevents attempts at other servers, which would reject it too and be blamed for it.
             self._actions.append(contract.Fail(event.id))
         if event.final or invalid:
             self._end(request)
@@ -214,12 +216,12 @@
     def _after_attempt(
         self, request: RequestState, server: ServerState, event: contract.AttemptOutcome
     ) -> None:
-        """Go on after an attempt that did not end the request: fetch the state, retry or answer."""
+        """Continue a request after an attempt: fetch its state, retry it or give a final answer."""
         request.attempted_servers.add(event.server)
         self.retries.update_state_holder(request, server, event, self._now_us)
         holder = request.state_holder
         if not holder:
-            # Releases whatever a prefill server that was cut off may still hold.
+            # Releases the state that an unreachable prefill server may still hold.
             self._actions.append(contract.ReleaseState(event.id))
         request.record_possible_run(server, event.status)
         sent = False
@@ -234,7 +236,7 @@
         self._end(request)
 
     def _end(self, request: RequestState) -> None:
-        """Forget the request, cancel an attempt in flight and release its state."""
+        """Remove the request, cancel its attempt in flight and release its state."""
         id_ = request.arrival.id
         self.requests.pop(id_, None)
         if request.server and self.pool.settings.cancellation_allowed:
@@ -244,18 +246,18 @@
 
     def _on_timer(self, _: contract.TimerFired) -> None:
         now_us = self._now_us
-        untested = self.health_checks.untested()
-        # Prevents hundreds of idle routers from ticking for nothing.
-        if not (self.requests or untested or self.polling.is_scheduled):
-            self._ticking = False
+        awaiting_health_check = self.health_checks.awaiting_health_check()
+        # Prevents hundreds of idle routers from waking up for nothing.
+        if not (self.requests or awaiting_health_check or self.polling.is_scheduled):
+            self._timer_set = False
             return
-        self._actions.append(contract.SetTimer(0, TICK_US))
+        self._actions.append(contract.SetTimer(0, TIMER_INTERVAL_US))
         self._actions.extend(self.polling.due(self.pool.settings, now_us))
-        self._actions.extend(self.health_checks.before_trials(untested, now_us))
+        self._actions.extend(self.health_checks.before_trials(awaiting_health_check, now_us))
         if self.pool.settings.cancellation_allowed:
             self._cancel_lost_attempts()
         waiting = [request for request in self.requests.values() if not request.attempts]
-        for request in sorted(waiting, key=lambda one: (-one.priority, one.arrived_us)):
+        for request in sorted(waiting, key=lambda state: (-state.priority, state.arrived_us)):
             self._begin_or_wait(request)
 
     def _cancel_lost_attempts(self) -> None:
--- a/onyxpass/scheduling/server_pool.py
+++ b/onyxpass/scheduling/server_pool.py
@@ -1,4 +1,4 @@
-"""The servers that one router knows: which there are, which may get work, which are healthy.
+"""The servers that one router knows: those listed, those that may get work, the healthy ones.
 
 The pool follows the endpoint list and the operators' exclusions. It owns all ``ServerState``s of
 its router, and belongs to that router alone.
@@ -10,7 +10,7 @@
 from onyxpass.scheduling.outlier_detection import MANY_ROUTERS
 from onyxpass.scheduling.server_state import ServerState
 
-MIN_RENDEZVOUS_SHARE = 0.2  # of a mixed server, and of one whose weight is low
+MIN_RENDEZVOUS_SHARE = 0.2  # for a mixed server, and for one of low weight in the list
 
 
 class ServerPool:
@@ -18,22 +18,22 @@
 
     def __init__(self, settings: contract.Settings) -> None:
         self.settings = settings
-        # As at the start: settings that change later do not change which rules apply.
+        # Fixed at the start: settings that change later do not change which rules apply.
         self.many_routers = settings.routers >= MANY_ROUTERS
         self.servers: dict[str, ServerState] = {}
         self.available: dict[Role, list[ServerState]] = {role: [] for role in Role}  # by id
         self.excluded: set[str] = set()  # by operators, listed or not
         self.prefill_to_memory: dict[object, float] = {}  # by zone and by cell
         self._kinds = {kind.name: kind for kind in settings.kinds}
-        # By role, the most capacity that shared its work lately, in servers, and till when it holds
+        # By role: the peak capacity in servers that recently shared its work, and when it expires
         self._peak_capacity = dict.fromkeys(Role, (1.0, 0))
 
     def peak_capacity(self, role: Role) -> float:
-        """Return how many servers shared the work of this role before some left."""
+        """Return how many servers shared the work of this role before some of them left."""
         return self._peak_capacity[role][0]
 
     def apply_update(self, update: contract.EndpointUpdate, now_us: int) -> None:
-        """Take over an update of the endpoint list."""
+        """Apply an update of the endpoint list."""
         if update.form in (EndpointUpdateForm.PERSISTED, EndpointUpdateForm.COMPLETE):
             listed = (endpoint.id for endpoint in update.endpoints)
             self.servers = {id_: self.servers[id_] for id_ in listed if id_ in self.servers}
@@ -44,24 +44,24 @@
             elif known and known.endpoint.started_us == endpoint.started_us:
                 known.endpoint = endpoint
             else:
-                self._renew(endpoint, known)
+                self._replace_state(endpoint, known)
         self._rebuild(now_us)
 
     def exclude(self, event: contract.Exclusion, now_us: int) -> None:
-        """Take a server out of use, or put it back."""
+        """Exclude a server or readmit it."""
         if event.excluded:
             self.excluded.add(event.server)
         else:
             self.excluded.discard(event.server)
             if known := self.servers.get(event.server):
-                # Prevents old beliefs and a rush: what is put back goes through slow start.
-                fresh = self._renew(known.endpoint, known)
+                # Prevents outdated health data and a burst: the server goes through slow start.
+                fresh = self._replace_state(known.endpoint, known)
                 fresh.readmitted_us = now_us
                 fresh.awaits_first_work = True
         self._rebuild(now_us)
 
-    def _renew(self, endpoint: contract.Endpoint, known: ServerState | None) -> ServerState:
-        """Start a state anew: beliefs go, but what is in flight will still end."""
+    def _replace_state(self, endpoint: contract.Endpoint, known: ServerState | None) -> ServerState:
+        """Replace a server's state, and keep only its attempts in flight and its readmission."""
         fresh = ServerState(endpoint, self._kinds.get(endpoint.kind), self.settings)
         self.servers[endpoint.id] = fresh
         if known:
@@ -72,7 +72,7 @@
         return fresh
 
     def _rebuild(self, now_us: int) -> None:
-        """Work out what follows from the servers that there are."""
+        """Recompute the available servers, the capacities and the weights."""
         self.available = {role: [] for role in Role}
         for _, server in sorted(self.servers.items()):
             up = server.endpoint.condition is EndpointCondition.UP
@@ -97,10 +97,10 @@
         else:
             shared = (prefill, decode, mixed)
         for role, capacity in zip(Role, shared, strict=True):
-            peak, until_us = self._peak_capacity[role]
-            if capacity >= peak or now_us > until_us:
-                until_us = now_us + self.settings.slow_start_duration_us
-                self._peak_capacity[role] = (max(1.0, capacity), until_us)
+            peak, expires_us = self._peak_capacity[role]
+            if capacity >= peak or now_us > expires_us:
+                expires_us = now_us + self.settings.slow_start_duration_us
+                self._peak_capacity[role] = (max(1.0, capacity), expires_us)
 
     def _update_rendezvous_weights(self) -> None:
         # Prevents mixed servers from answering more than decode servers do, since they answer all
@@ -119,7 +119,7 @@
         available = [server for role in roles for server in self.available[role]]
         healthy = [server for server in available if server.is_healthy(now_us)]
         if 2 * len(healthy) < len(available):
-            # Most look ill: the cause is likely shared, so use all that answer.
+            # Most look unhealthy: the cause is likely shared, so all that answer are used.
             healthy = [
                 server
                 for server in available
@@ -129,7 +129,7 @@
         return healthy
 
     def avoided(self, now_us: int) -> set[str]:
-        """Return the servers that get nothing now, excluded by operators or ejected."""
+        """Return the ids of the servers that get no work now, as they are excluded or ejected."""
         used = {server.id for server in self.healthy(now_us, Role.PREFILL, Role.MIXED)}
         used |= {server.id for server in self.healthy(now_us, Role.DECODE, Role.MIXED)}
         available = {server.id for servers in self.available.values() for server in servers}
--- a/onyxpass/scheduling/server_state.py
+++ b/onyxpass/scheduling/server_state.py
@@ -1,4 +1,4 @@
-"""What one router knows of one server: its endpoint, its load, its health.
+"""The state of one server as one router knows it: its endpoint, load and health.
 
 The router that made a ``ServerState`` owns it and is the only one to change it.
 """
@@ -12,9 +12,9 @@
 from onyxpass.scheduling.slow_start import slow_start_factor
 from onyxpass.scheduling.stable_hash import stable_hash
 
-PREFILL_OVERHEAD_TOKENS = 1_500  # what a prefill costs besides its own tokens
-DEFAULT_MEMORY_TOKENS = 150_000  # memory of a server whose kind does not say
-MAX_UTILIZATION = 2.0  # above which a report makes no sense
+PREFILL_OVERHEAD_TOKENS = 1_500  # fixed cost of a prefill, as a number of tokens
+DEFAULT_MEMORY_TOKENS = 150_000  # memory of a server whose kind does not state it
+MAX_PLAUSIBLE_UTILIZATION = 2.0  # a reported utilization above this is ignored
 
 
 class ServerState(HealthRecord):
@@ -45,19 +45,19 @@
         super().__init__(settings)
         self.id = endpoint.id
         self.endpoint = endpoint
-        # Of equal decode servers each router prefers another.
+        # Makes routers prefer different servers among equal decode servers.
         self.tie_breaker = stable_hash(f"{settings.ordinal}|{endpoint.id}")
         self.role = kind.role if kind else Role.MIXED
         self.memory_tokens = (kind.memory_tokens if kind else 0) or DEFAULT_MEMORY_TOKENS
         self.rendezvous_weight = 1.0
-        # Requests sent to decode, till they end: when, and their tokens.
+        # By request sent to decode, until it ends: send time and tokens.
         self.streams: dict[int, tuple[int, int]] = {}
-        self.overloaded_at_us: dict[str, int] = {}  # by traffic class: its last rejection here
+        self.overloaded_at_us: dict[str, int] = {}  # by traffic class: when it was last rejected
         self.memory_utilization = 0.0  # as last reported
         self.utilization_reported_us = -1
         self.last_health_check_us = -1
-        self.readmitted_us = -1  # when operators put it back
-        self.awaits_first_work = False  # put back by operators, and not yet sent anything
+        self.readmitted_us = -1  # when operators readmitted the server
+        self.awaits_first_work = False  # readmitted by operators and sent no attempt since
 
     def in_flight(self) -> float:
         """Return the requests in flight as reported, else those of this router."""
@@ -71,39 +71,40 @@
         return (here.zone, here.cell) != (near.zone, near.cell), here.zone != near.zone
 
     def expected_prefill_us(self, tokens: int, now_us: int, baseline: float = 0.0) -> float:
-        """Return the time that a prefill of so many tokens likely takes.
+        """Return the expected time of a prefill of ``tokens`` tokens.
 
-        ``baseline`` is the time per token of an unloaded server of its kind. An old queue is
-        believed less and less.
+        ``baseline`` is the time per token of an unloaded server of its kind. An observed queue
+        counts less as it ages.
         """
-        # Prevents choosing a server that seems quickest because it has answered nothing.
+        # Prevents choosing a server that seems quickest only because it has answered nothing.
         if self.sample_count:
-            least = min(baseline, self.us_per_token)
+            unloaded = min(baseline, self.us_per_token)
         else:
-            least = baseline / self.slow_start_factor(now_us)
+            unloaded = baseline / self.slow_start_factor(now_us)
         if self.pending_tokens:
             freshness = 1.0
         else:
             freshness = 0.5 ** ((now_us - self.last_answer_us) / QUEUE_HALF_LIFE_US)
-        us_per_token = least + max(0.0, self.us_per_token - least) * freshness
+        us_per_token = unloaded + max(0.0, self.us_per_token - unloaded) * freshness
         return us_per_token * (PREFILL_OVERHEAD_TOKENS + tokens + sum(self.pending_tokens.values()))
 
     def slow_start_factor(self, now_us: int) -> float:
-        """Return the share of its capacity that the server has at least (1.0: warm)."""
+        """Return the least share of its capacity that the server has (1.0: warm)."""
         since_us = max(self.endpoint.started_us or -1, self.readmitted_us)
         if since_us < 0:
             return 1.0
         return slow_start_factor(self.settings, since_us, now_us)
 
     def record_report(self, report: contract.LoadReport | None, now_us: int) -> None:
-        """Take over what makes sense of a load report.
+        """Record the plausible values of a load report.
 
-        A value that is absent, negative or not finite is passed over.
+        A value that is absent, negative or not finite is ignored, and so is a utilization above
+        ``MAX_PLAUSIBLE_UTILIZATION``.
         """
         if report is None:
             return
         utilization = report.memory_utilization
-        if utilization is not None and 0 <= utilization <= MAX_UTILIZATION:
+        if utilization is not None and 0 <= utilization <= MAX_PLAUSIBLE_UTILIZATION:
             self.memory_utilization = utilization
             self.utilization_reported_us = now_us
         in_flight = report.in_flight
--- a/onyxpass/scheduling/stable_hash.py
+++ b/onyxpass/scheduling/stable_hash.py
@@ -1,4 +1,4 @@
-"""A hash that is the same in every process, for what all routers must decide alike."""
+"""A hash that is the same in every process, for decisions that all routers make alike."""
 
 import hashlib
 
--- a/onyxpass/simulator_adapter.py
+++ b/onyxpass/simulator_adapter.py
@@ -1,7 +1,7 @@
-"""The simulator's wire on standard input and output, mapped to the contract and back.
+"""Adapter between the simulator's protocol on standard input and output and the routers.
 
-Each line is a batch of events for many instances. Each instance has a router of its own, made by
-``begin`` and dropped by ``kill``. The adapter owns the routers and decides nothing.
+Each line is a batch of events for many instances. Each instance has a router of its own, created by
+``begin`` and dropped by ``kill``. The adapter owns the routers and makes no decisions.
 """
 
 import json
@@ -12,8 +12,8 @@
 from onyxpass.scheduling import contract
 from onyxpass.scheduling.router import Router
 
-# The wire's words and the contract's
-STATUSES = {
+# The names on the wire and their meaning in the contract
+ATTEMPT_STATUSES = {
     "ok": contract.AttemptStatus.COMPLETED,
     "error": contract.AttemptStatus.ERROR,
     "full": contract.AttemptStatus.OVERLOADED,
@@ -24,7 +24,7 @@
     "moot": contract.AttemptStatus.NOT_SENT,
     "READ": contract.AttemptStatus.PREFILLED,
 }
-FORMS = {
+UPDATE_FORMS = {
     "Partial": contract.EndpointUpdateForm.DELTA,
     "Complete": contract.EndpointUpdateForm.COMPLETE,
     "Persisted": contract.EndpointUpdateForm.PERSISTED,
@@ -40,9 +40,9 @@
 
 
 class WireError(ValueError):
-    """A line or event that the wire does not allow.
+    """A line or event that violates the simulator's protocol.
 
-    ``fault`` says what is wrong, ``cause`` is the error that showed it, if any.
+    ``fault`` describes the violation, ``cause`` is the exception that revealed it, if any.
     """
 
     def __init__(self, fault: str, cause: Exception | None = None) -> None:
@@ -66,9 +66,9 @@
 
 
 def read_report(fields: list[str], values: list[Any] | None) -> contract.LoadReport | None:
-    """Return the load report with these values, None if there are none.
+    """Return the load report with these values, or None if there are none.
 
-    ``fields`` are the wire's names of the values; fields unknown to the contract are passed over.
+    ``fields`` are the names of the values on the wire; unknown names are ignored.
     """
     if not values:
         return None
@@ -80,41 +80,41 @@
     return contract.LoadReport(**named)
 
 
-def read_arrival(e: list[Any]) -> contract.Arrival:
-    """Return the request that a ``knock`` describes."""
+def read_arrival(event: list[Any]) -> contract.Arrival:
+    """Return the request that a ``knock`` event describes."""
     return contract.Arrival(
-        id=e[2],
-        traffic_class=str(e[3]),
-        tenant=e[4] or None,
-        session=str(e[5]),
-        deadline_us=int(e[6]),
-        expected_stream_us=int(e[7]) if e[7] is not None else None,
-        prefix=e[8] or None,
-        prompt_tokens=int(e[9] or 0),
-        prefix_tokens=int(e[10] or 0),
-        max_tokens=int(e[11] or 0),
-        is_retry=bool(e[12]),
-        resumed=bool(e[13]),
+        id=event[2],
+        traffic_class=str(event[3]),
+        tenant=event[4] or None,
+        session=str(event[5]),
+        deadline_us=int(event[6]),
+        expected_stream_us=int(event[7]) if event[7] is not None else None,
+        prefix=event[8] or None,
+        prompt_tokens=int(event[9] or 0),
+        prefix_tokens=int(event[10] or 0),
+        max_tokens=int(event[11] or 0),
+        is_retry=bool(event[12]),
+        resumed=bool(event[13]),
     )
 
 
-def read_outcome(e: list[Any], fields: list[str]) -> contract.AttemptOutcome:
-    """Return the end of an attempt that a ``completed`` describes."""
+def read_outcome(event: list[Any], fields: list[str]) -> contract.AttemptOutcome:
+    """Return the end of an attempt that a ``completed`` event describes."""
     return contract.AttemptOutcome(
-        id=e[2],
-        attempt=int(e[3]),
-        server=str(e[4]),
-        status=STATUSES[e[5]],
-        elapsed_us=int(e[6] or 0),
-        final=bool(e[7]),
-        note=int(e[8] or 0),
-        report=read_report(fields, e[9]),
+        id=event[2],
+        attempt=int(event[3]),
+        server=str(event[4]),
+        status=ATTEMPT_STATUSES[event[5]],
+        elapsed_us=int(event[6] or 0),
+        final=bool(event[7]),
+        note=int(event[8] or 0),
+        report=read_report(fields, event[9]),
     )
 
 
 def write_action(instance: int, action: contract.Action) -> list[Any]:  # noqa: PLR0911
-    """Return an action of this instance as the wire has it."""
-    # One return for each form of the wire, which reads better than a table of functions.
+    """Return the wire form of an action of this instance."""
+    # One return for each form reads better than a table of functions.
     match action:
         case contract.SendAttempt(request, server, timeout_us):
             return ["transmit", instance, request, server, timeout_us]
@@ -143,13 +143,13 @@
 
     def __init__(self) -> None:
         self._routers: dict[int, Router] = {}
-        self._report_fields: dict[int, list[str]] = {}  # by instance: its load reports' fields
+        self._report_fields: dict[int, list[str]] = {}  # by instance: the fields of load reports
         self._endpoint_lists: dict[int, tuple[contract.Endpoint, ...]] = {}
 
     def answer(self, line: str) -> str:
         """Handle the events of one line and return the line with the actions.
 
-        Raises ``WireError`` for a line that is no batch or has an event that is none.
+        Raises ``WireError`` for a line that is not a batch or contains an invalid event.
         """
         try:
             message = json.loads(line)
@@ -157,16 +157,16 @@
             number = message["batch"]
             events = message["happened"]
         except (ValueError, KeyError, TypeError) as error:
-            raise WireError("not a batch", error) from error
+            raise WireError("line is not a batch of events", error) from error
         if not isinstance(events, list) or not isinstance(number, int):
-            raise WireError("a batch needs a number and an array of events")
+            raise WireError("a batch needs an integer number and an array of events")
         outbox: list[list[Any]] = []
         for event in events:
             self._handle(now_us, event, outbox)
         return json.dumps({"batch": number, "outbox": outbox}, separators=(",", ":"))
 
     def _handle(self, now_us: int, wire_event: list[Any], outbox: list[list[Any]]) -> None:
-        """Pass one event to its instance and append the instance's actions."""
+        """Pass one event to its instance and append the instance's actions to ``outbox``."""
         try:
             name = str(wire_event[0])
             number = int(wire_event[1])
@@ -175,64 +175,74 @@
             router = self._routers[number]
             event = self._read_event(name, number, wire_event)
         except (ValueError, KeyError, TypeError, IndexError, AttributeError) as error:
-            raise WireError(f"not an event: {str(wire_event)[:200]}", error) from error
+            raise WireError(f"invalid event: {str(wire_event)[:200]}", error) from error
         try:
             outbox.extend(write_action(number, action) for action in router.handle(now_us, event))
         except Exception as error:  # noqa: BLE001
-            # The wire has its own form for a fault in the decision code, of whatever type.
+            # The protocol has a form of its own for any exception in the decision code.
             outbox.append(["bailOut", number, f"{type(error).__name__}: {error}"])
 
-    def _handle_setup(self, name: str, number: int, e: list[Any]) -> bool:
-        """Handle what sets up server lists and instances; return whether the event was that."""
+    def _handle_setup(self, name: str, number: int, event: list[Any]) -> bool:
+        """Handle an event that changes the server lists or instances; return whether it is one."""
         match name:
             case "list":
-                self._endpoint_lists[number] = tuple(read_endpoint(entry) for entry in e[2])
+                self._endpoint_lists[number] = tuple(read_endpoint(entry) for entry in event[2])
             case "begin":
-                self._report_fields[number] = list((e[3].get("stats") or {}).get("fields") or [])
-                self._routers[number] = Router(read_settings(e[3]), int(e[2]))
+                self._report_fields[number] = list(
+                    (event[3].get("stats") or {}).get("fields") or []
+                )
+                self._routers[number] = Router(read_settings(event[3]), int(event[2]))
             case "kill":
                 self._routers.pop(number, None)
             case _:
                 return False
         return True
 
-    def _read_event(self, name: str, number: int, e: list[Any]) -> contract.Event:
-        """Return the contract's form of a wire event."""
+    def _read_event(self, name: str, number: int, event: list[Any]) -> contract.Event:
+        """Return the event of the contract for an event on the wire."""
         fields = self._report_fields[number]
         match name:
             case "knock":
-                return read_arrival(e)
+                return read_arrival(event)
             case "completed":
-                return read_outcome(e, fields)
+                return read_outcome(event, fields)
             case "underWay":
                 return contract.StreamStarted(
-                    id=e[2], attempt=int(e[3]), elapsed_us=int(e[4] or 0), server=str(e[5])
+                    id=event[2],
+                    attempt=int(event[3]),
+                    elapsed_us=int(event[4] or 0),
+                    server=str(event[5]),
                 )
             case "withdrawn":
-                return contract.RequestWithdrawn(e[2])
+                return contract.RequestWithdrawn(event[2])
             case "wake":
-                return contract.TimerFired(int(e[2]))
+                return contract.TimerFired(int(event[2]))
             case "probeDone":
                 return contract.HealthCheckResult(
-                    str(e[2]), e[3] == "ok", int(e[4] or 0), read_report(fields, e[5])
+                    str(event[2]),
+                    event[3] == "ok",
+                    int(event[4] or 0),
+                    read_report(fields, event[5]),
                 )
             case "rosterChange":
-                return self._read_endpoint_update(e)
+                return self._read_endpoint_update(event)
             case "note" | "noteFrom":
                 return contract.IgnoredEvent()
-        raise WireError(f"unknown event {name!r}")
+        raise WireError(f"unknown event name {name!r}")
 
-    def _read_endpoint_update(self, e: list[Any]) -> contract.EndpointUpdate:
-        form = FORMS[e[2]]
+    def _read_endpoint_update(self, event: list[Any]) -> contract.EndpointUpdate:
+        form = UPDATE_FORMS[event[2]]
         if form is contract.EndpointUpdateForm.FAILED:
-            return contract.EndpointUpdate(form, (), int(e[3] or 0))
-        return contract.EndpointUpdate(form, self._endpoint_lists[int(e[4])], int(e[3] or 0))
+            return contract.EndpointUpdate(form, (), int(event[3] or 0))
+        return contract.EndpointUpdate(
+            form, self._endpoint_lists[int(event[4])], int(event[3] or 0)
+        )
 
 
 def main(source: TextIO, sink: TextIO) -> int:
     """Answer batches until the input ends; return the exit code.
 
-    A line that is no batch ends it with a message on standard error and exit code 2.
+    An invalid line stops it with a message on standard error and exit code 2.
     """
     adapter = SimulatorAdapter()
     for line in source:
--- a/tests/scheduling/test_affinity_and_projection.py
+++ b/tests/scheduling/test_affinity_and_projection.py
@@ -1,4 +1,4 @@
-"""The ordinary path, step by step, as the design page words it."""
+"""The normal path of a request, step by step, as the design page describes it."""
 
 from helpers import MS, Drive, S, fleet
 
@@ -11,60 +11,64 @@
 )
 
 
-def test_hash_home_is_shared_by_all_routers_and_moves_only_its_own_keys() -> None:
-    homes = {p: Drive(ordinal=0).ask(1, "a", p) for p in map(str, range(60))}
-    assert homes == {p: Drive(ordinal=1).ask(9, "b", p) for p in map(str, range(60))}
-    assert len(set(homes.values())) == 4
-    fewer = {p: Drive(fleet(3)).ask(1, "a", p) for p in map(str, range(60))}
-    assert all(fewer[p] == home for p, home in homes.items() if home != "r3")
+def test_all_routers_agree_on_owners_and_a_server_that_leaves_moves_only_its_own_keys() -> None:
+    owners = {p: Drive(ordinal=0).ask(1, "a", p) for p in map(str, range(60))}
+    assert owners == {p: Drive(ordinal=1).ask(9, "b", p) for p in map(str, range(60))}
+    assert len(set(owners.values())) == 4
+    without_r3 = {p: Drive(fleet(3)).ask(1, "a", p) for p in map(str, range(60))}
+    assert all(without_r3[p] == owner for p, owner in owners.items() if owner != "r3")
 
 
-def test_without_a_shared_beginning_the_session_is_hashed() -> None:
+def test_without_a_shared_prefix_the_session_is_hashed() -> None:
     assert len({Drive().ask(1, f"s{i}", None) for i in range(40)}) == 4
 
 
-def test_session_goes_before_shared_beginning_and_a_read_stores_both() -> None:
+def test_a_session_takes_precedence_over_a_shared_prefix_and_a_prefill_stores_both() -> None:
     drive = Drive()
     first = drive.serve(1, "s1", "p1")
     table = drive.router.affinity.entries
     assert table["s|s1"][0].id == table["p|p1"][0].id == first
-    other = next(h for h in drive.router.servers.values() if h.id.startswith("r") and h.id != first)
+    other = next(
+        server
+        for server in drive.router.servers.values()
+        if server.id.startswith("r") and server.id != first
+    )
     table["s|s1"] = (other, drive.now, 3_000)
     assert drive.ask(2, "s1", "p1") == other.id
     assert drive.ask(3, "s-new", "p1") == first
 
 
-def test_with_many_routers_a_beginning_has_a_few_homes_and_a_session_one() -> None:
-    """Found with 47 and more routers: none sees the queue at a popular beginning's only home."""
-    went = {
+def test_with_many_routers_a_prefix_has_a_few_owners_and_a_session_one() -> None:
+    """With 47 and more routers, none saw the queue at the only owner of a popular prefix."""
+    chosen = {
         (o, s): Drive(routers=60, ordinal=o).ask(1, f"s{s}", "p1")
         for o in range(3)
         for s in range(12)
     }
-    assert all(went[0, s] == went[1, s] == went[2, s] for s in range(12))
-    assert len(set(went.values())) == prefix_affinity.MIN_OWNERS
+    assert all(chosen[0, s] == chosen[1, s] == chosen[2, s] for s in range(12))
+    assert len(set(chosen.values())) == prefix_affinity.MIN_OWNERS
     for s in range(12):
         drive = Drive(routers=60)
         drive.serve(1, "s1", "p1")
-        assert drive.ask(2, f"s{s}", "p1") == went[0, s], "a known beginning too"
+        assert drive.ask(2, f"s{s}", "p1") == chosen[0, s], "a known prefix too"
 
 
-def test_one_own_stream_does_not_stand_for_a_hundred() -> None:
-    """Found with 47 and more routers: one stream made all writers look full."""
+def test_one_stream_of_a_router_is_not_multiplied_by_the_number_of_routers() -> None:
+    """With 47 and more routers, one stream made all decode servers look full."""
     assert memory_projection.estimate_all_routers([5_000], 150) == 5_000
     assert memory_projection.estimate_all_routers([1_000] * 100, 3) > 250_000
     drive = Drive(routers=150)
     assert all(drive.ask(i, f"s{i}", f"p{i}") for i in range(4))
 
 
-def test_equal_writers_are_not_preferred_alike_by_all_routers() -> None:
-    firsts = set()
+def test_routers_prefer_different_servers_among_equal_decode_servers() -> None:
+    first_choices = set()
     for ordinal in range(12):
         drive = Drive(routers=60, ordinal=ordinal)
         drive.ask(1)
         drive.end(1, contract.AttemptStatus.PREFILLED)
-        firsts.add(drive.sent[1][1])
-    assert len(firsts) > 1
+        first_choices.add(drive.sent[1][1])
+    assert len(first_choices) > 1
 
 
 def test_entries_expire_and_the_table_is_capped(monkeypatch: object) -> None:
@@ -85,26 +89,26 @@
         prefix_affinity.MAX_ENTRIES = original
 
 
-def test_escape_needs_both_bounds_and_takes_the_least_busy() -> None:
+def test_a_match_above_both_limits_is_passed_over_for_the_least_busy_server() -> None:
     drive = Drive()
-    went = [drive.ask(i, f"s{i}", "p1") for i in range(1, 10)]
-    upto = int(prefill_selection.MIN_QUEUE_EXCESS) + 1
-    assert set(went[:upto]) == {went[0]}, "it stays up to the floor"
-    assert went[upto] != went[0] and len(set(went)) == 4, "then it takes the least busy"
-
-
-def test_writer_near_the_reader_unless_well_above_the_lowest() -> None:
-    hosts = Drive().router.servers
-    writers = {hosts[f"w{i}"]: share for i, share in enumerate((0.30, 0.25, 0.32, 0.5))}
-    near = hosts["r0"].endpoint
-    assert decode_placement.place_near(writers, near).id == "w0"
-    writers[hosts["w0"]] = writers[hosts["w2"]] = (
+    chosen = [drive.ask(i, f"s{i}", "p1") for i in range(1, 10)]
+    limit = int(prefill_selection.MIN_QUEUE_EXCESS) + 1
+    assert set(chosen[:limit]) == {chosen[0]}, "the match is kept up to the absolute limit"
+    assert chosen[limit] != chosen[0] and len(set(chosen)) == 4, "then the least busy is chosen"
+
+
+def test_the_nearest_decode_server_is_chosen_unless_well_above_the_lowest_utilization() -> None:
+    servers = Drive().router.servers
+    utilization = {servers[f"w{i}"]: share for i, share in enumerate((0.30, 0.25, 0.32, 0.5))}
+    near = servers["r0"].endpoint
+    assert decode_placement.place_near(utilization, near).id == "w0"
+    utilization[servers["w0"]] = utilization[servers["w2"]] = (
         0.25 + decode_placement.NEAR_EXCESS_UTILIZATION + 0.01
     )
-    assert decode_placement.place_near(writers, near).id == "w1"
+    assert decode_placement.place_near(utilization, near).id == "w1"
 
 
-def test_projection_counts_report_average_and_streams_since() -> None:
+def test_the_projection_counts_the_report_the_average_and_later_streams() -> None:
     drive = Drive(routers=1, load_report_mode=contract.LoadReportMode.INLINE)
     w0, w1 = drive.router.servers["w0"], drive.router.servers["w1"]
     w0.memory_utilization, w0.utilization_reported_us = 0.4, drive.now
@@ -114,9 +118,7 @@
 
 
 def test_an_old_report_fades_to_the_average() -> None:
-    """Found with 130 and more routers: near writers were preferred for want of news till they
-    jammed.
-    """
+    """With 130 and more routers, near decode servers without new reports were overloaded."""
     drive = Drive(routers=150, load_report_mode=contract.LoadReportMode.INLINE)
     w0, w1 = drive.router.servers["w0"], drive.router.servers["w1"]
     (
@@ -134,18 +136,18 @@
     assert projected[w1] == 0.2 and 0.4 < projected[w0] < 0.7
 
 
-def test_writer_is_chosen_when_the_read_has_ended_and_gets_the_hinted_length() -> None:
+def test_the_decode_server_is_chosen_after_the_prefill_with_the_expected_length() -> None:
     drive = Drive()
     drive.ask(1, expected_stream_us=6 * S)
     assert len(drive.sent[1]) == 1
     drive.end(1, contract.AttemptStatus.PREFILLED)
-    writer = drive.router.servers[drive.sent[1][1]]
-    assert writer.streams[1][1] == 3_000 + 100
+    decode_server = drive.router.servers[drive.sent[1][1]]
+    assert decode_server.streams[1][1] == 3_000 + 100
     drive.ask(2, "t")
     assert drive.router.requests[2].decode_tokens == 3_000 + 150
 
 
-def test_mixed_servers_take_their_share_whole_and_learn() -> None:
+def test_a_mixed_server_prefills_and_answers_a_request_and_stores_its_prefix() -> None:
     drive = Drive(fleet(0, 0, 3))
     server = drive.ask(1)
     assert server and server.startswith("m")
@@ -155,7 +157,7 @@
     assert drive.sent[1] == [server] and not drive.answers
 
 
-def test_writers_read_by_themselves_only_where_allowed_and_no_reader_is_left() -> None:
+def test_decode_servers_prefill_only_if_allowed_and_no_prefill_server_is_left() -> None:
     assert Drive(fleet(0, 3), decode_servers_prefill=True).ask(1) in {"w0", "w1", "w2"}
     drive = Drive(fleet(0, 3))
     assert drive.ask(1) is None
--- a/tests/scheduling/test_attempt_rules.py
+++ b/tests/scheduling/test_attempt_rules.py
@@ -1,4 +1,4 @@
-"""The five rules, each with what could break it; and odd or empty input."""
+"""The five rules for attempts and answers, each with faults that break it, and odd input."""
 
 from dataclasses import replace
 
@@ -23,15 +23,13 @@
 
 
 def test_a_request_that_arrives_with_little_time_is_answered_at_once() -> None:
-    """Found on a day of router restarts: a retry with less time left than a tick was never
-    answered.
-    """
+    """During router restarts, a retry with less time left than a tick was never answered."""
     drive = Drive(fleet(4, 0))
     drive.ask(1, deadline_us=drive.now + 20 * MS)
     assert len(drive.answers[1]) == 1
 
 
-def test_attempts_end_inside_the_deadline_and_never_two_at_once() -> None:
+def test_attempts_end_before_the_deadline_and_never_run_two_at_once() -> None:
     drive = Drive()
     drive.ask(1)
     deadline = drive.now + 5 * S
@@ -45,7 +43,7 @@
     assert len(drive.sent[1]) <= drive.settings.max_attempts
 
 
-def test_state_is_sent_on_or_released_after_every_end() -> None:
+def test_state_is_fetched_or_released_after_every_attempt() -> None:
     drive = Drive()
     drive.ask(1)
     drive.give(
@@ -57,7 +55,7 @@
     assert contract.ReleaseState(1) in actions and drive.answers[1]
 
 
-def test_a_read_that_ends_after_its_request_is_released() -> None:
+def test_the_state_of_a_prefill_that_ends_after_its_request_is_released() -> None:
     drive = Drive()
     drive.ask(1)
     assert contract.CancelAttempt(1, 0) in drive.give(contract.RequestWithdrawn(1))
@@ -68,19 +66,19 @@
     assert 1 not in drive.answers
 
 
-def test_unsafe_is_not_resent_or_refused_once_it_may_have_run() -> None:
+def test_a_non_idempotent_request_is_not_resent_or_rejected_once_it_may_have_run() -> None:
     drive = Drive()
     drive.ask(1, traffic_class="once")
     drive.end(1, AttemptStatus.ERROR)
-    assert len(drive.sent[1]) == 2, "a failed read has had no effect"
+    assert len(drive.sent[1]) == 2, "a failed prefill has had no effect"
     drive.end(1, AttemptStatus.PREFILLED)
     drive.end(1, AttemptStatus.OVERLOADED)
-    assert len(drive.sent[1]) == 4, "a writer that turned it away never ran it"
+    assert len(drive.sent[1]) == 4, "a decode server that rejected the request did not run it"
     drive.end(1, AttemptStatus.RESET)
     assert drive.answers[1] == [contract.Fail(1)] and len(drive.sent[1]) == 4
 
 
-def test_keyed_stays_in_its_group_and_window() -> None:
+def test_a_keyed_request_is_retried_only_in_its_deduplication_scope_and_window() -> None:
     drive = Drive(max_attempts=9)
     drive.ask(1, traffic_class="keyed", deadline_us=drive.now + 8 * S)
     drive.end(1, AttemptStatus.PREFILLED)
@@ -91,17 +89,17 @@
     assert drive.answers[1] == [contract.Fail(1)] and len(drive.sent[1]) == 3
 
 
-def test_drains_are_obeyed_at_once() -> None:
+def test_a_draining_or_removed_server_gets_no_new_request() -> None:
     drive = Drive()
-    home = drive.serve(1)
-    spec = drive.router.servers[home].endpoint
+    owner = drive.serve(1)
+    endpoint = drive.router.servers[owner].endpoint
     drive.give(
         contract.EndpointUpdate(
             contract.EndpointUpdateForm.DELTA,
-            (replace(spec, condition=contract.EndpointCondition.DRAINING),),
+            (replace(endpoint, condition=contract.EndpointCondition.DRAINING),),
         )
     )
-    assert drive.ask(2) != home
+    assert drive.ask(2) != owner
     drive.give(
         contract.EndpointUpdate(
             contract.EndpointUpdateForm.COMPLETE,
@@ -111,22 +109,20 @@
     assert drive.ask(3, "t", "q") == "r0"
 
 
-def test_cold_servers_get_their_part_only() -> None:
+def test_a_server_in_slow_start_gets_only_its_share() -> None:
     drive = Drive(fleet(4, 8), routers=2)
     drive.give(
         contract.EndpointUpdate(
             contract.EndpointUpdateForm.DELTA, (replace(fleet()[0], started_us=drive.now),)
         )
     )
-    seen = [drive.serve(i, f"s{i}", f"p{i}") for i in range(120)]
-    cold, *warm = (seen.count(f"r{i}") for i in range(4))
+    chosen = [drive.serve(i, f"s{i}", f"p{i}") for i in range(120)]
+    cold, *warm = (chosen.count(f"r{i}") for i in range(4))
     assert 0 < cold <= 0.8 * sum(warm) / 3
 
 
-def test_two_hundred_routers_do_not_push_a_cold_server_over() -> None:
-    """Found on a day with 149 routers: each allowed itself one send to a server that had just
-    started.
-    """
+def test_two_hundred_routers_do_not_overload_a_server_in_slow_start() -> None:
+    """With 149 routers, each allowed itself one send to a server that had just started."""
     cold = replace(fleet()[0], started_us=1_000 * S)
     sent = 0
     for ordinal in range(200):
@@ -136,11 +132,11 @@
                 drive.ask(i, f"s{ordinal}-{i}", f"p{ordinal}-{i}", prompt_tokens=9, max_tokens=9)
                 == cold.id
             )
-    even, part = 200 * 12 / 4, drive.settings.slow_start_initial_factor
-    assert 0.3 * part * even < sent <= 1.3 * part * even
+    even_share, factor = 200 * 12 / 4, drive.settings.slow_start_initial_factor
+    assert 0.3 * factor * even_share < sent <= 1.3 * factor * even_share
 
 
-def test_what_it_does_not_hold_is_passed_over() -> None:
+def test_events_of_unknown_requests_and_servers_are_ignored() -> None:
     drive = Drive()
     assert drive.give(contract.AttemptOutcome(5, 0, "nobody", AttemptStatus.TIMED_OUT)) == []
     assert drive.give(contract.StreamStarted(5, 0, "nobody")) == []
@@ -149,36 +145,36 @@
     drive.give(contract.HealthCheckResult("nobody", True))
 
 
-def test_senseless_reports_are_ignored() -> None:
+def test_implausible_reports_are_ignored() -> None:
     drive = Drive()
-    host = drive.router.servers["w0"]
+    server = drive.router.servers["w0"]
     for share in (-1.0, float("nan"), float("inf"), 40.0, None):
         drive.give(
             contract.HealthCheckResult(
                 "w0", True, 10, contract.LoadReport(memory_utilization=share, in_flight=share)
             )
         )
-        assert host.utilization_reported_us == -1
+        assert server.utilization_reported_us == -1
     drive.give(
         contract.HealthCheckResult("w0", True, 10, contract.LoadReport(memory_utilization=0.5))
     )
-    assert host.memory_utilization == 0.5
+    assert server.memory_utilization == 0.5
 
 
-def test_a_list_that_must_be_asked_for_is_asked_again_after_an_error() -> None:
+def test_an_endpoint_list_that_must_be_watched_is_watched_again_after_an_error() -> None:
     drive = Drive(watch_endpoints=True)
     assert contract.WatchEndpoints() in drive.last
     assert contract.FetchEndpoints() in drive.give(
         contract.EndpointUpdate(contract.EndpointUpdateForm.FAILED)
     )
-    asked = []
+    watches = []
     for _ in range(200):
         drive.tick()
-        asked += [a for a in drive.last if isinstance(a, contract.WatchEndpoints)]
-    assert asked and drive.ask(1), "the old list still holds"
+        watches += [a for a in drive.last if isinstance(a, contract.WatchEndpoints)]
+    assert watches and drive.ask(1), "the old list stays in force"
 
 
-ODDS = st.lists(
+EVENT_STEPS = st.lists(
     st.tuples(
         st.sampled_from(["ask", "end", "start", "gone", "tick", "list", "late"]),
         st.integers(0, 30),
@@ -191,28 +187,28 @@
 
 
 @settings(derandomize=True, max_examples=80, deadline=None)
-@given(ODDS, st.booleans(), st.integers(1, 4))
+@given(EVENT_STEPS, st.booleans(), st.integers(1, 4))
 def test_random_events_never_break_a_rule(
     steps: list[tuple[str, int, AttemptStatus, int]], cancel: bool, n: int
 ) -> None:
     drive = Drive(cancellation_allowed=cancel, routers=n)
-    out: dict[int, tuple[str, int]] = {}  # attempt that is out: server, when it times out
+    in_flight: dict[int, tuple[str, int]] = {}  # by request: server, and when it times out
     holding: set[int] = set()
     open_until: dict[int, int] = {}
     attempts: dict[int, int] = {}
     drained: set[str] = set()
 
-    def book() -> None:
+    def check_actions() -> None:
         for action in drive.last:
             match action:
                 case contract.SendAttempt(request, server, timeout_us):
                     assert request in open_until, "sent for a request that has ended"
-                    assert request not in out, "two attempts at once"
+                    assert request not in in_flight, "two attempts at once"
                     assert server not in drained
                     assert timeout_us > 0 and drive.now + timeout_us <= max(
                         open_until[request], drive.now + 1
                     )
-                    out[request] = (server, drive.now + timeout_us)
+                    in_flight[request] = (server, drive.now + timeout_us)
                     attempts[request] = attempts.get(request, 0) + 1
                     assert attempts[request] <= drive.settings.max_attempts
                     holding.discard(request)
@@ -221,26 +217,26 @@
                     assert drive.now <= open_until.pop(request), "answered late"
                 case contract.ReleaseState(request):
                     holding.discard(request)
-        assert not holding, "state left pinned"
+        assert not holding, "state left reserved"
 
-    def end(request: int, status: AttemptStatus) -> None:
-        server, _ = out.pop(request)
+    def end_attempt(request: int, status: AttemptStatus) -> None:
+        server, _ = in_flight.pop(request)
         if status is AttemptStatus.PREFILLED and not server.startswith("r"):
             status = AttemptStatus.OVERLOADED
         if status is AttemptStatus.PREFILLED:
             holding.add(request)
         drive.give(contract.AttemptOutcome(request, attempts[request] - 1, server, status, 1_000))
-        book()
+        check_actions()
 
     for kind, number, status, after_us in steps:
-        then = drive.now + after_us
-        while drive.now < then:
+        step_end_us = drive.now + after_us
+        while drive.now < step_end_us:
             drive.tick()
-            book()
-            for request in [r for r, (_, at) in out.items() if at <= drive.now]:
-                end(request, AttemptStatus.TIMED_OUT)
+            check_actions()
+            for request in [r for r, (_, at) in in_flight.items() if at <= drive.now]:
+                end_attempt(request, AttemptStatus.TIMED_OUT)
             assert all(drive.now <= until + 25 * MS for until in open_until.values()), (
-                "no answer in its time"
+                "no answer before the deadline"
             )
         if (
             kind == "ask"
@@ -250,35 +246,37 @@
         ):
             open_until[number] = drive.now + 200 * MS + number * 150 * MS
             drive.ask(number, f"s{number % 5}", f"p{number % 3}", deadline_us=open_until[number])
-            book()
-        elif kind in ("end", "late") and number in out:
-            end(number, status)
+            check_actions()
+        elif kind in ("end", "late") and number in in_flight:
+            end_attempt(number, status)
         elif (
             kind == "start"
-            and number in out
+            and number in in_flight
             and number in open_until
-            and out[number][0].startswith("w")
+            and in_flight[number][0].startswith("w")
         ):
             open_until.pop(number)
             drive.give(
-                contract.StreamStarted(number, attempts[number] - 1, out.pop(number)[0], 1_000)
+                contract.StreamStarted(
+                    number, attempts[number] - 1, in_flight.pop(number)[0], 1_000
+                )
             )
-            book()
+            check_actions()
         elif kind == "gone" and number in open_until:
             open_until.pop(number)
             drive.give(contract.RequestWithdrawn(number))
-            book()
+            check_actions()
         elif kind == "list":
-            spec = fleet()[number % 8]
-            drained.symmetric_difference_update({spec.id})
-            state = (
+            endpoint = fleet()[number % 8]
+            drained.symmetric_difference_update({endpoint.id})
+            condition = (
                 contract.EndpointCondition.DRAINING
-                if spec.id in drained
+                if endpoint.id in drained
                 else contract.EndpointCondition.UP
             )
             drive.give(
                 contract.EndpointUpdate(
-                    contract.EndpointUpdateForm.DELTA, (replace(spec, condition=state),)
+                    contract.EndpointUpdateForm.DELTA, (replace(endpoint, condition=condition),)
                 )
             )
-            book()
+            check_actions()
--- a/tests/scheduling/test_overload_defences.py
+++ b/tests/scheduling/test_overload_defences.py
@@ -1,4 +1,4 @@
-"""Each defence acts on its symptom and stays quiet on a healthy fleet."""
+"""Each defence against overload acts on its symptom and not on a healthy fleet."""
 
 from collections import Counter
 from dataclasses import replace
@@ -21,26 +21,29 @@
 from onyxpass.scheduling.contract import AttemptStatus
 
 
-def busy(
+def serve_requests(
     drive: Drive,
-    ill: set[str],
-    slow: int = 1,
+    faulty: set[str],
+    slowdown: int = 1,
     status: AttemptStatus = AttemptStatus.PREFILLED,
     n: int = 120,
 ) -> list[str]:
-    """Requests one after another; reads at ``ill`` servers take ``slow`` times as long or end
-    badly.
+    """Serve ``n`` requests one after another; return the prefill servers that were used.
+
+    Prefills at ``faulty`` servers take ``slowdown`` times as long and end with ``status``.
     """
-    seen: list[str] = []
+    used: list[str] = []
     first = 1_000 + len(drive.sent)
     for i in range(first, first + n):
         server = drive.ask(i, f"s{i}", f"p{i}", deadline_us=drive.now + 20 * S)
         drive.tick()
         while server and i not in drive.answers and drive.sent[i][-1].startswith("r"):
-            seen.append(drive.sent[i][-1])
-            at_ill = seen[-1] in ill
+            used.append(drive.sent[i][-1])
+            at_faulty = used[-1] in faulty
             drive.end(
-                i, status if at_ill else AttemptStatus.PREFILLED, 50 * MS * (slow if at_ill else 1)
+                i,
+                status if at_faulty else AttemptStatus.PREFILLED,
+                50 * MS * (slowdown if at_faulty else 1),
             )
         if server and i not in drive.answers:
             drive.give(
@@ -48,164 +51,156 @@
                 30 * MS,
             )
             drive.end(i, AttemptStatus.COMPLETED, final=True)
-    return seen
+    return used
 
 
-def aside(drive: Drive) -> set[str]:
-    return {h.id for h in drive.router.servers.values() if h.ejection_level}
+def ejected(drive: Drive) -> set[str]:
+    return {server.id for server in drive.router.servers.values() if server.ejection_level}
 
 
-def test_a_healthy_fleet_sees_no_defence_act() -> None:
+def test_no_defence_acts_on_a_healthy_fleet() -> None:
     drive = Drive()
-    seen = busy(drive, set())
-    assert not aside(drive) and not drive.answers and len(seen) == 120
+    used = serve_requests(drive, set())
+    assert not ejected(drive) and not drive.answers and len(used) == 120
 
 
-def test_slow_but_answering_is_put_aside() -> None:
+def test_a_slow_server_that_answers_is_ejected() -> None:
     drive = Drive()
-    seen = busy(drive, {"r0"}, slow=8, n=240)
-    assert seen.count("r0") < 40 and aside(drive) == {"r0"}
+    used = serve_requests(drive, {"r0"}, slowdown=8, n=240)
+    assert used.count("r0") < 40 and ejected(drive) == {"r0"}
 
 
-def test_all_slow_together_is_no_illness() -> None:
+def test_servers_that_are_all_slow_are_not_ejected() -> None:
     drive = Drive()
-    busy(drive, {"r0", "r1", "r2", "r3"}, slow=4)
-    assert not aside(drive)
+    serve_requests(drive, {"r0", "r1", "r2", "r3"}, slowdown=4)
+    assert not ejected(drive)
 
 
-def test_quick_errors_are_put_aside_and_come_back() -> None:
+def test_a_server_with_quick_errors_is_ejected_and_comes_back() -> None:
     drive = Drive()
-    seen = busy(drive, {"r1"}, status=AttemptStatus.ERROR)
-    assert seen.count("r1") < 15 and aside(drive) == {"r1"} and not drive.answers
+    used = serve_requests(drive, {"r1"}, status=AttemptStatus.ERROR)
+    assert used.count("r1") < 15 and ejected(drive) == {"r1"} and not drive.answers
     drive.now += outlier_detection.MAX_EJECTION_US
-    later = busy(drive, set(), n=121)
-    assert later.count("r1") > 15 and not aside(drive)
+    later = serve_requests(drive, set(), n=121)
+    assert later.count("r1") > 15 and not ejected(drive)
 
 
-def test_a_silent_server_is_called_off_once_and_left() -> None:
+def test_an_attempt_at_a_silent_server_is_cancelled_once_and_the_server_ejected() -> None:
     drive = Drive()
-    home = drive.serve(1)
+    owner = drive.serve(1)
     drive.router.timeouts.credit = 1.0
     drive.ask(2)
     drive.tick(40)
-    assert drive.sent[2] == [home]
+    assert drive.sent[2] == [owner]
     assert (
         drive.router.requests[2].silence_deadline_us == drive.router.requests[2].arrival.deadline_us
-    ), "called off, once"
+    ), "cancelled, once"
     drive.end(2, AttemptStatus.CANCELLED)
     assert (
-        drive.sent[2][1] != home
-        and aside(drive) == {home}
-        and drive.router.servers[home].is_unresponsive
+        drive.sent[2][1] != owner
+        and ejected(drive) == {owner}
+        and drive.router.servers[owner].is_unresponsive
     )
 
 
-def test_calls_off_have_a_budget() -> None:
-    """Found on a quiet day with 51 routers: reads called off in a jam were read anew till all
-    jammed.
-    """
+def test_cancellations_have_a_budget() -> None:
+    """With 51 routers, cancelled prefills were restarted elsewhere until all servers had queues."""
     drive = Drive(fleet(4, 8))
     for i in range(50):
         drive.ask(i, f"s{i}", f"p{i}", prompt_tokens=9, max_tokens=9)
-    called = 0
+    cancelled = 0
     for _ in range(40):
         drive.tick()
-        called += sum(isinstance(a, contract.CancelAttempt) for a in drive.last)
-    assert 1 <= called <= 50 * attempt_timeouts.CANCELLATIONS_PER_REQUEST + 1
+        cancelled += sum(isinstance(a, contract.CancelAttempt) for a in drive.last)
+    assert 1 <= cancelled <= 50 * attempt_timeouts.CANCELLATIONS_PER_REQUEST + 1
 
 
-def test_an_attempt_at_a_server_that_answers_others_is_not_called_off() -> None:
-    """Found on a rough day: time-outs at queueing readers led to re-reads that jammed them all."""
+def test_an_attempt_at_a_server_that_answers_others_is_not_cancelled() -> None:
+    """Timeouts at servers with queues led to repeated prefills that overloaded all servers."""
     drive = Drive()
-    home = drive.ask(1)
+    owner = drive.ask(1)
     drive.ask(2)
     for _ in range(30):
-        drive.router.servers[str(home)].last_answer_us = drive.now
+        drive.router.servers[str(owner)].last_answer_us = drive.now
         drive.tick()
         assert not [a for a in drive.last if isinstance(a, contract.CancelAttempt)]
 
 
-def test_most_look_ill_so_routing_goes_on() -> None:
+def test_ejected_servers_are_used_if_most_servers_are_ejected() -> None:
     drive = Drive()
     for name in ("r0", "r1", "r2"):
         drive.router.servers[name].eject(drive.now, unresponsive=False)
     assert len({drive.ask(i, f"s{i}", f"p{i}") for i in range(30)} - {None}) == 4
 
 
-def test_full_writers_make_requests_wait_then_refuse_with_advice() -> None:
+def test_full_decode_servers_make_requests_wait_and_then_be_rejected_with_advice() -> None:
     drive = Drive(load_report_mode=contract.LoadReportMode.INLINE)
-    for host in drive.router.servers.values():
-        host.memory_utilization, host.utilization_reported_us = 0.85, drive.now + 3 * S
-    assert drive.ask(1, traffic_class="light") is None, "least worth per unit of work waits first"
+    for server in drive.router.servers.values():
+        server.memory_utilization, server.utilization_reported_us = 0.85, drive.now + 3 * S
+    assert drive.ask(1, traffic_class="light") is None, "the lowest priority waits first"
     assert drive.ask(2, "t", traffic_class="heavy", deadline_us=drive.now + 9 * S) is not None
     drive.tick(60)
     assert drive.answers[1] == [contract.Reject(1, drive.settings.max_retry_after_us)]
 
 
-def test_what_cannot_be_in_time_is_refused_early() -> None:
+def test_a_request_that_cannot_be_in_time_is_rejected_early() -> None:
     drive = Drive()
     assert drive.ask(49, "v", "w") is not None
-    for host in drive.router.servers.values():
-        host.us_per_token, host.last_answer_us = 1 * MS, drive.now
+    for server in drive.router.servers.values():
+        server.us_per_token, server.last_answer_us = 1 * MS, drive.now
     assert drive.ask(50, "x", "y") is None
     drive.tick(60)
     assert drive.answers[50]
     drive.now += 10 * S
-    assert drive.ask(51, "x", "y") is not None, "an old pace is believed less and less"
+    assert drive.ask(51, "x", "y") is not None, "an old measurement counts less and less"
 
 
-def test_with_many_routers_writers_near_the_reader_are_asked_first() -> None:
-    """Found with 145 routers: each heard of a writer once a minute, and near ones jammed unseen."""
+def test_with_many_routers_decode_servers_near_the_prefill_server_are_checked_first() -> None:
+    """With 145 routers, each got a load report of a server once a minute and overloaded near ones."""
     drive = Drive(
         fleet(4, 12),
         routers=150,
         health_checks_allowed=True,
         load_report_mode=contract.LoadReportMode.ON_HEALTH_CHECK,
     )
-    asked = []
+    checked = []
     for i in range(4):
         near = drive.router.servers[str(drive.ask(i, f"s{i}", f"p{i}"))].endpoint
-        asked += [a.server for a in drive.last if isinstance(a, contract.HealthCheck)]
+        checked += [a.server for a in drive.last if isinstance(a, contract.HealthCheck)]
         if i == 0:
-            assert drive.router.servers[asked[0]].endpoint.cell == near.cell
-    assert len(asked) == len(set(asked)) and 4 <= len(asked) <= 8, "within the price"
+            assert drive.router.servers[checked[0]].endpoint.cell == near.cell
+    assert len(checked) == len(set(checked)) and 4 <= len(checked) <= 8, "within the budget"
     assert not [a for a in Drive(routers=150).last if isinstance(a, contract.HealthCheck)]
 
 
-def test_full_for_one_class_is_no_illness_and_passes_the_server_over_for_that_class() -> None:
-    """Found on a day on which servers turned away what one class sent above a rate, late, and
-    took others.
-    """
+def test_a_server_that_rejects_one_class_is_passed_over_for_that_class_and_not_ejected() -> None:
+    """Servers rejected one class above a rate, late, and accepted the others."""
     drive = Drive()
-    home = drive.ask(1, traffic_class="light")
+    owner = drive.ask(1, traffic_class="light")
     drive.end(1, AttemptStatus.OVERLOADED)
-    assert drive.sent[1][1] != home and not aside(drive)
-    assert drive.ask(2, traffic_class="light") != home, "the class stays away for a while"
-    assert drive.ask(3, traffic_class="heavy") == home, "the others do not"
-    drive.now += candidates.OVERLOAD_REST_US
-    assert drive.ask(4, traffic_class="light") == home
+    assert drive.sent[1][1] != owner and not ejected(drive)
+    assert drive.ask(2, traffic_class="light") != owner, "the class avoids the server for a while"
+    assert drive.ask(3, traffic_class="heavy") == owner, "other classes do not"
+    drive.now += candidates.OVERLOAD_COOLDOWN_US
+    assert drive.ask(4, traffic_class="light") == owner
 
 
-def test_no_new_reading_once_the_aim_has_passed() -> None:
-    """Found on a quiet day with 51 routers: reads that were late already were read anew and fed
-    the jam.
-    """
+def test_no_new_prefill_is_sent_after_the_latency_objective() -> None:
+    """With 51 routers, prefills that were late already were repeated and lengthened the queues."""
     drive = Drive()
     drive.ask(1)
     drive.end(1, AttemptStatus.TIMED_OUT, 1 * S)
-    assert len(drive.sent[1]) == 2, "in time: another reader is tried"
+    assert len(drive.sent[1]) == 2, "in time: another prefill server is tried"
     drive.end(1, AttemptStatus.TIMED_OUT, 1 * S)
     assert len(drive.sent[1]) == 2 and drive.answers[1]
     drive.ask(2, "t", "q")
     drive.end(2, AttemptStatus.PREFILLED, 2 * S)
     drive.end(2, AttemptStatus.OVERLOADED)
-    assert len(drive.sent[2]) == 3, "a state that is there is still fetched"
+    assert len(drive.sent[2]) == 3, "an existing state is still fetched"
 
 
-def test_with_many_routers_the_first_pause_is_long() -> None:
-    """Found on days of ageing servers: a pause of 1.5 s is none where a router comes by twice a
-    minute.
-    """
+def test_with_many_routers_the_first_ejection_is_long() -> None:
+    """An ejection of 1.5 s has no effect where a router uses a server twice a minute."""
     few, many = Drive(), Drive(routers=60)
     for drive in (few, many):
         drive.router.servers["r0"].eject(drive.now, unresponsive=False)
@@ -215,7 +210,7 @@
     )
 
 
-def test_a_tenant_over_its_share_waits_first() -> None:
+def test_requests_of_a_tenant_over_its_quota_have_a_lower_priority() -> None:
     drive = Drive(
         tenants=(contract.Tenant("a", 2.0), contract.Tenant("b", 2.0)), over_quota_weight=0.05
     )
@@ -227,7 +222,7 @@
     assert requests[9].priority < 0.05
 
 
-def test_late_or_missing_reports_leave_the_streams_to_tell() -> None:
+def test_streams_are_projected_where_reports_are_late_or_missing() -> None:
     drive = Drive(fleet(4, 2), load_report_mode=contract.LoadReportMode.INLINE, routers=1)
     w0, w1 = drive.router.servers["w0"], drive.router.servers["w1"]
     w0.memory_utilization, w0.utilization_reported_us = (
@@ -239,35 +234,35 @@
     assert projected[w0] > 0.5 and abs(projected[w1] - 0.1) < 1e-9
 
 
-def test_a_restarted_server_is_a_stranger() -> None:
+def test_a_restarted_server_has_no_history() -> None:
     drive = Drive()
-    home = drive.serve(1)
+    server = drive.serve(1)
     drive.give(
         contract.EndpointUpdate(
-            contract.EndpointUpdateForm.DELTA, (contract.Endpoint(home, "r", "z0", 0, drive.now),)
+            contract.EndpointUpdateForm.DELTA, (contract.Endpoint(server, "r", "z0", 0, drive.now),)
         )
     )
     assert (
-        drive.router.servers[home].slow_start_factor(drive.now)
+        drive.router.servers[server].slow_start_factor(drive.now)
         == drive.settings.slow_start_initial_factor
     )
     drive.ask(2)
     assert "s|s" not in drive.router.affinity.entries
 
 
-def test_a_probe_must_be_answered_before_a_trial() -> None:
+def test_a_health_check_must_pass_before_a_trial() -> None:
     drive = Drive(health_checks_allowed=True)
-    host = drive.router.servers["r0"]
-    host.eject(drive.now, unresponsive=True)
+    server = drive.router.servers["r0"]
+    server.eject(drive.now, unresponsive=True)
     drive.now += outlier_detection.EJECTION_US
     drive.tick()
-    assert contract.HealthCheck("r0") in drive.last and not host.is_healthy(drive.now)
+    assert contract.HealthCheck("r0") in drive.last and not server.is_healthy(drive.now)
     drive.give(contract.HealthCheckResult("r0", True, 1 * MS))
-    assert host.is_healthy(drive.now)
+    assert server.is_healthy(drive.now)
 
 
 def test_a_replacement_that_leaves_no_warm_server_still_gets_work() -> None:
-    """Found in incident ic9ca78: all successors were cold, and each got one send a window."""
+    """Incident ic9ca78: all replacements were in slow start, and each got one send per window."""
     drive = Drive(fleet(3, 8), overload_window_us=3 * S)
     for i in range(60):
         drive.serve(i, f"s{i}", f"p{i}")
@@ -281,10 +276,8 @@
     assert 3 < sent <= 30
 
 
-def test_a_state_behind_a_cut_is_released_when_no_writer_can_fetch_it() -> None:
-    """Found on a day with a zone cut off: full, no state to fetch, then refused: it stayed
-    pinned.
-    """
+def test_a_state_in_an_unreachable_zone_is_released_when_no_decode_server_can_fetch_it() -> None:
+    """With a zone cut off, a state stayed reserved after its fetch failed and its request ended."""
     drive = Drive(max_attempts=3)
     drive.ask(1)
     drive.end(1, AttemptStatus.PREFILLED)
@@ -292,8 +285,8 @@
     assert contract.ReleaseState(1) in actions and drive.answers[1]
 
 
-def racks(*sizes: tuple[int, int]) -> tuple[contract.Endpoint, ...]:
-    """Cells of one zone with so many readers and writers each."""
+def cells(*sizes: tuple[int, int]) -> tuple[contract.Endpoint, ...]:
+    """Return cells of one zone with these numbers of prefill and decode servers."""
     return tuple(
         contract.Endpoint(f"{kind}{cell}{i}", kind, "z0", cell)
         for cell, counts in enumerate(sizes)
@@ -302,72 +295,81 @@
     )
 
 
-def kept_near(sizes: list[tuple[int, int]], cell: int, spaced_us: int, n: int = 400) -> float:
-    """The part of the states read in a cell that the writers there get from 191 blind routers."""
-    drive = Drive(racks(*sizes), routers=191)
-    near = read = 0
+def share_kept_in_cell(
+    sizes: list[tuple[int, int]], cell: int, interval_us: int, n: int = 400
+) -> float:
+    """Return the share of a cell's states placed in that cell, with 191 routers without reports."""
+    drive = Drive(cells(*sizes), routers=191)
+    near = prefilled = 0
     for i in range(n):
         drive.ask(
             i, f"s{i}", f"p{i}", prompt_tokens=6_000, max_tokens=200, deadline_us=drive.now + 60 * S
         )
         drive.end(i, AttemptStatus.PREFILLED, 20 * MS)
-        drive.give(contract.StreamStarted(i, 1, drive.sent[i][1], 30 * MS), spaced_us)
+        drive.give(contract.StreamStarted(i, 1, drive.sent[i][1], 30 * MS), interval_us)
         if i >= 6:  # six streams run at a time
             drive.end(i - 6, AttemptStatus.COMPLETED, final=True)
-        where = drive.router.servers[drive.sent[i][0]].endpoint.cell
-        if where == cell:
-            read, near = (
-                read + 1,
+        prefill_cell = drive.router.servers[drive.sent[i][0]].endpoint.cell
+        if prefill_cell == cell:
+            prefilled, near = (
+                prefilled + 1,
                 near + (drive.router.servers[drive.sent[i][1]].endpoint.cell == cell),
             )
-    return near / read
+    return near / prefilled
+
 
+def test_few_decode_servers_near_many_prefill_servers_are_not_overloaded() -> None:
+    """On day L7ff7c3 with 191 routers, cells with 3 prefill and 2 decode servers were overloaded.
 
-def test_writers_near_many_readers_are_not_jammed_by_routers_that_see_them_empty() -> None:
-    """Found on day L7ff7c3 with 191 routers: racks with 3 readers and 2 writers jammed, others
-    idled.
+    Each router saw those decode servers as empty, while others were idle.
     """
-    assert kept_near([(3, 2), (1, 4), (1, 4)] * 4, 0, S) < 0.5
+    assert share_kept_in_cell([(3, 2), (1, 4), (1, 4)] * 4, 0, S) < 0.5
 
 
-def test_states_stay_near_where_racks_are_even() -> None:
-    assert kept_near([(2, 3)] * 12, 0, S) > 0.85
-    assert kept_near([(3, 2), (1, 4), (1, 4)] * 4, 1, S) > 0.85
+def test_states_stay_near_in_cells_with_enough_decode_servers() -> None:
+    assert share_kept_in_cell([(2, 3)] * 12, 0, S) > 0.85
+    assert share_kept_in_cell([(3, 2), (1, 4), (1, 4)] * 4, 1, S) > 0.85
 
 
-def overload(
-    drive: Drive, first: int, n: int, every_us: int, read_us: int, traffic_class: str = "light"
+def rejected_at_once(
+    drive: Drive,
+    first: int,
+    n: int,
+    interval_us: int,
+    prefill_us: int,
+    traffic_class: str = "light",
 ) -> int:
-    """Requests at a pace, each read after so long; how many were refused at once."""
-    refused = 0
+    """Send requests at a fixed interval; return how many were rejected at once."""
+    rejected = 0
     for i in range(first, first + n):
-        asked = drive.ask(
+        server = drive.ask(
             i, f"s{i}", f"p{i}", traffic_class=traffic_class, deadline_us=drive.now + 8 * S
         )
-        refused += asked is None and i in drive.answers
-        if asked:
-            drive.end(i, AttemptStatus.PREFILLED, read_us)
+        rejected += server is None and i in drive.answers
+        if server:
+            drive.end(i, AttemptStatus.PREFILLED, prefill_us)
             drive.give(contract.StreamStarted(i, 1, drive.sent[i][1], 30 * MS), 30 * MS)
             drive.end(i, AttemptStatus.COMPLETED, final=True)
-        drive.now += every_us
-    return refused
+        drive.now += interval_us
+    return rejected
+
 
+def test_late_answers_cause_rejections_at_once_which_end_with_the_overload() -> None:
+    """On day L7ff7c3, late answers, repeated prefills and retries kept up an overload.
 
-def test_late_answers_make_requests_be_refused_at_once_and_it_lets_go() -> None:
-    """Found on day L7ff7c3: late answers, reading anew and retries kept a jam up that no report
-    showed.
+    No load report showed it.
     """
     drive = Drive(routers=191)
-    assert overload(drive, 0, 30, 500 * MS, 40 * MS) == 0, "quiet on a healthy fleet"
-    for host in drive.router.servers.values():
-        host.sample_count = 0  # times are no news: only how requests fare
-    held = overload(drive, 100, 60, 100 * MS, 2 * S)
-    assert held > 20, "what is late costs no more work"
-    overload(drive, 200, 120, 500 * MS, 40 * MS)
-    assert overload(drive, 400, 30, 500 * MS, 40 * MS) == 0, "and lets go"
+    assert rejected_at_once(drive, 0, 30, 500 * MS, 40 * MS) == 0, "inactive on a healthy fleet"
+    for server in drive.router.servers.values():
+        server.sample_count = 0  # only the outcomes of requests count, not the measured times
+    rejected = rejected_at_once(drive, 100, 60, 100 * MS, 2 * S)
+    assert rejected > 20, "requests that would be late cause no more work"
+    rejected_at_once(drive, 200, 120, 500 * MS, 40 * MS)
+    assert rejected_at_once(drive, 400, 30, 500 * MS, 40 * MS) == 0, "the rejections end"
 
 
-def test_the_worthiest_class_is_held_back_less_and_no_class_by_what_another_meets() -> None:
+def test_the_highest_priority_is_throttled_less_and_no_class_for_outcomes_of_another() -> None:
     throttle = admission.AdaptiveThrottle()
     throttle.objective_share = 1.0
     for i in range(20):
@@ -379,7 +381,7 @@
     assert drive.ask(1, traffic_class="heavy") is not None
 
 
-def test_a_held_back_class_is_tried_again_within_seconds() -> None:
+def test_a_throttled_class_is_tried_again_within_seconds() -> None:
     drive = Drive(routers=191)
     drive.router.admission.throttles["light"].objective_share = 1.0
     for _ in range(50):
@@ -389,14 +391,12 @@
         == admission.MAX_SHED_PROBABILITY
     )
     assert sum(drive.ask(i, f"s{i}") is not None for i in range(60)) >= 2, (
-        "some go on in the worst jam"
+        "some requests are sent in the worst overload"
     )
 
 
-def test_answers_that_are_lost_while_others_are_quick_hold_no_class_back() -> None:
-    """Found on a day on which a third of the answers of most servers got lost: refusing saved
-    nothing.
-    """
+def test_lost_answers_do_not_throttle_a_class_while_others_are_quick() -> None:
+    """A third of the answers of most servers was lost, and rejecting requests saved nothing."""
     throttle = admission.AdaptiveThrottle()
     for i in range(40):
         throttle.record(i, in_time=i % 2 == 1)
@@ -404,52 +404,52 @@
     assert throttle.shed_probability(40, 0.1) <= 0
 
 
-def homes_of(drive: Drive, prefix: str, first: int) -> int:
-    """How many readers new sessions of a beginning are read at."""
-    seen = set()
+def owner_count(drive: Drive, prefix: str, first: int) -> int:
+    """Return the number of prefill servers used by new sessions with this prefix."""
+    servers = set()
     for i in range(first, first + 60):
-        seen.add(drive.ask(i, f"t{i}", prefix, prompt_tokens=100))
+        servers.add(drive.ask(i, f"t{i}", prefix, prompt_tokens=100))
         drive.end(i, AttemptStatus.ERROR, 1 * MS, final=True)
-        drive.router.servers[drive.sent[i][0]].failure_rate = 0.0  # the reads are no matter here
+        drive.router.servers[drive.sent[i][0]].failure_rate = 0.0  # the failure is not under test
         drive.router.affinity.recent_prefixes.pop()
-    return len(seen)
+    return len(servers)
 
 
-def test_a_beginning_that_is_surely_popular_has_more_homes_and_others_four() -> None:
-    """Found on a day with 145 routers: two homes of one beginning jammed at 0:10 while the rest
-    idled.
-    """
+def test_a_prefix_that_is_certainly_popular_has_more_owners_and_others_have_four() -> None:
+    """With 145 routers, two owners of one prefix were overloaded while other servers were idle."""
     drive = Drive(fleet(24, 4), routers=145)
     drive.router.affinity.recent_prefixes.extend(["hot"] * 10 + [f"p{i % 12}" for i in range(20)])
-    assert homes_of(drive, "hot", 0) == 8, (
-        "a third of all: to each home what an even share of all is"
+    assert owner_count(drive, "hot", 0) == 8, (
+        "a third of all requests: each owner gets an even share of all"
     )
-    assert homes_of(drive, "p1", 100) == prefix_affinity.MIN_OWNERS
-    assert homes_of(drive, "unheard", 200) == prefix_affinity.MIN_OWNERS
+    assert owner_count(drive, "p1", 100) == prefix_affinity.MIN_OWNERS
+    assert owner_count(drive, "unheard", 200) == prefix_affinity.MIN_OWNERS
     few = Drive(fleet(24, 4))
     few.router.affinity.recent_prefixes.extend(["hot"] * 10)
-    assert homes_of(few, "hot", 0) == 1
+    assert owner_count(few, "hot", 0) == 1
 
 
-def test_routers_that_heard_a_popular_beginning_more_or_less_often_agree_on_its_homes() -> None:
-    """A session's turns come to other routers: where those count other homes, its texts are read
-    anew.
+def test_routers_that_saw_a_popular_prefix_more_or_less_often_agree_on_its_owners() -> None:
+    """The turns of a session reach different routers.
+
+    If those count different owners, the session's prompts are prefilled anew.
     """
-    homes = set()
-    for often in range(6):  # of 30 heard, where one in ten is meant
+    owner_counts = set()
+    for count in range(6):  # of 30 recent requests, where a tenth is expected
         drive = Drive(fleet(24, 4), routers=40)
         drive.router.affinity.recent_prefixes.extend(
-            ["warm"] * often + [f"p{i}" for i in range(30 - often)]
+            ["warm"] * count + [f"p{i}" for i in range(30 - count)]
         )
-        homes.add(homes_of(drive, "warm", 0))
-    assert homes == {prefix_affinity.MIN_OWNERS}
+        owner_counts.add(owner_count(drive, "warm", 0))
+    assert owner_counts == {prefix_affinity.MIN_OWNERS}
+
 
+def test_after_signs_of_a_queue_one_more_prefill_server_is_tried_and_after_errors_more() -> None:
+    """On days i51a683 and i047fef, each request tried up to five full servers.
 
-def test_after_signs_of_a_queue_one_more_reader_is_tried_and_after_errors_more() -> None:
-    """Found on days i51a683 and i047fef: each request met up to five full readers and kept the
-    jam up.
+    That kept up the overload.
     """
-    for status, tries in (
+    for status, attempts in (
         (AttemptStatus.OVERLOADED, 2),
         (AttemptStatus.TIMED_OUT, 2),
         (AttemptStatus.ERROR, 4),
@@ -458,12 +458,13 @@
         drive.ask(1)
         while 1 not in drive.answers:
             drive.end(1, status, 1 * MS)
-        assert len(drive.sent[1]) == tries
+        assert len(drive.sent[1]) == attempts
+
 
+def test_a_throttle_acts_on_few_recorded_requests() -> None:
+    """On day i047fef, 249 routers each had recorded few requests of a class.
 
-def test_a_ledger_of_few_requests_still_holds_a_jam_down() -> None:
-    """Found on day i047fef: 249 routers each knew few requests of a class, and let a third
-    through.
+    They let a third of an overload through.
     """
     throttle = admission.AdaptiveThrottle()
     throttle.objective_share = 1.0
@@ -475,47 +476,39 @@
     assert throttle.shed_probability(23, 0.5) <= 0
 
 
-def test_mixed_servers_are_home_to_their_share_of_the_answers_only() -> None:
-    """Found on a real day: four mixed servers read and answered half of all beside seven
-    writers.
-    """
-    homes = [Drive(fleet(3, 6, 3)).ask(1, "s", f"p{i}") for i in range(300)]
-    assert 0.22 < sum(str(h).startswith("m") for h in homes) / 300 < 0.44
+def test_mixed_servers_own_no_more_prefixes_than_their_share_of_the_answers() -> None:
+    """Four mixed servers prefilled and answered half of all requests, beside seven decode servers."""
+    owners = [Drive(fleet(3, 6, 3)).ask(1, "s", f"p{i}") for i in range(300)]
+    assert 0.22 < sum(str(owner).startswith("m") for owner in owners) / 300 < 0.44
 
 
-def test_a_mixed_server_fuller_than_the_writers_reads_nothing_new() -> None:
-    """Found on a real day: the home of a popular beginning was mixed, and its streams came far
-    too late.
-    """
+def test_a_mixed_server_fuller_than_the_decode_servers_gets_no_new_prefill() -> None:
+    """The owner of a popular prefix was a mixed server, and its streams began far too late."""
     drive = Drive(fleet(2, 4, 2))
     prefix = next(
         f"p{i}" for i in range(99) if str(Drive(fleet(2, 4, 2)).ask(1, "s", f"p{i}")) == "m0"
     )
-    hosts = drive.router.servers
-    hosts["m0"].streams = {900 + i: (drive.now, 3_000) for i in range(20)}
+    servers = drive.router.servers
+    servers["m0"].streams = {900 + i: (drive.now, 3_000) for i in range(20)}
     assert drive.ask(1, "s", prefix) != "m0"
     for name in ("w0", "w1", "w2", "w3"):
-        hosts[name].streams = {900 + i: (drive.now, 3_000) for i in range(20)}
-    assert drive.ask(2, "t", prefix) == "m0", "all as full: the home stays"
+        servers[name].streams = {900 + i: (drive.now, 3_000) for i in range(20)}
+    assert drive.ask(2, "t", prefix) == "m0", "all are as full: the owner is kept"
 
 
-def test_a_spoilt_answer_proves_that_its_state_is_gone() -> None:
-    """Guards against a writer asked for a state that was fetched already: a whole attempt for a
-    `full`.
-    """
+def test_a_broken_answer_shows_that_its_state_is_gone() -> None:
+    """Guards against an attempt for a state that was fetched already, which is rejected as full."""
     drive = Drive()
     drive.ask(1)
     drive.end(1, AttemptStatus.PREFILLED)
     drive.end(1, AttemptStatus.RESET, note=1)
-    assert drive.sent[1][2].startswith("r"), "it is read anew"
+    assert drive.sent[1][2].startswith("r"), "the prompt is prefilled anew"
     drive.end(1, AttemptStatus.PREFILLED)
     assert drive.sent[1][3].startswith("w")
 
 
-def test_prefixes_that_expired_leave_the_table() -> None:
-    """Found by reading: each session's key stayed till the cap, though none counts after its
-    expiry.
-    """
+def test_expired_prefixes_are_removed_from_the_table() -> None:
+    """The keys of all sessions stayed up to the table's limit, although expired keys are unused."""
     drive = Drive()
     for i in range(200):
         drive.serve(i, f"s{i}", f"p{i}")
@@ -523,54 +516,51 @@
     assert len(drive.router.affinity.entries) <= 2 * (prefix_affinity.ENTRY_TTL_US // S + 1)
 
 
-def test_requests_that_are_no_use_put_no_server_aside() -> None:
-    """Seen on a day with bad clients: 5,607 attempts ended with 400, and readers were left out
-    for it.
-    """
+def test_invalid_requests_eject_no_server() -> None:
+    """With faulty clients, 5,607 attempts ended with 400, and prefill servers were ejected."""
     drive = Drive()
     for i in range(20):
         drive.ask(i)
         drive.end(i, AttemptStatus.INVALID_REQUEST)
         assert [type(a) for a in drive.answers[i]] == [contract.Fail] and len(drive.sent[i]) == 1
-    assert not aside(drive)
+    assert not ejected(drive)
 
 
-def test_spoilt_answers_from_all_alike_leave_nobody_out_and_from_one_do() -> None:
-    """Seen on a day of spoilt streams: three of fourteen healthy servers were aside at a time."""
-    drive, got = Drive(), Counter[str]()
+def test_broken_answers_eject_one_faulty_server_but_not_all_servers_alike() -> None:
+    """With broken streams everywhere, three of fourteen healthy servers were ejected at a time."""
+    drive, answers_by_server = Drive(), Counter[str]()
     for i in range(200):
         drive.ask(i, f"s{i}", f"p{i}")
         drive.end(i, AttemptStatus.PREFILLED)
-        got[drive.sent[i][-1]] += 1
-        if got[drive.sent[i][-1]] % 10 < 2:
+        answers_by_server[drive.sent[i][-1]] += 1
+        if answers_by_server[drive.sent[i][-1]] % 10 < 2:
             drive.end(i, AttemptStatus.RESET, note=1)
             drive.give(contract.RequestWithdrawn(i))
         else:
             drive.give(contract.StreamStarted(i, 1, drive.sent[i][-1], 30 * MS), 30 * MS)
             drive.end(i, AttemptStatus.COMPLETED, final=True)
-        assert not aside(drive)
-    ill = drive.sent[199][-1]
+        assert not ejected(drive)
+    faulty = drive.sent[199][-1]
     for i in range(200, 280):
         drive.ask(i, f"s{i}", f"p{i}")
         drive.end(i, AttemptStatus.PREFILLED)
-        if drive.sent[i][-1] == ill:
+        if drive.sent[i][-1] == faulty:
             drive.end(i, AttemptStatus.RESET, note=1)
             drive.give(contract.RequestWithdrawn(i))
         else:
             drive.give(contract.StreamStarted(i, 1, drive.sent[i][-1], 30 * MS), 30 * MS)
             drive.end(i, AttemptStatus.COMPLETED, final=True)
-    assert aside(drive) == {ill}
+    assert ejected(drive) == {faulty}
 
 
-def test_a_read_overtaken_by_later_ones_is_called_off_and_one_in_a_queue_is_not() -> None:
-    """Seen on an incident: reads waited 4.9 s on silent connections while their reader answered
-    others.
+def test_a_prefill_overtaken_by_later_ones_is_cancelled_and_a_queued_one_is_not() -> None:
+    """Prefills waited 4.9 s on silent connections while their server answered others.
 
-    Where reads usually take long there may be a queue, so it takes some later ones; elsewhere one
-    tells.
+    Where prefills take long there may be a queue, so several later answers are needed to cancel;
+    elsewhere one is enough.
     """
-    for usual_ms, later, expected in (
-        (50, 0, True),  # while nothing was answered since, the old rule for silence holds instead
+    for prefill_ms, later, expected in (
+        (50, 0, True),  # with no later answer, the attempt is cancelled for silence
         (50, 1, True),
         (200, 1, False),
         (200, outlier_detection.OVERTAKEN_LIMIT - 1, False),
@@ -578,11 +568,11 @@
     ):
         drive = Drive(fleet(readers=1))
 
-        def serve(number: int, drive: Drive = drive, usual_ms: int = usual_ms) -> None:
+        def serve(number: int, drive: Drive = drive, prefill_ms: int = prefill_ms) -> None:
             drive.ask(number, f"w{number}")
-            drive.end(number, AttemptStatus.PREFILLED, usual_ms * MS, note=1_000)
-            writer = drive.sent[number][-1]
-            drive.give(contract.StreamStarted(number, 1, writer, 30 * MS), 30 * MS)
+            drive.end(number, AttemptStatus.PREFILLED, prefill_ms * MS, note=1_000)
+            decode_server = drive.sent[number][-1]
+            drive.give(contract.StreamStarted(number, 1, decode_server, 30 * MS), 30 * MS)
             drive.end(number, AttemptStatus.COMPLETED, final=True)
 
         for i in range(60):
@@ -591,40 +581,41 @@
         for i in range(later):
             drive.now += MS
             serve(101 + i)
-        called = []
+        cancelled = []
         for _ in range(60):
             drive.tick()
-            called += [a.id for a in drive.last if isinstance(a, contract.CancelAttempt)]
-        assert called == ([100] if expected else []), (usual_ms, later)
+            cancelled += [a.id for a in drive.last if isinstance(a, contract.CancelAttempt)]
+        assert cancelled == ([100] if expected else []), (prefill_ms, later)
+
 
+def test_a_cancelled_attempt_ejects_a_server_only_briefly_with_many_routers() -> None:
+    """Many routers cancel prefills mostly because of queues.
 
-def test_what_was_called_off_leaves_a_server_out_only_briefly_among_many_routers() -> None:
-    """Many routers call reads off for queues mostly: left out for long, homes lose their
-    sessions' texts.
+    A long ejection would lose the prefixes that the owner has cached for its sessions.
     """
     drive = Drive(routers=40, health_checks_allowed=True)
-    home = drive.serve(1)
+    owner = drive.serve(1)
     drive.ask(2)
     drive.end(2, AttemptStatus.CANCELLED, 600 * MS)
-    host = drive.router.servers[home]
-    assert host.ejection_level and not host.is_healthy(drive.now)
+    server = drive.router.servers[owner]
+    assert server.ejection_level and not server.is_healthy(drive.now)
     drive.now += outlier_detection.EJECTION_US
     drive.tick()
-    assert contract.HealthCheck(home) in drive.last
-    drive.give(contract.HealthCheckResult(home, True, 1 * MS))
-    assert host.is_healthy(drive.now) and drive.ask(3) == home
+    assert contract.HealthCheck(owner) in drive.last
+    drive.give(contract.HealthCheckResult(owner, True, 1 * MS))
+    assert server.is_healthy(drive.now) and drive.ask(3) == owner
     drive.end(3, AttemptStatus.TIMED_OUT, 600 * MS)
-    assert not host.is_healthy(drive.now + outlier_detection.MAX_EJECTION_US - 1 * S), (
-        "what timed out may be gone: left out for long"
+    assert not server.is_healthy(drive.now + outlier_detection.MAX_EJECTION_US - 1 * S), (
+        "after a timeout the server may be gone: a long ejection"
     )
 
 
-def test_a_cold_home_gets_the_same_sessions_at_all_routers_and_more_as_it_warms() -> None:
-    """By a lot for each request a session's turns would alternate, and be read anew at each
-    reader.
-    """
-    slow_start_duration_us, readers = 13 * S, fleet(4, 4)
-    servers = [replace(s, started_us=1_000 * S) if s.id == "r0" else s for s in readers]
+def test_an_owner_in_slow_start_gets_the_same_sessions_at_all_routers_and_more_as_it_warms() -> (
+    None
+):
+    """Sampling by request would alternate a session's turns, each prefilled anew at its server."""
+    slow_start_duration_us, endpoints = 13 * S, fleet(4, 4)
+    servers = [replace(s, started_us=1_000 * S) if s.id == "r0" else s for s in endpoints]
     drives = [
         Drive(
             servers,
@@ -635,17 +626,17 @@
         )
         for n in (3, 17)
     ]
-    went: dict[int, dict[str, set[str]]] = {}
+    chosen: dict[int, dict[str, set[str]]] = {}
     for after_us in (0, slow_start_duration_us // 2, slow_start_duration_us):
-        rows = went[after_us] = {f"s{i}": set() for i in range(80)}
+        by_session = chosen[after_us] = {f"s{i}": set() for i in range(80)}
         for drive in drives:
             drive.now = 1_000 * S + after_us
-            for session, readers_of in rows.items():
-                ask = contract.Arrival(
+            for session, session_servers in by_session.items():
+                arrival = contract.Arrival(
                     1, "light", session, drive.now + 5 * S, 3_000, 300, f"p{session}", 2_000
                 )
                 request = request_state.RequestState(
-                    ask, drive.router.admission.classes["light"], drive.now, 1.0
+                    arrival, drive.router.admission.classes["light"], drive.now, 1.0
                 )
                 healthy = drive.router.pool.healthy(
                     drive.now, contract.Role.PREFILL, contract.Role.MIXED
@@ -653,20 +644,23 @@
                 eligible = drive.router.candidates.eligible(request, healthy, drive.now)
                 ranked = rendezvous.rank_by_rendezvous(f"p{session}", eligible)
                 matched, _ = drive.router.affinity.match(request, ranked, drive.now)
-                readers_of.add(matched.id)
-    assert all(len(of) == 1 for rows in went.values() for of in rows.values())
-    cold, half, warm = ({s for s, of in rows.items() if of == {"r0"}} for rows in went.values())
+                session_servers.add(matched.id)
+    assert all(len(ids) == 1 for by_session in chosen.values() for ids in by_session.values())
+    cold, half, warm = (
+        {session for session, ids in by_session.items() if ids == {"r0"}}
+        for by_session in chosen.values()
+    )
     assert cold < half < warm and 2 * len(cold) < len(warm) >= 10
 
 
-def test_fewer_reads_are_called_off_where_good_answers_are_slow() -> None:
-    """In a jam of all readers what is read anew elsewhere makes it worse."""
+def test_fewer_cancellations_are_earned_while_answers_are_slow() -> None:
+    """If all prefill servers are overloaded, prefills repeated elsewhere make it worse."""
     earned = []
-    for slow in (0.1, 0.4, 1.0):
+    for objective_share in (0.1, 0.4, 1.0):
         drive = Drive(routers=40)
         drive.router.timeouts.credit, drive.router.admission.throttles["light"].objective_share = (
             0.0,
-            slow,
+            objective_share,
         )
         for i in range(4):
             drive.ask(i, f"s{i}")
@@ -678,89 +672,82 @@
     )
 
 
-def test_a_state_is_let_go_once_dials_have_taken_its_time() -> None:
-    """Seen on a split day: 250 ms at one writer of a lost zone, 250 ms at the next, the state
-    held.
-    """
+def test_a_state_is_released_once_failed_connections_have_used_up_its_time() -> None:
+    """With a zone cut off, two decode servers took 250 ms each to fail while the state was held."""
     drive = Drive(max_attempts=6)
     drive.ask(1)
     drive.end(1, AttemptStatus.PREFILLED)
     drive.end(1, AttemptStatus.UNREACHABLE, 150 * MS)
-    assert [s[0] for s in drive.sent[1]] == ["r", "w", "w"], "one more dial fits"
+    assert [s[0] for s in drive.sent[1]] == ["r", "w", "w"], "there is time for one more"
     assert not [a for a in drive.last if isinstance(a, contract.ReleaseState)]
     drive.end(1, AttemptStatus.UNREACHABLE, 75 * MS)
     assert isinstance(drive.last[0], contract.ReleaseState) and drive.sent[1][-1][0] == "r", (
-        "let go, and read anew"
+        "released, and prefilled anew"
     )
     drive.ask(2)
     drive.end(2, AttemptStatus.PREFILLED)
     drive.end(2, AttemptStatus.OVERLOADED, 400 * MS)
     drive.end(2, AttemptStatus.UNREACHABLE, 150 * MS)
     assert [s[0] for s in drive.sent[2]] == ["r", "w", "w", "w"], (
-        "the first had arrived: the time began anew"
+        "the first attempt was received: the time began anew"
     )
 
 
-def test_a_jam_at_writers_that_has_passed_keeps_nothing_from_being_sent() -> None:
-    """Found on a drawn day of overload: after one jam of 2 s every request was refused for the
-    rest of it.
-    """
+def test_a_past_queue_at_decode_servers_does_not_block_requests() -> None:
+    """After a queue of 2 s at the decode servers, every later request was rejected."""
     drive = Drive()
     drive.ask(1)
     drive.end(1, AttemptStatus.PREFILLED)
     drive.give(contract.StreamStarted(1, 1, drive.sent[1][-1], 2_500 * MS), 2_500 * MS)
     drive.end(1, AttemptStatus.COMPLETED, final=True)
-    assert drive.ask(100) is None, "no answer of its class would be in time just now"
+    assert drive.ask(100) is None, "no answer of its class would be in time now"
     drive.now += 10 * latency_baselines.QUEUE_HALF_LIFE_US
     assert drive.ask(101) is not None, (
-        "and none would ever show that the jam has passed, if none were sent"
+        "unless a request is sent, nothing shows that the queue is gone"
     )
 
 
-def test_what_can_wait_makes_nobody_late_that_is_worth_as_much() -> None:
-    """Found on days of overload: long aims filled the readers' queues, and short ones were never
-    in time.
+def test_a_long_objective_does_not_make_equal_priorities_with_a_short_one_late() -> None:
+    """In overload, classes with long objectives filled the queues of the prefill servers.
+
+    Those with short objectives were never in time.
     """
     classes = (
         contract.TrafficClass("patient", 3 * S, 9 * S, 1.0),
         contract.TrafficClass("urgent", S, 5 * S, 2.0),
     )
-    # Among many routers it goes: what one of them holds back makes no queue shorter, as the others
-    # fill it.
-    for settings, routers, goes in (
+    # With many routers the request is sent: what one of them delays makes no queue shorter, as the
+    # others fill it.
+    for settings, routers, is_sent in (
         (classes, 2, False),
         (classes[:1], 2, True),
         (classes, 60, True),
     ):
         drive = Drive(fleet(2, 4), classes=settings, routers=routers)
-        for host in drive.router.servers.values():
-            host.us_per_token, host.sample_count, host.last_answer_us = (
+        for server in drive.router.servers.values():
+            server.us_per_token, server.sample_count, server.last_answer_us = (
                 1.2 * S / (server_state.PREFILL_OVERHEAD_TOKENS + 3_000),
                 3,
                 drive.now,
             )
-        assert (drive.ask(1, traffic_class="patient") is not None) is goes
+        assert (drive.ask(1, traffic_class="patient") is not None) is is_sent
 
 
-def test_what_is_being_read_counts_among_what_writers_will_hold() -> None:
-    """Found on an overloaded day: once writers had room for one, all that waited were read at
-    once.
-    """
+def test_prefills_in_progress_count_as_future_memory_of_decode_servers() -> None:
+    """Once decode servers had memory for one request, all that waited were prefilled at once."""
     drive = Drive(fleet(4, 1), load_report_mode=contract.LoadReportMode.INLINE, routers=1)
-    writer = drive.router.servers["w0"]
-    writer.memory_utilization, writer.utilization_reported_us = (
+    decode_server = drive.router.servers["w0"]
+    decode_server.memory_utilization, decode_server.utilization_reported_us = (
         admission.MAX_UTILIZATION - admission.PRIORITY_SPAN - 0.1,
         drive.now,
     )
-    went = [drive.ask(i, f"s{i}", f"p{i}", prompt_tokens=8_000) is not None for i in range(8)]
-    assert went[0] and not any(went[4:]), "the first ones take the room that the report leaves"
+    sent = [drive.ask(i, f"s{i}", f"p{i}", prompt_tokens=8_000) is not None for i in range(8)]
+    assert sent[0] and not any(sent[4:]), "the first requests take the reported free memory"
     assert drive.router.requests.keys() == set(range(8)), "the others wait"
 
 
-def test_a_send_that_was_held_back_here_gives_what_is_held_no_new_time() -> None:
-    """Seen in reading: a writer that drains during the dial, or no descriptor for it, restarted
-    the clock.
-    """
+def test_an_attempt_that_was_not_sent_does_not_extend_the_time_of_a_held_state() -> None:
+    """A server that drained while connecting, or a lack of descriptors, restarted that time."""
     drive = Drive(release_within_us=300 * MS)
     drive.ask(1)
     drive.end(1, AttemptStatus.PREFILLED)
@@ -768,5 +755,5 @@
         assert not [a for a in drive.last if isinstance(a, contract.ReleaseState)]
         drive.end(1, AttemptStatus.NOT_SENT, 100 * MS)
     assert [a for a in drive.last if isinstance(a, contract.ReleaseState)], (
-        "let go before its time is over"
+        "released before its time is over"
     )
