--- a/onyxpass/scheduling/admission.py
+++ b/onyxpass/scheduling/admission.py
@@ -33,9 +33,9 @@
 
     def __init__(self) -> None:
         self._ended = 0.0  # decayed number of requests that have ended
-        self._in_time = 0.0  # those of them whose answer began within the objective
+        self._in_time = 0.0  # decayed number of those answered within the objective
         self._updated_us = 0
-        self.objective_share = 0.0  # moving average: part of the objective in answered attempts
+        self.objective_share = 0.0  # mean part of the objective that answered attempts took
 
     def record(self, now_us: int, *, in_time: bool) -> None:
         """Count an ended request, ``in_time`` if its answer began within the objective."""
--- a/onyxpass/scheduling/attempt_timeouts.py
+++ b/onyxpass/scheduling/attempt_timeouts.py
@@ -97,7 +97,7 @@
         """Return whether the server has answered later sends while this attempt is overdue."""
         # Prevents waiting on a silent connection whose server answers other requests. Servers take
         # prefills in order of arrival, so a later prefill does not end before an earlier one.
-        # Decode servers also wait for memory.
+        # At decode servers, requests also wait for memory.
         typical_us = self._baselines.typical_us[server.role]
         unloaded = (
             SILENCE_MULTIPLE * typical_us < SILENCE_OBJECTIVE_SHARE * request.latency_objective_us
--- a/onyxpass/scheduling/contract/events.py
+++ b/onyxpass/scheduling/contract/events.py
@@ -26,7 +26,7 @@
     CANCELLED = "cancelled"
     NOT_SENT = "not_sent"
     PREFILLED = "read"
-    INVALID_REQUEST = "unfit"  # rejected because of the request itself, as by any server
+    INVALID_REQUEST = "unfit"  # the request is at fault: every server would reject it
 
     @property
     def may_have_run(self) -> bool:
--- a/onyxpass/scheduling/latency_baselines.py
+++ b/onyxpass/scheduling/latency_baselines.py
@@ -10,7 +10,7 @@
     moving_average,
 )
 
-QUEUE_HALF_LIFE_US = 1_000_000  # for a queue of which there is no newer observation
+QUEUE_HALF_LIFE_US = 1_000_000  # of an observed queue without newer observations
 
 
 class LatencyBaselines:
@@ -43,7 +43,7 @@
         )
 
     def decode_queue_us(self, now_us: int) -> float:
-        """Return the estimated wait at decode servers, which halves while no stream starts."""
+        """Return the estimated wait for a first token, which decays while no stream starts."""
         age_us = now_us - self.last_stream_start_us
         remaining: float = 0.5 ** (age_us / QUEUE_HALF_LIFE_US)
         return self.typical_us[Role.DECODE] * remaining
--- a/onyxpass/scheduling/memory_projection.py
+++ b/onyxpass/scheduling/memory_projection.py
@@ -65,7 +65,7 @@
 def _tokens_sent_since(
     server: ServerState, since_us: float, routers: int, certain_only: bool
 ) -> float:
-    """Estimate the tokens of the streams that all routers have sent to a server since then."""
+    """Estimate the tokens of the streams that all routers sent to a server after ``since_us``."""
     sends = [tokens for sent_us, tokens in server.streams.values() if sent_us > since_us]
     if not sends:
         return 0.0
--- a/onyxpass/scheduling/outlier_detection.py
+++ b/onyxpass/scheduling/outlier_detection.py
@@ -98,7 +98,7 @@
         self.last_answer_us = -1
         self.ejected_until_us = -1
         self.ejection_level = 0
-        self.is_unresponsive = False  # ejected after it had answered nothing
+        self.is_unresponsive = False  # ejected because it answered nothing
         self.health_check_passed = False  # since its last ejection
 
     def record_success(self, us_per_token: float, now_us: int) -> None:
@@ -132,7 +132,10 @@
             self.eject(now_us, unresponsive=unresponsive, brief=kind is FailureKind.CANCELLED)
 
     def eject(self, now_us: int, *, unresponsive: bool, brief: bool = False) -> None:
-        """Give the server no work for a time that doubles with each failed trial."""
+        """Give the server no work for a time that doubles with each failed trial.
+
+        ``brief`` keeps the first ejection short with many routers too.
+        """
         if now_us < self.ejected_until_us:
             return
         short = brief or self.settings.routers < MANY_ROUTERS
--- a/tests/scheduling/test_admission_fairness.py
+++ b/tests/scheduling/test_admission_fairness.py
@@ -33,13 +33,13 @@
         us_per_token: float,
         mean_tokens: float,
     ) -> None:
-        (routers, readers), self.us_per_token, self.free_at_us = (
+        (routers, prefill_servers), self.us_per_token, self.free_at_us = (
             size,
             us_per_token,
             dict[str, int](),
         )
         rate = load * S / (us_per_token * mean_tokens)
-        super().__init__("none", routers, readers, rate, seed, classes=self.classes)
+        super().__init__("none", routers, prefill_servers, rate, seed, classes=self.classes)
 
     def read_us(self, server: str, tokens: int) -> int:
         start = max(self.now, self.free_at_us.get(server, 0))
@@ -62,7 +62,7 @@
 
     def __init__(self, seed: int, load: float) -> None:
         rng = random.Random(seed)
-        routers, readers = rng.choice([3, 4, 6, 40]), rng.choice([5, 6, 8, 12])
+        routers, prefill_servers = rng.choice([3, 4, 6, 40]), rng.choice([5, 6, 8, 12])
         us_per_token = S / rng.uniform(13_000, 23_000)
         objectives_s = [rng.uniform(0.6, 1.5), rng.uniform(1, 3), rng.uniform(0.8, 2.5)]
         idempotencies = (
@@ -84,7 +84,13 @@
             for n, objective_s in enumerate(objectives_s)
         )
         mean_tokens = PREFILL_OVERHEAD_TOKENS + MEDIAN_TOKENS * math.exp(SIGMA**2 / 2)
-        super().__init__(seed, load * (readers + 2), (routers, readers), us_per_token, mean_tokens)
+        super().__init__(
+            seed,
+            load * (prefill_servers + 2),
+            (routers, prefill_servers),
+            us_per_token,
+            mean_tokens,
+        )
 
     def ask(self, number: int) -> contract.Arrival:
         traffic_class = self.chance.choice(self.classes)
@@ -182,8 +188,8 @@
                 ("b", 1_000, 3_000, 1.0, 10_000),
             )
         )
-        mean_tokens, readers = PREFILL_OVERHEAD_TOKENS + 3_000 * math.exp(0.5), 8
-        super().__init__(1, 0.4 * readers, (4, readers), 130.0, mean_tokens)
+        mean_tokens, prefill_servers = PREFILL_OVERHEAD_TOKENS + 3_000 * math.exp(0.5), 8
+        super().__init__(1, 0.4 * prefill_servers, (4, prefill_servers), 130.0, mean_tokens)
 
     def ask(self, number: int) -> contract.Arrival:
         traffic_class, tokens = (
--- a/tests/scheduling/test_overload_defences.py
+++ b/tests/scheduling/test_overload_defences.py
@@ -156,7 +156,7 @@
 
 
 def test_with_many_routers_decode_servers_near_the_prefill_server_are_checked_first() -> None:
-    """With 145 routers, each got a load report of a server once a minute and overloaded near ones."""
+    """With 145 routers, each got a report per server once a minute, and overloaded near servers."""
     drive = Drive(
         fleet(4, 12),
         routers=150,
@@ -477,7 +477,7 @@
 
 
 def test_mixed_servers_own_no_more_prefixes_than_their_share_of_the_answers() -> None:
-    """Four mixed servers prefilled and answered half of all requests, beside seven decode servers."""
+    """Four mixed servers took half of all requests although there were seven decode servers."""
     owners = [Drive(fleet(3, 6, 3)).ask(1, "s", f"p{i}") for i in range(300)]
     assert 0.22 < sum(str(owner).startswith("m") for owner in owners) / 300 < 0.44
 
--- a/tests/scheduling/test_settings_families.py
+++ b/tests/scheduling/test_settings_families.py
@@ -1,4 +1,4 @@
-"""The module under families of settings that hold both deployments and what lies between."""
+"""The router under random settings that cover both deployments and what lies between them."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 from onyxpass.scheduling import contract
 from onyxpass.scheduling.contract import AttemptStatus
 
-ENDS = (
+FAILED_STATUSES = (
     AttemptStatus.ERROR,
     AttemptStatus.OVERLOADED,
     AttemptStatus.TIMED_OUT,
@@ -19,28 +19,28 @@
 
 
 @dataclass(frozen=True)
-class Family:
+class Deployment:
     settings: dict[str, object]
     servers: tuple[contract.Endpoint, ...]
-    names: tuple[str, ...]
+    class_names: tuple[str, ...]
 
 
 @st.composite
-def families(draw: st.DrawFn) -> Family:
+def deployments(draw: st.DrawFn) -> Deployment:
     count = draw(st.integers(2, 3))
     classes = []
     for number in range(count):
-        aim = draw(st.integers(800, 3_000)) * MS
-        unsafe = number == count - 1
+        objective_us = draw(st.integers(800, 3_000)) * MS
+        non_idempotent = number == count - 1
         classes.append(
             contract.TrafficClass(
                 f"c{number}",
-                aim,
-                5 * aim,
+                objective_us,
+                5 * objective_us,
                 priority_weight=float(draw(st.integers(1, 5))),
                 late_weight=draw(st.sampled_from((0.1, 0.2, 0.3))),
                 idempotency=contract.Idempotency.NONE
-                if unsafe
+                if non_idempotent
                 else contract.Idempotency.IDEMPOTENT,
                 latency_objective_us_per_1k_tokens=draw(st.sampled_from((40_000, 60_000))),
                 token_objective_us=draw(st.sampled_from((50_000, 60_000, 80_000))),
@@ -59,7 +59,7 @@
         for kind in kinds
         for i in range(draw(st.integers(3, 7)))
     )
-    told: dict[str, object] = {
+    drawn_settings: dict[str, object] = {
         "classes": tuple(classes),
         "kinds": tuple(kinds),
         "routers": draw(st.sampled_from((2, 3, 4, 40, 200))),
@@ -75,20 +75,22 @@
         "tenants": (contract.Tenant("a", draw(st.floats(1, 20))), contract.Tenant("b", 5.0)),
         "over_quota_weight": 0.1,
     }
-    return Family(told, servers, tuple(traffic_class.name for traffic_class in classes))
+    return Deployment(
+        drawn_settings, servers, tuple(traffic_class.name for traffic_class in classes)
+    )
 
 
-class Books(Drive):
-    """Keeps what the rules ask for of every request, whatever the settings."""
+class CheckedDrive(Drive):
+    """Records the attempts of every request and checks the rules that hold for any settings."""
 
-    def __init__(self, family: Family) -> None:
-        super().__init__(family.servers, **family.settings)
-        self.family = family
+    def __init__(self, deployment: Deployment) -> None:
+        super().__init__(deployment.servers, **deployment.settings)
+        self.deployment = deployment
         self.ended: dict[int, list[AttemptStatus]] = {}
         self.streams: set[int] = set()
 
-    def arrives(self, number: int, wait_us: int = 4 * S) -> None:
-        traffic_class = self.family.names[number % len(self.family.names)]
+    def add_request(self, number: int, wait_us: int = 4 * S) -> None:
+        traffic_class = self.deployment.class_names[number % len(self.deployment.class_names)]
         tenant = "ab"[number % 2]
         deadline_us = self.now + wait_us
         self.ask(
@@ -100,20 +102,21 @@
             deadline_us=deadline_us,
         )
 
-    def out(self) -> list[int]:
+    def in_flight(self) -> list[int]:
+        """Return the requests with an attempt in flight."""
         return [
             number
             for number, sent in self.sent.items()
             if len(sent) > len(self.ended.get(number, ())) and number not in self.streams
         ]
 
-    def ends(self, number: int, status: AttemptStatus, after_us: int) -> None:
-        """Its attempt ends; a good one of a writer begins its stream and is whole."""
+    def end_attempt(self, number: int, status: AttemptStatus, after_us: int) -> None:
+        """End the attempt of a request; a successful decode is a complete stream."""
         server = self.sent[number][-1]
-        writes = not server.startswith("r") and not (
-            server.startswith("m") and self.reading(number)
+        is_decode = not server.startswith("r") and not (
+            server.startswith("m") and self.needs_prefill(number)
         )
-        if status is AttemptStatus.PREFILLED and writes:
+        if status is AttemptStatus.PREFILLED and is_decode:
             self.streams.add(number)
             self.give(
                 contract.StreamStarted(number, len(self.sent[number]) - 1, server, after_us),
@@ -124,14 +127,14 @@
             self.ended.setdefault(number, []).append(status)
             self.end(number, status, after_us)
 
-    def reading(self, number: int) -> bool:
-        job = self.router.requests.get(number)
-        return job is not None and job.state_holder is None
+    def needs_prefill(self, number: int) -> bool:
+        request = self.router.requests.get(number)
+        return request is not None and request.state_holder is None
 
-    def kept(self) -> None:
+    def check_rules(self) -> None:
         for number, sent in self.sent.items():
             ended = self.ended.get(number, [])
-            assert len(sent) - len(ended) in (0, 1), "one out at a time"
+            assert len(sent) - len(ended) in (0, 1), "one attempt at a time"
             assert len(sent) <= self.settings.max_attempts
             traffic_class = self.settings.classes[number % len(self.settings.classes)]
             if traffic_class.idempotency is not contract.Idempotency.NONE:
@@ -141,7 +144,7 @@
                 for i, status in enumerate(ended)
                 if status.may_have_run and sent[i].startswith("w")
             ]
-            assert not ran or len(sent) == ran[0] + 1, "nothing more once it may have run"
+            assert not ran or len(sent) == ran[0] + 1, "no attempt after one that may have run"
             if ran and number in self.answers:
                 assert self.answers[number] == [contract.Fail(number)]
         assert all(len(answers) == 1 for answers in self.answers.values()), "one final answer"
@@ -149,59 +152,64 @@
 
 
 STEPS = st.lists(
-    st.tuples(st.sampled_from(("ask", "tick", "good", *ENDS)), st.integers(1, 1_500)), max_size=60
+    st.tuples(st.sampled_from(("ask", "tick", "good", *FAILED_STATUSES)), st.integers(1, 1_500)),
+    max_size=60,
 )
 
 
-@given(families(), STEPS)
+@given(deployments(), STEPS)
 @settings(derandomize=True, max_examples=120, deadline=None)
-def test_the_rules_hold_whatever_the_settings_and_the_ends(
-    family: Family, steps: list[tuple[object, int]]
+def test_the_rules_hold_for_any_settings_and_outcomes(
+    deployment: Deployment, steps: list[tuple[object, int]]
 ) -> None:
-    books, number = Books(family), 0
-    for what, ms in steps:
-        out = books.out()
-        if what == "ask":
+    drive, number = CheckedDrive(deployment), 0
+    for step, ms in steps:
+        in_flight = drive.in_flight()
+        if step == "ask":
             number += 1
-            books.arrives(number)
-        elif what == "tick" or not out:
-            books.tick()
+            drive.add_request(number)
+        elif step == "tick" or not in_flight:
+            drive.tick()
         else:
-            books.ends(
-                out[ms % len(out)], AttemptStatus.PREFILLED if what == "good" else what, ms * MS
-            )  # type: ignore[arg-type]
-        books.kept()
-    for _ in range(400):  # all time passes: whatever is left gets its answer
-        for waiting in books.out():
-            books.ends(waiting, AttemptStatus.TIMED_OUT, 0)
-        books.tick()
-    books.kept()
-    assert set(range(1, number + 1)) == books.answers.keys() | books.streams
-
-
-@given(families(), st.sampled_from(("slow", *ENDS)), st.integers(5, 40))
+            drive.end_attempt(
+                in_flight[ms % len(in_flight)],
+                AttemptStatus.PREFILLED if step == "good" else step,  # type: ignore[arg-type]
+                ms * MS,
+            )
+        drive.check_rules()
+    for _ in range(400):  # until all deadlines have passed and every request has its answer
+        for waiting in drive.in_flight():
+            drive.end_attempt(waiting, AttemptStatus.TIMED_OUT, 0)
+        drive.tick()
+    drive.check_rules()
+    assert set(range(1, number + 1)) == drive.answers.keys() | drive.streams
+
+
+@given(deployments(), st.sampled_from(("slow", *FAILED_STATUSES)), st.integers(5, 40))
 @settings(derandomize=True, max_examples=120, deadline=None)
-def test_no_bad_time_keeps_all_from_being_served_once_it_is_over(
-    family: Family, bad: object, requests: int
+def test_requests_are_served_again_after_a_period_of_failures(
+    deployment: Deployment, failure: object, requests: int
 ) -> None:
-    """Found on a drawn day: one jam, and every request was refused for the rest of it, at all
-    dispatchers.
-    """
-    books = Books(family)
+    """After one overload, all dispatchers rejected every request from then on."""
+    drive = CheckedDrive(deployment)
     for number in range(1, requests + 1):
-        books.arrives(number)
-        books.tick()
-        for out in books.out():
-            books.ends(out, AttemptStatus.PREFILLED if bad == "slow" else bad, 1_500 * MS)  # type: ignore[arg-type]
-    books.now += 15 * S
+        drive.add_request(number)
+        drive.tick()
+        for in_flight in drive.in_flight():
+            drive.end_attempt(
+                in_flight,
+                AttemptStatus.PREFILLED if failure == "slow" else failure,  # type: ignore[arg-type]
+                1_500 * MS,
+            )
+    drive.now += 15 * S
     for _ in range(40):
-        books.tick()
-    # the refused part shrinks with the answers of those let through
+        drive.tick()
+    # The rejected share falls with the answers to the requests that are sent.
     for number in range(1_000, 1_300):
-        books.arrives(number)
+        drive.add_request(number)
         for _ in range(2):
-            books.tick()
-            for out in books.out():
-                books.ends(out, AttemptStatus.PREFILLED, 20 * MS)
-    last = [number for number in range(1_200, 1_300) if number in books.streams]
-    assert len(last) >= 10, "it is not locked out"
+            drive.tick()
+            for in_flight in drive.in_flight():
+                drive.end_attempt(in_flight, AttemptStatus.PREFILLED, 20 * MS)
+    last = [number for number in range(1_200, 1_300) if number in drive.streams]
+    assert len(last) >= 10, "requests are not rejected for good"
--- a/tests/scheduling/test_slow_start.py
+++ b/tests/scheduling/test_slow_start.py
@@ -1,6 +1,4 @@
-"""What all routers together send to servers in slow start stays within the budget, for any
-number of them.
-"""
+"""All routers together keep to the budget of a server in slow start, however many they are."""
 
 import math
 import random
@@ -15,87 +13,88 @@
 from onyxpass.scheduling.slow_start import MIN_RATE_AGE_US, SlowStart
 
 WINDOW_US = SETTINGS.overload_window_us
-WARM = 20  # servers of the kind that are warm
-PART = 0.3 / WARM  # of all calls, by lot, to the server in slow start
-WARM_US = 12 * S  # of traffic before a server starts
+WARM_SERVERS = 20  # of the same kind as the server in slow start
+SAMPLED_SHARE = 0.3 / WARM_SERVERS  # of all calls, for the server in slow start
+WARM_UP_US = 12 * S  # of traffic before a server starts
 
 
-def most_in_a_window(sent: list[int], deduplication_window_us: int) -> int:
+def max_in_a_window(sent: list[int], window_us: int) -> int:
     ordered, found = sorted(sent), 0
     first = 0
     for last, at_us in enumerate(ordered):
-        while ordered[first] <= at_us - deduplication_window_us:
+        while ordered[first] <= at_us - window_us:
             first += 1
         found = max(found, last - first + 1)
     return found
 
 
 def bursts(routers: int, calls: float, seed: int) -> Iterator[tuple[int, int, float]]:
-    """Who asks, when, and its lot: each window bears ``calls`` at each warm server, and all ask
-    at once.
+    """Yield router, time and random draw of each request.
 
-    In each of six windows comes, within some milliseconds, ten times what all warm servers bear in
-    it.
+    A warm server answers ``calls`` in a window. In each of six windows, ten times what all warm
+    servers answer in it arrives within some milliseconds.
     """
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     for window in range(6):
-        for n in range(round(10 * calls * WARM) + 10 * routers):
-            yield chance.randrange(routers), WARM_US + window * WINDOW_US + n, chance.random()
+        for n in range(round(10 * calls * WARM_SERVERS) + 10 * routers):
+            yield rng.randrange(routers), WARM_UP_US + window * WINDOW_US + n, rng.random()
 
 
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize("calls", [1.0, 4.0, 12.0, 40.0, 200.0])
 @pytest.mark.parametrize("routers", [1, 2, 3, 6, 9, 14, 23, 40])
-def test_a_burst_at_all_routers_stays_within_what_a_server_bears(
+def test_a_burst_at_all_routers_stays_within_the_budget_of_a_server(
     routers: int, calls: float, seed: int
 ) -> None:
-    """Each knows how much a warm server answers; all are asked for far more than all servers
-    bear.
-    """
-    made = [SlowStart(replace(SETTINGS, routers=routers, ordinal=n)) for n in range(routers)]
-    rate = calls * S / WINDOW_US / routers * WARM  # of good answers a second by each router
-    for state in made:
-        state.sampling_factor("r0", "r", 0.3, PART, 0)
+    """Every router knows the rate of a warm server, and gets far more than all servers answer."""
+    slow_starts = [SlowStart(replace(SETTINGS, routers=routers, ordinal=n)) for n in range(routers)]
+    rate = calls * S / WINDOW_US / routers * WARM_SERVERS  # answers per second to each router
+    for state in slow_starts:
+        state.sampling_factor("r0", "r", 0.3, SAMPLED_SHARE, 0)
         phase = random.Random(f"{seed} {state.settings.ordinal}").random()
-        for n in range(math.ceil(rate * WARM_US / S - phase)):
-            state.record_answer("r", 1.0, [1.0] * WARM, round((n + phase) * S / rate))
-    share, sent = 0.3, list[int]()
-    for who, at_us, lot in sorted(bursts(routers, calls, seed), key=lambda ask: ask[1]):
-        made[who].record_arrival(at_us)
-        if lot < PART * made[who].sampling_factor("r0", "r", share, PART, at_us):
-            made[who].record_attempt("r0", at_us)
+        for n in range(math.ceil(rate * WARM_UP_US / S - phase)):
+            state.record_answer("r", 1.0, [1.0] * WARM_SERVERS, round((n + phase) * S / rate))
+    factor, sent = 0.3, list[int]()
+    for router, at_us, draw in sorted(bursts(routers, calls, seed), key=lambda request: request[1]):
+        slow_starts[router].record_arrival(at_us)
+        if draw < SAMPLED_SHARE * slow_starts[router].sampling_factor(
+            "r0", "r", factor, SAMPLED_SHARE, at_us
+        ):
+            slow_starts[router].record_attempt("r0", at_us)
             sent.append(at_us)
         else:
-            made[who].record_attempt("warm", at_us)
-    bears = slow_start.window_budget(SETTINGS.overload_multiple * share * calls)
-    assert most_in_a_window(sent, WINDOW_US) <= bears * 1.1 + 1
-    assert sent, "it is not left out either"
+            slow_starts[router].record_attempt("warm", at_us)
+    budget = slow_start.window_budget(SETTINGS.overload_multiple * factor * calls)
+    assert max_in_a_window(sent, WINDOW_US) <= budget * 1.1 + 1
+    assert sent, "the server gets some calls"
 
 
-def test_a_router_that_has_seen_nothing_takes_its_turn_only() -> None:
-    made, chance, sent = (
+def test_a_router_without_history_sends_only_in_its_turn() -> None:
+    slow_starts, sampled, sent = (
         [SlowStart(replace(SETTINGS, routers=10, ordinal=n)) for n in range(10)],
         0,
         0,
     )
-    lots = random.Random(3)
+    rng = random.Random(3)
     for window in range(40):
-        now_us, here = window * WINDOW_US, 0
-        for state in made:
+        now_us, sent_in_window = window * WINDOW_US, 0
+        for state in slow_starts:
             for n in range(5):
                 state.record_arrival(now_us + n)
-                chance += lots.random() < PART
-                if lots.random() < PART * state.sampling_factor("r0", "r", 0.3, PART, now_us + n):
-                    here += 1
+                sampled += rng.random() < SAMPLED_SHARE
+                if rng.random() < SAMPLED_SHARE * state.sampling_factor(
+                    "r0", "r", 0.3, SAMPLED_SHARE, now_us + n
+                ):
+                    sent_in_window += 1
                     state.record_attempt("r0", now_us + n)
                 else:
                     state.record_attempt("warm", now_us + n)
-        assert here <= slow_start.window_budget(0)
-        sent += here
-    assert 0 < sent <= 1.5 * chance, "no more than by lot alone, or little more"
+        assert sent_in_window <= slow_start.window_budget(0)
+        sent += sent_in_window
+    assert 0 < sent <= 1.5 * sampled, "little more than by sampling alone"
 
 
-def test_a_rate_fades_and_says_nothing_at_first() -> None:
+def test_a_rate_decays_and_is_unknown_at_first() -> None:
     rate = slow_start.DecayingRate(0)
     assert rate.per_second(0) is None
     for n in range(200):
@@ -110,32 +109,34 @@
     )
 
 
-def leaving(readers: int) -> list[str]:
-    return [f"r{n:02}" for n in range(1, max(2, readers // 2))]
+def leaving(prefill_servers: int) -> list[str]:
+    """Return the prefill servers that leave: about half of them."""
+    return [f"r{n:02}" for n in range(1, max(2, prefill_servers // 2))]
+
 
+def fleet_with_slow_start(routers: int, prefill_servers: int, seed: int) -> tuple[Fleet, int]:
+    """Run a slow start in which servers leave, others disappear and return, and a burst arrives.
 
-def fleet_with_a_start(routers: int, readers: int, seed: int) -> tuple[Fleet, int]:
-    """Servers that leave at once, a role that falls silent and returns, and a burst, around a
-    slow start.
+    Returns the fleet and the time at which the server started.
     """
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     fleet = Fleet(
         "r00",
         routers,
-        readers,
-        rate=RATE * readers,
+        prefill_servers,
+        rate=RATE * prefill_servers,
         seed=seed,
-        slow_start_initial_factor=chance.uniform(0.25, 0.4),
-        slow_start_duration_us=round(chance.uniform(8, 13) * S),
-        overload_multiple=chance.choice([2.0, 2.5, 3.0]),
-        overload_window_us=round(chance.choice([1, 2]) * S),
+        slow_start_initial_factor=rng.uniform(0.25, 0.4),
+        slow_start_duration_us=round(rng.uniform(8, 13) * S),
+        overload_multiple=rng.choice([2.0, 2.5, 3.0]),
+        overload_window_us=round(rng.choice([1, 2]) * S),
     )
     fleet.run(4 * S)
     fleet.sent.clear()
-    began = fleet.now
-    fleet.tell(replace(fleet.servers["r00"], started_us=began))
+    started_us = fleet.now
+    fleet.tell(replace(fleet.servers["r00"], started_us=started_us))
     fleet.run(S)
-    left = leaving(readers)
+    left = leaving(prefill_servers)
     fleet.tell(
         *(
             replace(fleet.servers[name], condition=contract.EndpointCondition.DRAINING)
@@ -143,59 +144,63 @@
         )
     )
     fleet.run(S)
-    silent = [f"r{n:02}" for n in range(1, readers) if f"r{n:02}" not in left]
+    remaining = [f"r{n:02}" for n in range(1, prefill_servers) if f"r{n:02}" not in left]
     mixed = [name for name in fleet.servers if name.startswith("m")]
     fleet.tell(
         *(
             replace(fleet.servers[name], condition=contract.EndpointCondition.REMOVED)
-            for name in (*silent, *mixed)
+            for name in (*remaining, *mixed)
         )
     )
-    fleet.rate *= BURST  # none but the one in slow start is left for it
+    fleet.rate *= BURST  # only the server in slow start is left for it
     fleet.run(2 * S)
     fleet.rate /= BURST
-    fleet.tell(*(contract.Endpoint(name, "r", "z0", 0) for name in silent))
+    fleet.tell(*(contract.Endpoint(name, "r", "z0", 0) for name in remaining))
     fleet.run(2 * S)
-    return fleet, began
+    return fleet, started_us
 
 
-def over_budget(fleet: Fleet, began: int, readers: int) -> float:
-    """How far the worst window was over what the server bore then; negative if none was.
+def max_excess(fleet: Fleet, started_us: int, prefill_servers: int) -> float:
+    """Return by how many calls the worst window exceeded the budget; negative if none did.
 
-    A warm server bears what each was seen to answer once half of them had left.
+    A warm server can take what each one answered after half of them had left.
     """
-    rate_a_server = RATE * readers / (readers - len(leaving(readers)))
+    rate_per_server = RATE * prefill_servers / (prefill_servers - len(leaving(prefill_servers)))
     settings, worst = fleet.settings[0], -math.inf
     for i, start in enumerate(fleet.sent):
         calls = sum(start <= at < start + settings.overload_window_us for at in fleet.sent[i:])
-        share = slow_start.slow_start_factor(settings, began, start + settings.overload_window_us)
-        bears = settings.overload_multiple * share * rate_a_server * settings.overload_window_us / S
-        worst = max(worst, calls - slow_start.window_budget(bears))
+        factor = slow_start.slow_start_factor(
+            settings, started_us, start + settings.overload_window_us
+        )
+        expected = (
+            settings.overload_multiple * factor * rate_per_server * settings.overload_window_us / S
+        )
+        worst = max(worst, calls - slow_start.window_budget(expected))
     return worst
 
 
-RATE = 8.0  # requests a second for each reader
-BURST = 8  # times the usual traffic
+RATE = 8.0  # requests per second and prefill server
+BURST = 8  # multiple of the usual traffic
 SIZES = [(1, 3), (2, 4), (4, 6), (6, 3), (6, 14), (14, 6), (24, 10), (40, 20)]
 
 
-@pytest.mark.parametrize(("routers", "readers"), SIZES)
+@pytest.mark.parametrize(("routers", "prefill_servers"), SIZES)
 @pytest.mark.parametrize("seed", range(2))
-def test_a_server_in_slow_start_bears_what_all_send_whatever_happens_around_it(
-    routers: int, readers: int, seed: int
+def test_all_routers_keep_to_the_budget_of_a_server_while_the_fleet_changes(
+    routers: int, prefill_servers: int, seed: int
 ) -> None:
-    fleet, began = fleet_with_a_start(routers, readers, 100 * routers + seed)
-    assert over_budget(fleet, began, readers) <= 0
+    fleet, started_us = fleet_with_slow_start(routers, prefill_servers, 100 * routers + seed)
+    assert max_excess(fleet, started_us, prefill_servers) <= 0
 
 
-def test_the_share_by_lot_alone_would_not_keep_the_budget(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The planted fault: without the bound on each router's own sends, the checker above finds a
-    fall.
-    """
+def test_sampling_alone_would_not_keep_to_the_budget(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Planted fault: without the limit on each router's own sends, the check above finds excess."""
     monkeypatch.setattr(SlowStart, "sampling_factor", lambda *_: 1.0)
     found = [
-        over_budget(*fleet_with_a_start(r, s, 100 * r + n), s)
-        for r, s in SIZES[:6]
+        max_excess(
+            *fleet_with_slow_start(routers, prefill_servers, 100 * routers + n), prefill_servers
+        )
+        for routers, prefill_servers in SIZES[:6]
         for n in range(2)
     ]
     assert max(found) > 0
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter over a real pipe, and what must not depend on the process."""
+"""The simulator adapter over a real pipe; its actions must not depend on the process."""
 
 import ast
 import json
@@ -14,23 +14,24 @@
 SERVERS = [["z0", k, None, i % 2, "up", f"{k}{i}", 1] for k in "rw" for i in range(4)]
 
 
-def run(lines: list[str], seed: str = "0") -> subprocess.CompletedProcess[str]:
+def run_adapter(lines: list[str], hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [sys.executable, "-m", "onyxpass.simulator_adapter"],
         input="".join(line + "\n" for line in lines),
         capture_output=True,
         text=True,
         cwd=ROOT,
-        env={**os.environ, "PYTHONHASHSEED": seed},
+        env={**os.environ, "PYTHONHASHSEED": hash_seed},
         timeout=60,
     )
 
 
-def batch(number: int, now: int, *events: list[object]) -> str:
-    return json.dumps({"wallUs": now, "batch": number, "happened": list(events)})
+def batch(number: int, now_us: int, *events: list[object]) -> str:
+    return json.dumps({"wallUs": now_us, "batch": number, "happened": list(events)})
 
 
-def script(instances: list[int]) -> list[str]:
+def input_lines(instances: list[int]) -> list[str]:
+    """Return batches that start these instances and send each 40 requests."""
     lines = [batch(1, 0)]
     begin: list[list[object]] = [["list", 0, SERVERS]]
     for i in instances:
@@ -39,15 +40,15 @@
     for n in range(40):
         events: list[list[object]] = []
         for i in instances:
-            ask = 1000 * i + n
+            request = 1000 * i + n
             events.append(
                 [
                     "knock",
                     i,
-                    ask,
+                    request,
                     "a",
                     None,
-                    f"s{ask % 7}",
+                    f"s{request % 7}",
                     9_000_000,
                     None,
                     f"p{n % 5}",
@@ -63,18 +64,20 @@
     return lines
 
 
-def test_replies_and_clean_end() -> None:
-    done = run(script([3]))
+def test_every_batch_is_answered_and_the_process_exits_cleanly() -> None:
+    done = run_adapter(input_lines([3]))
     replies = [json.loads(line) for line in done.stdout.splitlines()]
     assert done.returncode == 0 and [r["batch"] for r in replies] == list(range(1, 43))
     sent = [a for r in replies for a in r["outbox"] if a[0] == "transmit"]
     assert sent and all(a[1] == 3 and a[3] in {"r0", "r1", "r2", "r3"} and a[4] > 0 for a in sent)
 
 
-def test_read_is_passed_on_and_kill_forgets() -> None:
-    lines = script([3])[:3]
+def test_a_prefilled_request_is_sent_to_decode_and_kill_drops_its_instance() -> None:
+    lines = input_lines([3])[:3]
     (first,) = [
-        a for a in json.loads(run(lines).stdout.splitlines()[2])["outbox"] if a[0] == "transmit"
+        a
+        for a in json.loads(run_adapter(lines).stdout.splitlines()[2])["outbox"]
+        if a[0] == "transmit"
     ]
     lines.append(
         batch(4, 50_000, ["completed", 3, 3000, 0, first[3], "READ", 48_000, False, 400, [9, 0.5]])
@@ -82,22 +85,22 @@
     lines.append(
         batch(5, 60_000, ["kill", 3], ["begin", 3, 5, CONF], ["rosterChange", 3, "Persisted", 1, 0])
     )
-    replies = [json.loads(line)["outbox"] for line in run(lines).stdout.splitlines()]
+    replies = [json.loads(line)["outbox"] for line in run_adapter(lines).stdout.splitlines()]
     assert [a[0] for a in replies[3]] == ["transmit"] and replies[3][0][3].startswith("w")
     assert [a[0] for a in replies[4]] == ["defer"]
 
 
-def test_same_actions_whatever_the_hash_seed_and_the_split() -> None:
-    together = run(script([1, 2, 3]), "1").stdout
-    assert together == run(script([1, 2, 3]), "4242").stdout
-    alone = {i: run(script([i]), str(i)).stdout.splitlines() for i in (1, 2, 3)}
+def test_actions_do_not_depend_on_the_hash_seed_or_on_other_instances() -> None:
+    together = run_adapter(input_lines([1, 2, 3]), "1").stdout
+    assert together == run_adapter(input_lines([1, 2, 3]), "4242").stdout
+    alone = {i: run_adapter(input_lines([i]), str(i)).stdout.splitlines() for i in (1, 2, 3)}
     for k, line in enumerate(together.splitlines()):
         for i in (1, 2, 3):
-            mine = [a for a in json.loads(line)["outbox"] if a[1] == i]
-            assert mine == json.loads(alone[i][k])["outbox"]
+            own_actions = [a for a in json.loads(line)["outbox"] if a[1] == i]
+            assert own_actions == json.loads(alone[i][k])["outbox"]
 
 
-def test_a_line_that_is_no_batch_ends_it_with_a_message() -> None:
+def test_an_invalid_line_ends_the_process_with_a_message() -> None:
     for line in (
         "nonsense",
         "[]",
@@ -105,11 +108,11 @@
         batch(1, 5, ["what", 1]),
         batch(1, 5, ["knock", 9, 1]),
     ):
-        done = run([line])
+        done = run_adapter([line])
         assert done.returncode != 0 and done.stderr.startswith("onyxpass: ") and not done.stdout
 
 
-def test_a_fault_in_the_module_is_told_for_that_instance(monkeypatch: object) -> None:
+def test_an_exception_in_the_router_is_reported_for_its_instance(monkeypatch: object) -> None:
     code = (
         "import sys; from onyxpass import simulator_adapter\nfrom onyxpass.scheduling import router\n"
         "def fail(self, now, event): raise RuntimeError('broken')\n"
@@ -118,7 +121,7 @@
     )
     done = subprocess.run(
         [sys.executable, "-c", code],
-        input=script([4])[1] + "\n",
+        input=input_lines([4])[1] + "\n",
         capture_output=True,
         text=True,
         cwd=ROOT,
@@ -127,14 +130,22 @@
     assert json.loads(done.stdout)["outbox"] == [["bailOut", 4, "RuntimeError: broken"]]
 
 
-DECISIONS = ROOT / "onyxpass" / "scheduling"
-MAY_IMPORT = {"math", "collections", "collections.abc", "typing", "hashlib", "dataclasses", "enum"}
-LONGEST_FUNCTION = 52
+SCHEDULING_PACKAGE = ROOT / "onyxpass" / "scheduling"
+ALLOWED_IMPORTS = {
+    "math",
+    "collections",
+    "collections.abc",
+    "typing",
+    "hashlib",
+    "dataclasses",
+    "enum",
+}
+MAX_FUNCTION_LINES = 52
 
 
 def test_limits_of_the_decision_modules() -> None:
-    """They do no I/O and know no wire, and no function of theirs has grown long."""
-    modules = sorted(DECISIONS.rglob("*.py"))
+    """The decision modules do no I/O, know no wire format and have no long functions."""
+    modules = sorted(SCHEDULING_PACKAGE.rglob("*.py"))
     assert len(modules) >= 3
     for path in modules:
         text = path.read_text()
@@ -149,10 +160,10 @@
         }
         found |= {str(node.module) for node in ast.walk(tree) if isinstance(node, ast.ImportFrom)}
         others = {name for name in found if not f"{name}.".startswith("onyxpass.scheduling.")}
-        assert others <= MAY_IMPORT, (path, others - MAY_IMPORT)
+        assert others <= ALLOWED_IMPORTS, (path, others - ALLOWED_IMPORTS)
         functions = [node for node in ast.walk(tree) if isinstance(node, ast.FunctionDef)]
         lengths = {node.name: (node.end_lineno or 0) - node.lineno + 1 for node in functions}
-        assert max(lengths.values(), default=0) <= LONGEST_FUNCTION, (path, lengths)
+        assert max(lengths.values(), default=0) <= MAX_FUNCTION_LINES, (path, lengths)
 
 
 def test_the_readme_example_runs() -> None:
