--- a/onyxpass/fleet/agent_client.py
+++ b/onyxpass/fleet/agent_client.py
@@ -16,7 +16,13 @@
     SendOrder,
 )
 from onyxpass.fleet.outcome import InstanceOutcome
-from onyxpass.net.http_client import Answer, RequestNotSentError, ResponseLostError, ask, at_address
+from onyxpass.net.http_client import (
+    ApiResponse,
+    RequestNotSentError,
+    ResponseLostError,
+    call_api,
+    tcp_opener,
+)
 
 SPARE_DESCRIPTORS = 64  # for all else than connections
 MIN_CONNECTIONS = 16
@@ -43,15 +49,15 @@
 class AgentClient:
     """Calls agents, with at most ``max_connections`` open at once.
 
-    Raises ConfigError where a key can't be used, before anything is sent. ``most_open`` is the
-    highest number of connections that were open together.
+    Raises ConfigError where a key can't be used, before anything is sent. ``peak_connections`` is
+    the highest number of connections that were open together.
     """
 
     def __init__(self, agents: tuple[AgentRef, ...]) -> None:
         self._keys = {path: read_key(path) for path in {agent.key for agent in agents}}
         self._slots = asyncio.Semaphore(max_connections())
         self._open = 0
-        self.most_open = 0
+        self.peak_connections = 0
 
     async def call(
         self,
@@ -60,7 +66,7 @@
         target: str,
         message: Mapping[str, Any] | None = None,
         within_s: float = CALL_TIMEOUT_S,
-    ) -> Answer:
+    ) -> ApiResponse:
         """Call one agent; the wait for a free descriptor counts towards ``within_s``.
 
         Raises ``RequestNotSentError`` or ``ResponseLostError``.
@@ -73,12 +79,12 @@
         except TimeoutError as error:
             raise RequestNotSentError("no descriptor was free in time") from error
         self._open += 1
-        self.most_open = max(self.most_open, self._open)
+        self.peak_connections = max(self.peak_connections, self._open)
         try:
             timeout_s = max(MIN_TIMEOUT_S, deadline_s - loop.time())
-            address = at_address(agent.address)
+            address = tcp_opener(agent.address)
             key = self._keys[agent.key]
-            return await ask(address, method, target, message, key=key, timeout_s=timeout_s)
+            return await call_api(address, method, target, message, key=key, timeout_s=timeout_s)
         finally:
             self._open -= 1
             self._slots.release()
--- a/onyxpass/net/replicas.py
+++ b/onyxpass/net/replicas.py
@@ -7,7 +7,7 @@
 from onyxpass.core.fleet import ActorFleet
 from onyxpass.core.release import release
 from onyxpass.core.requests import Attempt, Request
-from onyxpass.net.connection_budget import Budget
+from onyxpass.net.connection_budget import ConnectionBudget
 from onyxpass.net.replica import SETTLE_US, Forget, Heirs, Moved, Replica, Resumed, Sweep, keep_us
 from onyxpass.scheduling import contract
 
@@ -19,9 +19,9 @@
         super().__init__(core)
         self.connect_us, self.idle_us = connect_us, idle_us
         self.heirs: Heirs | None = None
-        self.budget = Budget(most, make_room=self._make_room)
+        self.budget = ConnectionBudget(most, make_room=self._make_room)
 
-    def told(self, name: str, address: Address, left: bool) -> None:
+    def set_address(self, name: str, address: Address, left: bool) -> None:
         """What the list says of where a replica listens."""
         if (actor := self.actors.get(name)) is None:
             self._enter(name, address)
@@ -30,7 +30,7 @@
 
     def member(self, server: contract.Endpoint, address: Address, left: bool) -> None:
         """What a source of membership says of a server."""
-        self.told(server.id, address, left)
+        self.set_address(server.id, address, left)
 
     def _enter(self, name: str, address: Address) -> Replica:
         actor = Replica(name, address, self.core, self.budget, self.connect_us, self.idle_us)
@@ -38,13 +38,13 @@
         self.add_actor(actor)
         return actor
 
-    def retime(self, connect_us: int, idle_us: int) -> None:
+    def set_connection_timeouts(self, connect_us: int, idle_us: int) -> None:
         """Other limits for connections, from the next one on."""
         self.connect_us, self.idle_us = connect_us, idle_us
         for actor in self.actors.values():
             actor.connect_us, actor.keep_us = connect_us, keep_us(idle_us)
 
-    def hand_over(self, heirs: Heirs) -> None:
+    def migrate_streams(self, heirs: Heirs) -> None:
         """Streams go over from now on, also those that wait for their next event."""
         self.heirs = heirs
         for actor in self.actors.values():
@@ -69,7 +69,7 @@
             min(idle, key=lambda actor: actor.idle[0].since_us).give_up_idle()
         return bool(idle)
 
-    def only(self, names: Container[str]) -> None:
+    def retain_only(self, names: Container[str]) -> None:
         """A whole list has come: what it does not name has left."""
         for name, actor in self.actors.items():
             if name not in names:
@@ -79,11 +79,13 @@
         if actor := self.actors.get(server):
             actor.tell(Forget())
 
-    def release(self, request: Request, settle: bool) -> None:
-        self.track_release(request, self._release(request, settle))
+    def release(self, request: Request, prefill_interrupted: bool) -> None:
+        self.track_release(request, self._release(request, prefill_interrupted))
 
-    async def _release(self, request: Request, settle: bool) -> None:
-        if settle:  # guards against asking before a read that was just broken off has ended there
+    async def _release(self, request: Request, prefill_interrupted: bool) -> None:
+        if (
+            prefill_interrupted
+        ):  # guards against asking before a read that was just broken off has ended there
             await self.core.wheel.sleep(SETTLE_US)
         await release(self.core, request, self._latest, lambda name: self._let_go(name, request.id))
 
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -196,17 +196,17 @@
             loop = asyncio.get_running_loop()
             actor, connected = w.dispatcher.replicas.actors["r0"], loop.sock_connect
             limits: list[Any] = []
-            limit = w.dispatcher.wheel.limit
+            timeout = w.dispatcher.wheel.timeout
 
             def noted(delay_us: int) -> Any:
-                limits.append(limit(delay_us))
+                limits.append(timeout(delay_us))
                 return limits[-1]
 
             async def at_the_last_moment(sock: socket.socket, address: Any) -> None:
                 await connected(sock, address)
                 limits[-1].expire()  # in the same step as the success
 
-            actor.wheel = type("Noted", (), {"limit": staticmethod(noted)})()
+            actor.wheel = type("Noted", (), {"timeout": staticmethod(noted)})()
             loop.sock_connect = at_the_last_moment  # type: ignore[method-assign]
             try:
                 with pytest.raises(TimeoutError):
@@ -227,7 +227,7 @@
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
             replicas, asked = w.dispatcher.replicas, asyncio.Event()
-            most, replicas.budget.most = replicas.budget.most, 0
+            most, replicas.budget.limit = replicas.budget.limit, 0
             tries, let_go = [], replicas._let_go
 
             async def counted(name: str, request_id: str) -> bool:
@@ -242,7 +242,7 @@
             request.reserved_since_us = w.dispatcher.clock.now_us() + 60 * S
             replicas.release(request, False)
             await asked.wait()
-            replicas.budget.most = most
+            replicas.budget.limit = most
             await until(lambda: w.readers[0].leases or w.writers[0].leases)
             assert request.release_task is not None
             await request.release_task
