--- a/onyxpass/scheduling/prefix_affinity.py
+++ b/onyxpass/scheduling/prefix_affinity.py
@@ -89,7 +89,7 @@
         count = self.recent_prefixes.count(shared_key(arrival))
         sample_size = max(RECENT_REQUESTS / 3, len(self.recent_prefixes))
         popularity = (count - math.sqrt(count)) / sample_size * eligible_count
-        # Every server prefills the unshared tokens anew: the fewer tokens are shared, the less it
+        # Every server has to prefill the unshared tokens: the fewer tokens are shared, the less it
         # costs to have more owners.
         own_tokens = arrival.prompt_tokens - arrival.prefix_tokens
         unshared_owners = MIN_OWNERS * own_tokens / max(1, arrival.prefix_tokens)
--- a/tests/scheduling/test_overload_defences.py
+++ b/tests/scheduling/test_overload_defences.py
@@ -319,7 +319,7 @@
 
 
 def test_few_decode_servers_near_many_prefill_servers_are_not_overloaded() -> None:
-    """On day L7ff7c3 with 191 routers, cells with 3 prefill and 2 decode servers were overloaded.
+    """In case L7ff7c3 with 191 routers, cells with 3 prefill and 2 decode servers were overloaded.
 
     Each router saw those decode servers as empty, while others were idle.
     """
@@ -355,7 +355,7 @@
 
 
 def test_late_answers_cause_rejections_at_once_which_end_with_the_overload() -> None:
-    """On day L7ff7c3, late answers, repeated prefills and retries kept up an overload.
+    """In case L7ff7c3, late answers, repeated prefills and retries kept up an overload.
 
     No load report showed it.
     """
@@ -432,7 +432,7 @@
 def test_routers_that_saw_a_popular_prefix_more_or_less_often_agree_on_its_owners() -> None:
     """The turns of a session reach different routers.
 
-    If those count different owners, the session's prompts are prefilled anew.
+    If those count different owners, the session's prompts are prefilled again.
     """
     owner_counts = set()
     for count in range(6):  # of 30 recent requests, where a tenth is expected
@@ -445,7 +445,7 @@
 
 
 def test_after_signs_of_a_queue_one_more_prefill_server_is_tried_and_after_errors_more() -> None:
-    """On days i51a683 and i047fef, each request tried up to five full servers.
+    """In cases i51a683 and i047fef, each request tried up to five full servers.
 
     That kept up the overload.
     """
@@ -462,7 +462,7 @@
 
 
 def test_a_throttle_acts_on_few_recorded_requests() -> None:
-    """On day i047fef, 249 routers each had recorded few requests of a class.
+    """In case i047fef, 249 routers each had recorded few requests of a class.
 
     They let a third of an overload through.
     """
@@ -502,7 +502,7 @@
     drive.ask(1)
     drive.end(1, AttemptStatus.PREFILLED)
     drive.end(1, AttemptStatus.RESET, note=1)
-    assert drive.sent[1][2].startswith("r"), "the prompt is prefilled anew"
+    assert drive.sent[1][2].startswith("r"), "the prompt is prefilled again"
     drive.end(1, AttemptStatus.PREFILLED)
     assert drive.sent[1][3].startswith("w")
 
@@ -613,7 +613,7 @@
 def test_an_owner_in_slow_start_gets_the_same_sessions_at_all_routers_and_more_as_it_warms() -> (
     None
 ):
-    """Sampling by request would alternate a session's turns, each prefilled anew at its server."""
+    """Sampling by request would alternate a session's turns, each prefilled again at its server."""
     slow_start_duration_us, endpoints = 13 * S, fleet(4, 4)
     servers = [replace(s, started_us=1_000 * S) if s.id == "r0" else s for s in endpoints]
     drives = [
@@ -682,14 +682,14 @@
     assert not [a for a in drive.last if isinstance(a, contract.ReleaseState)]
     drive.end(1, AttemptStatus.UNREACHABLE, 75 * MS)
     assert isinstance(drive.last[0], contract.ReleaseState) and drive.sent[1][-1][0] == "r", (
-        "released, and prefilled anew"
+        "released, and prefilled again"
     )
     drive.ask(2)
     drive.end(2, AttemptStatus.PREFILLED)
     drive.end(2, AttemptStatus.OVERLOADED, 400 * MS)
     drive.end(2, AttemptStatus.UNREACHABLE, 150 * MS)
     assert [s[0] for s in drive.sent[2]] == ["r", "w", "w", "w"], (
-        "the first attempt was received: the time began anew"
+        "the first attempt was received: its time started over"
     )
 
 
