--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -1,5 +1,6 @@
-"""Parsers against random cuts of valid messages and random garbage: the same result, or their
-own error.
+"""Parsers with valid messages split at random positions, and with random garbage.
+
+A split message gives the same result, and garbage gives the parser's own error.
 """
 
 import asyncio
@@ -26,30 +27,30 @@
 from onyxpass.toolcalls import rpc
 from onyxpass.toolcalls.front import Connection, RpcFront
 
-FIXED = settings(derandomize=True, max_examples=150, deadline=None)
+DETERMINISTIC = settings(derandomize=True, max_examples=150, deadline=None)
 BODY = b'{"stream":true}'
-ASK = (
+REQUEST = (
     b"POST /v1/chat/completions HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: 9b1f03aa\r\n"
     b"X-Timeout-Ms: 4800\r\nContent-Length: %d\r\n\r\n%b" % (len(BODY), BODY)
 )
 STREAM = (
     b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n6\r\n world\r\n0\r\n\r\n"
 )
-VERSIONS = b'{"seq":1,"whole":true,"hosts":[]}\n\n{"seq":2,"whole":false,"hosts":[]}\n'
+LIST_UPDATES = b'{"seq":1,"whole":true,"hosts":[]}\n\n{"seq":2,"whole":false,"hosts":[]}\n'
 
 
-def cut(text: bytes, places: list[int]) -> list[bytes]:
-    marks = sorted({0, len(text), *(p % len(text) for p in places)})
-    return [text[a:b] for a, b in pairwise(marks)]
+def split_at(text: bytes, positions: list[int]) -> list[bytes]:
+    bounds = sorted({0, len(text), *(position % len(text) for position in positions)})
+    return [text[start:end] for start, end in pairwise(bounds)]
 
 
-async def hear(role: Any, parts: list[bytes]) -> tuple[Any, bytes]:
-    """The head and body that a wire makes of the parts, each read by itself."""
+async def read_message(role: Any, parts: list[bytes]) -> tuple[Any, bytes]:
+    """Return the head and body that a wire parses from the parts, one part per read."""
     reader = SimpleNamespace(read=None)
-    rest = iter([*parts, b""])
+    remaining = iter([*parts, b""])
 
     async def read(_: int) -> bytes:
-        return next(rest, b"")
+        return next(remaining, b"")
 
     reader.read = read
     wire = Wire(role, reader, None)
@@ -60,91 +61,99 @@
     return head, await body(wire)
 
 
-PLACES = st.lists(st.integers(0, 400), max_size=30)
+POSITIONS = st.lists(st.integers(0, 400), max_size=30)
 
 
-@FIXED
-@given(PLACES)
-def test_cuts_of_http_messages_change_nothing(places: list[int]) -> None:
-    head, text = asyncio.run(hear(h11.SERVER, cut(ASK, places)))
+@DETERMINISTIC
+@given(POSITIONS)
+def test_split_http_messages_are_read_unchanged(positions: list[int]) -> None:
+    head, text = asyncio.run(read_message(h11.SERVER, split_at(REQUEST, positions)))
     assert head.target == b"/v1/chat/completions" and text == BODY
-    head, text = asyncio.run(hear(h11.CLIENT, cut(STREAM, places)))
+    head, text = asyncio.run(read_message(h11.CLIENT, split_at(STREAM, positions)))
     assert head.status_code == 200 and text == b"hello world"
 
 
-@FIXED
-@given(PLACES, st.integers(0, len(STREAM) - 1))
-def test_a_stream_that_ends_early_is_never_whole(places: list[int], end: int) -> None:
+@DETERMINISTIC
+@given(POSITIONS, st.integers(0, len(STREAM) - 1))
+def test_a_truncated_stream_is_never_accepted(positions: list[int], end: int) -> None:
     try:
-        asyncio.run(hear(h11.CLIENT, cut(STREAM[:end] or b"\0", places)))
+        asyncio.run(read_message(h11.CLIENT, split_at(STREAM[:end] or b"\0", positions)))
     except Broken:
         return
-    raise AssertionError("taken as whole")
+    raise AssertionError("the truncated stream was accepted")
 
 
-@FIXED
-@given(st.binary(max_size=300), st.integers(0, len(ASK)), st.booleans())
-def test_garbage_on_http_is_broken_and_nothing_else(junk: bytes, at: int, server: bool) -> None:
-    role, good = (h11.SERVER, ASK) if server else (h11.CLIENT, STREAM)
-    text = good[:at] + junk + good[at:]
+@DETERMINISTIC
+@given(st.binary(max_size=300), st.integers(0, len(REQUEST)), st.booleans())
+def test_garbage_in_http_raises_broken_and_no_other_error(
+    garbage: bytes, at: int, server: bool
+) -> None:
+    role, valid = (h11.SERVER, REQUEST) if server else (h11.CLIENT, STREAM)
+    text = valid[:at] + garbage + valid[at:]
     try:
-        head, _ = asyncio.run(hear(role, [text]))
-    except Broken as problem:
-        assert problem.status == 0 or 400 <= problem.status < 600
+        head, _ = asyncio.run(read_message(role, [text]))
+    except Broken as error:
+        assert error.status == 0 or 400 <= error.status < 600
     else:
         assert (
             isinstance(head, h11.Request | h11.Response | h11.InformationalResponse) or not server
         )
 
 
-@FIXED
-@given(PLACES)
-def test_cuts_of_the_watch_change_nothing(places: list[int]) -> None:
+@DETERMINISTIC
+@given(POSITIONS)
+def test_split_list_updates_are_read_unchanged(positions: list[int]) -> None:
     lines = Lines()
-    found = [message["seq"] for part in cut(VERSIONS, places) for message in lines.feed(part)]
-    assert found == [1, 2]
+    numbers = [
+        message["seq"] for part in split_at(LIST_UPDATES, positions) for message in lines.feed(part)
+    ]
+    assert numbers == [1, 2]
 
 
-async def stream(parts: list[bytes]) -> bytes:
-    """What a client would see of an answer that comes in these parts, and then no more."""
-    rest = iter([*parts, b""])
+async def read_stream(parts: list[bytes]) -> bytes:
+    """Return what a client would receive of an answer that arrives in these parts and then ends."""
+    remaining = iter([*parts, b""])
 
     async def read(_: int) -> bytes:
-        return next(rest, b"")
+        return next(remaining, b"")
 
     wire = Wire(h11.CLIENT, SimpleNamespace(read=read), None)
     wire.h11.send(h11.Request(method="GET", target="/", headers=[("host", "x")]))
     wire.h11.send(h11.EndOfMessage())
-    incoming, events, seen = Incoming(wire, TimerWheel(Clock())), Events(), b""
+    incoming, events, received = Incoming(wire, TimerWheel(Clock())), Events(), b""
     assert isinstance(await incoming.next(), h11.Response)
     while isinstance(part := await incoming.next(), bytes):
-        seen += events.feed(part)
+        received += events.feed(part)
     if not isinstance(part, h11.EndOfMessage) or events.rest:
-        raise Broken("not whole")
-    return seen
+        raise Broken("the stream is incomplete")
+    return received
 
 
-@FIXED
-@given(PLACES, st.sampled_from([b"\n", b"\r\n"]), st.lists(st.integers(1, 60), max_size=9))
-def test_cuts_of_events_change_no_byte(places: list[int], end: bytes, sizes: list[int]) -> None:
-    event = b'event: x%bdata: {"a":1}%b%b' % (end, end, end)
-    text = b": hello" + end * 2 + event * 3 + b"data: [DONE]" + end * 2
+@DETERMINISTIC
+@given(POSITIONS, st.sampled_from([b"\n", b"\r\n"]), st.lists(st.integers(1, 60), max_size=9))
+def test_split_events_are_forwarded_unchanged(
+    positions: list[int], line_end: bytes, sizes: list[int]
+) -> None:
+    event = b'event: x%bdata: {"a":1}%b%b' % (line_end, line_end, line_end)
+    text = b": hello" + line_end * 2 + event * 3 + b"data: [DONE]" + line_end * 2
     chunks = [
         text[a:b] for a, b in pairwise(sorted({0, len(text), *(sum(sizes[:i]) for i in range(9))}))
     ]
     body = b"".join(b"%x\r\n%b\r\n" % (len(c), c) for c in chunks if c) + b"0\r\n\r\n"
     head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-    assert asyncio.run(stream(cut(head + body, places))) == text
+    assert asyncio.run(read_stream(split_at(head + body, positions))) == text
 
 
-@FIXED
-@given(st.binary(min_size=1, max_size=80), PLACES)
-def test_noise_in_place_of_the_opening_is_never_passed_on(junk: bytes, places: list[int]) -> None:
-    noise = b"\xff" + junk
-    body = b"%x\r\n%b\r\n0\r\n\r\n" % (len(noise), noise)
+@DETERMINISTIC
+@given(st.binary(min_size=1, max_size=80), POSITIONS)
+def test_garbage_instead_of_the_first_event_is_never_forwarded(
+    garbage: bytes, positions: list[int]
+) -> None:
+    invalid = b"\xff" + garbage
+    body = b"%x\r\n%b\r\n0\r\n\r\n" % (len(invalid), invalid)
     try:
-        parts = cut(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + body, places)
-        assert asyncio.run(stream(parts)) == b""
+        parts = split_at(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + body, positions)
+        assert asyncio.run(read_stream(parts)) == b""
     except Broken:
         return
 
@@ -160,9 +169,9 @@
 ENTRY = st.dictionaries(NAMES, JSON | st.sampled_from(["active", "127.0.0.1:80"]))
 
 
-@FIXED
+@DETERMINISTIC
 @given(st.fixed_dictionaries({"seq": JSON, "hosts": JSON | st.lists(ENTRY, max_size=3)}))
-def test_a_list_is_read_or_refused(message: dict[str, Any]) -> None:
+def test_a_list_is_read_or_rejected(message: dict[str, Any]) -> None:
     try:
         update, addresses = read_list(message)
     except ListError:
@@ -176,14 +185,14 @@
 )
 
 
-@FIXED
+@DETERMINISTIC
 @given(st.binary(max_size=60) | RPC.map(lambda m: json.dumps(m).encode()))
-def test_a_line_of_json_rpc_is_read_or_has_a_code(line: bytes) -> None:
+def test_a_json_rpc_line_is_read_or_gets_an_error_code(line: bytes) -> None:
     try:
         message = rpc.parse(line)
-    except rpc.RpcError as problem:
-        assert problem.code in (rpc.PARSE, rpc.INVALID, rpc.BAD_PARAMS)
-        assert rpc.parse(rpc.error(problem.id, problem)).id == problem.id  # type: ignore[union-attr]
+    except rpc.RpcError as error:
+        assert error.code in (rpc.PARSE, rpc.INVALID, rpc.BAD_PARAMS)
+        assert rpc.parse(rpc.error(error.id, error)).id == error.id  # type: ignore[union-attr]
     else:
         assert isinstance(message, rpc.Call | rpc.Reply)
 
@@ -201,32 +210,34 @@
 ]
 
 
-@FIXED
+@DETERMINISTIC
 @given(st.dictionaries(st.sampled_from(KEYS), VALUES), st.booleans())
 @example({"session": "\ud800"}, True)
-def test_params_of_generate_are_taken_or_have_a_code(params: dict[str, Any], sound: bool) -> None:
-    """Found by reading: half a surrogate pair in a session made the module fail on its hash."""
+def test_params_of_generate_are_accepted_or_get_an_error_code(
+    params: dict[str, Any], valid: bool
+) -> None:
+    """Guards against half a surrogate pair in a session, on whose hash the router failed."""
     clock = Clock()
     core = RequestDispatcher(SETTINGS, 1, clock, TimerWheel(clock))
     core.receive(contract.EndpointUpdate(contract.EndpointUpdateForm.COMPLETE, fleet()))
     front = RpcFront(core, None, Address("127.0.0.1", 0), 9)  # type: ignore[arg-type]
-    given = {**params, "class": "light", "prompt": "x"} if sound else params
+    call_params = {**params, "class": "light", "prompt": "x"} if valid else params
     try:
-        client = front._generate(1, given, Connection(None, None, {}))  # type: ignore[arg-type]
-    except rpc.RpcError as problem:
-        assert problem.code in (rpc.BAD_PARAMS, rpc.INVALID)
+        client = front._generate(1, call_params, Connection(None, None, {}))  # type: ignore[arg-type]
+    except rpc.RpcError as error:
+        assert error.code in (rpc.BAD_PARAMS, rpc.INVALID)
     else:
         assert client.request is not None
         client.has_disconnected = lambda: False  # type: ignore[method-assign]
         core.receive(client.request.arrival)
 
 
-@FIXED
-@given(st.text(max_size=50), PLACES)
-def test_cuts_of_json_rpc_lines_change_nothing(text: str, places: list[int]) -> None:
-    async def go() -> list[bytes]:
+@DETERMINISTIC
+@given(st.text(max_size=50), POSITIONS)
+def test_split_json_rpc_lines_are_read_unchanged(text: str, positions: list[int]) -> None:
+    async def scenario() -> list[bytes]:
         reader = asyncio.StreamReader(limit=rpc.LINE_LIMIT)
-        for part in cut(rpc.notice("text", {"text": text}) * 2 + b'{"cut off', places):
+        for part in split_at(rpc.notice("text", {"text": text}) * 2 + b'{"cut off', positions):
             reader.feed_data(part)
         reader.feed_eof()
         lines = []
@@ -234,18 +245,18 @@
             lines.append(line)
         return lines
 
-    first, second = asyncio.run(go())
+    first, second = asyncio.run(scenario())
     assert first == second and rpc.parse(first).params["text"] == text  # type: ignore[union-attr]
 
 
-@FIXED
+@DETERMINISTIC
 @given(
     st.dictionaries(
         st.sampled_from(["id", "ms", "attrs", "cost"]),
         st.text("0123456789=,.-ap \xe9", max_size=20),
     )
 )
-def test_headers_are_read_or_refused(values: dict[str, str]) -> None:
+def test_headers_are_read_or_rejected(values: dict[str, str]) -> None:
     names = {"id": b"X-Request-ID", "ms": b"X-Timeout-Ms", "attrs": b"X-Attrs", "cost": b"X-Cost"}
     headers = [
         (b"Host", b"x"),
@@ -262,9 +273,9 @@
     assert arrival.prompt_tokens >= 0 and 0 <= arrival.id < 2**52
 
 
-@FIXED
+@DETERMINISTIC
 @given(st.binary(max_size=40) | JSON.map(lambda m: json.dumps({"cached_tokens": m}).encode()))
-def test_small_bodies_and_addresses_are_read_or_refused(text: bytes) -> None:
+def test_small_bodies_and_addresses_are_read_or_rejected(text: bytes) -> None:
     assert cached_tokens(text) >= 0
     try:
         assert 0 <= Address.parse(text.decode("latin-1")).port <= 65535
--- a/tests/test_reasons.py
+++ b/tests/test_reasons.py
@@ -1,6 +1,4 @@
-"""The log tells why: each client's connection is counted by why it ended, each refusal names its
-reason.
-"""
+"""The reasons of closed connections are counted, and those of rejections are logged."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -11,43 +9,43 @@
 
 from onyxpass.core.reasons import CloseReason, Reason
 
-CUT = breaks(
+CUT_STREAM = breaks(
     b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
     b'10\r\ndata: {"a":1}\n\n\n\r\n'
 )
 
 
-async def closed(w: World, why: CloseReason) -> None:
-    await until(lambda: w.dispatcher.front.open.closed[why] == 1)
+async def wait_for_close(w: World, reason: CloseReason) -> None:
+    await until(lambda: w.dispatcher.front.open.closed[reason] == 1)
     assert w.dispatcher.front.open.closed.total() == 1
 
 
-def test_why_a_clients_connection_ended_is_counted() -> None:
+def test_client_connections_are_counted_by_why_they_ended() -> None:
     async def answered() -> None:
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
             assert (await w.ask()).startswith(b"HTTP/1.1 200")
-            await closed(w, CloseReason.AFTER_ANSWER)
+            await wait_for_close(w, CloseReason.AFTER_ANSWER)
 
-    async def bad() -> None:
+    async def bad_request() -> None:
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
             reader, writer = await w.send(b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n\r\n")
             assert (await reader.read()).startswith(b"HTTP/1.1 400")
             writer.close()
-            await closed(w, CloseReason.BAD_REQUEST)
+            await wait_for_close(w, CloseReason.BAD_REQUEST)
 
-    async def left() -> None:
+    async def client_left() -> None:
         async with world([Replica(silence)], [Replica(STREAM)]) as w:
             _, writer = await w.send(ask("a1"))
             await until(lambda: w.readers[0].heads)
             writer.close()
-            await closed(w, CloseReason.CLIENT_LEFT)
+            await wait_for_close(w, CloseReason.CLIENT_LEFT)
 
-    async def cut() -> None:
-        async with world([Replica(READ)], [Replica(CUT)]) as w:
+    async def stream_cut() -> None:
+        async with world([Replica(READ)], [Replica(CUT_STREAM)]) as w:
             assert not (await w.ask("a1", "once")).endswith(b"0\r\n\r\n")
-            await closed(w, CloseReason.STREAM_CUT)
+            await wait_for_close(w, CloseReason.STREAM_CUT)
 
-    for case in (answered, bad, left, cut):
+    for case in (answered, bad_request, client_left, stream_cut):
         run(case)
 
 
@@ -57,19 +55,19 @@
         yield lines
 
 
-def test_a_refusal_says_why(logged: list[Any]) -> None:
-    async def go() -> None:
+def test_a_rejection_is_logged_with_its_reason(logged: list[Any]) -> None:
+    async def scenario() -> None:
         async with world([Replica(FULL)], [Replica(STREAM)]) as w:
             assert (await w.ask("a1")).startswith(b"HTTP/1.1 503")
             w.dispatcher.core.shutdown.begin()
             assert (await w.ask("a2")).startswith(b"HTTP/1.1 503")
 
-    run(go)
-    refused = {line["id"]: line["why"] for line in logged if line["event"] == "refused"}
-    assert refused == {"a1": Reason.ATTEMPTS_FAILED, "a2": Reason.SHUTTING_DOWN}
+    run(scenario)
+    reasons = {line["id"]: line["why"] for line in logged if line["event"] == "refused"}
+    assert reasons == {"a1": Reason.ATTEMPTS_FAILED, "a2": Reason.SHUTTING_DOWN}
 
 
-def test_each_reason_is_told_once_in_the_set() -> None:
+def test_the_reasons_of_each_enum_have_distinct_values() -> None:
     for reasons in (Reason, CloseReason):
         assert len({reason.value for reason in reasons}) == len(reasons)
-    assert not Reason.NONE, "it counts as nothing in the way"
+    assert not Reason.NONE, "NONE is falsy"
--- a/tests/test_state_reservations.py
+++ b/tests/test_state_reservations.py
@@ -1,4 +1,4 @@
-"""State that stays reserved while the send after its prefill has no answer: the core alone."""
+"""State that stays reserved while the send after its prefill is unanswered, without sockets."""
 
 import asyncio
 from collections.abc import Iterator
@@ -24,12 +24,12 @@
         yield lines
 
 
-def events(logged: list[Any], name: str) -> list[Any]:
+def lines_of(logged: list[Any], name: str) -> list[Any]:
     return [line for line in logged if line["event"] == name]
 
 
 def prefilled_and_sent(bed: Bed, acknowledged: bool | None = True) -> tuple[Request, Attempt]:
-    """A request whose state r0 holds, and whose next attempt went to w0 at once."""
+    """Return a request whose state r0 holds, and its next attempt, which went to w0 at once."""
     request = bed.ask(contract.SendAttempt(7, "r0", 900_000), wait_us=60_000_000)
     bed.core.outcomes.attempt_ended(bed.fleet.started[0], AttemptStatus.PREFILLED)
     bed.step([contract.SendAttempt(7, "w0", 50_000_000)])
@@ -38,59 +38,63 @@
     return request, attempt
 
 
-def test_a_send_without_an_answer_is_logged_and_counted_before_the_limit(
+def test_an_unanswered_send_is_logged_and_counted_before_the_limit(
     logged: list[Any],
 ) -> None:
     bed = Bed()
     prefilled_and_sent(bed)
     bed.later(LIMIT_US // 2)
-    assert not events(logged, "send_unanswered")
+    assert not lines_of(logged, "send_unanswered")
     bed.later(LIMIT_US // 2)
-    (line,) = events(logged, "send_unanswered")
+    (line,) = lines_of(logged, "send_unanswered")
     assert (line["n"], line["server"], line["holder"]) == (1, "w0", "r0")
     assert line["acknowledged"] is True and line["held_us"] <= LIMIT_US
     assert bed.core.metrics.unanswered_sends == 1
 
 
-def test_an_answer_in_time_and_an_end_in_time_are_not_logged(logged: list[Any]) -> None:
+def test_a_send_that_is_answered_or_ends_in_time_is_not_logged(logged: list[Any]) -> None:
     bed = Bed()
     _, attempt = prefilled_and_sent(bed)
     assert bed.core.outcomes.stream_event_received(attempt)
     bed.later(10 * LIMIT_US)
-    other = Bed()
-    _, attempt = prefilled_and_sent(other)
-    other.core.outcomes.attempt_ended(attempt, AttemptStatus.OVERLOADED)
-    other.step([contract.Fail(7)])
-    other.later(10 * LIMIT_US)
-    assert not events(logged, "send_unanswered")
+    other_bed = Bed()
+    _, attempt = prefilled_and_sent(other_bed)
+    other_bed.core.outcomes.attempt_ended(attempt, AttemptStatus.OVERLOADED)
+    other_bed.step([contract.Fail(7)])
+    other_bed.later(10 * LIMIT_US)
+    assert not lines_of(logged, "send_unanswered")
 
 
-def test_the_end_of_an_attempt_tells_for_how_long_state_was_held(logged: list[Any]) -> None:
+def test_the_end_of_an_attempt_is_logged_with_how_long_state_was_reserved(
+    logged: list[Any],
+) -> None:
     bed = Bed()
     _, attempt = prefilled_and_sent(bed)
     bed.later(LIMIT_US // 2)
     bed.core.outcomes.attempt_ended(attempt, AttemptStatus.RESET)
-    (line,) = events(logged, "attempt")
+    (line,) = lines_of(logged, "attempt")
     assert line["holder"] == "r0" and line["held_us"] == LIMIT_US // 2
 
 
-def test_state_is_released_beside_a_send_without_an_answer_and_again_at_its_end() -> None:
+def test_state_is_released_during_an_unanswered_send_and_again_at_its_end() -> None:
     bed = Bed()
     request, attempt = prefilled_and_sent(bed)
     bed.later(LIMIT_US)
     assert bed.fleet.did == [("release", False)]
-    assert request.in_flight is attempt, "it may have arrived, and goes on"
+    assert request.in_flight is attempt, "the attempt may have arrived and continues"
     bed.core.outcomes.attempt_ended(attempt, AttemptStatus.RESET)
     bed.step([contract.ReleaseState(7), contract.Fail(7)])
-    assert bed.fleet.did == [("release", False)] * 2, "its state has outlived the first one"
+    assert bed.fleet.did == [("release", False)] * 2, (
+        "its state may have survived the first release"
+    )
 
 
-def test_a_send_that_was_late_itself_has_time_to_arrive() -> None:
+def test_a_late_send_still_has_time_to_arrive() -> None:
     bed = Bed()
     bed.ask(contract.SendAttempt(7, "r0", 900_000), wait_us=60_000_000)
     bed.core.outcomes.attempt_ended(bed.fleet.started[0], AttemptStatus.PREFILLED)
     bed.step([contract.SendAttempt(7, "w0", 50_000_000)])
-    bed.later(LIMIT_US * 3 // 4)  # connects that came to nothing
+    bed.later(LIMIT_US * 3 // 4)  # failed connects
     bed.core.reservations.attempt_begun(bed.fleet.started[1], lambda: None)
     bed.later(MIN_UNANSWERED_US - 10_000)
     assert not bed.fleet.did
@@ -98,7 +102,7 @@
     assert bed.fleet.did == [("release", False)]
 
 
-def test_nothing_is_released_where_nothing_is_reserved_or_a_stream_has_begun() -> None:
+def test_nothing_is_released_if_nothing_is_reserved_or_a_stream_has_begun() -> None:
     for committed in (False, True):
         bed = Bed()
         if committed:
@@ -111,10 +115,13 @@
         assert ("release", False) not in bed.fleet.did
 
 
-def test_a_later_release_takes_the_place_of_one_that_still_runs() -> None:
-    """A send waits for the last release only; a call of an earlier one must not come after it."""
+def test_a_release_replaces_one_that_is_still_running() -> None:
+    """Guards against a call of an earlier release that arrives after the next send.
+
+    A send waits for the last release only.
+    """
 
-    async def go() -> None:
+    async def scenario() -> None:
         bed = Bed()
         request = bed.ask(contract.SendAttempt(7, "r0", 500_000))
         fleet: ActorFleet[ServerActor] = ActorFleet(bed.core)
@@ -134,14 +141,14 @@
         assert ended == ["first"] and fleet.release_tasks == {request.release_task}
         fleet.release_tasks.pop().cancel()
 
-    asyncio.run(go())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("acknowledged", [True, False, None])
-def test_whatever_the_kernel_says_a_send_is_neither_taken_for_arrived_nor_given_up(
+def test_an_acknowledgement_by_the_kernel_decides_nothing_about_a_send(
     acknowledged: bool | None,
 ) -> None:
-    """A lost packet alone delays an acknowledgement; a relay's says nothing of the server."""
+    """A lost packet delays an acknowledgement, and a relay acknowledges without the server."""
     bed = Bed()
     request, attempt = prefilled_and_sent(bed, acknowledged)
     reserved_since_us = request.reserved_since_us
@@ -152,4 +159,6 @@
     outcome = bed.script.heard[-1]
     assert isinstance(outcome, contract.AttemptOutcome)
     assert outcome.note == contract.NOT_ARRIVED
-    assert request.reserved_since_us == reserved_since_us, "its clock has run on"
+    assert request.reserved_since_us == reserved_since_us, (
+        "the time for reserved state has not restarted"
+    )
--- a/tests/test_timer_wheel.py
+++ b/tests/test_timer_wheel.py
@@ -1,4 +1,4 @@
-"""The timer wheel: order, limits, sleep, stalls and failure."""
+"""The timer wheel: order of timers, timeouts, sleep, stalls and failure."""
 
 import asyncio
 import time
@@ -15,54 +15,55 @@
     clock = HandClock()
     wheel = TimerWheel(clock)
     fired: list[tuple[int, int]] = []
-    dropped = wheel.after(20_000, lambda: fired.append((0, 0)))
+    cancelled = wheel.after(20_000, lambda: fired.append((0, 0)))
     for us in (3_000_000, 7_000, 40_000, 0):
         due = clock.us + us
         wheel.after(us, lambda us=us, due=due: fired.append((us, clock.us - due)))  # type: ignore[misc]
-    dropped.cancel()
+    cancelled.cancel()
     for _ in range(400):
         clock.us += 10_000
         wheel.advance()
     assert [us for us, _ in fired] == [0, 7_000, 40_000, 3_000_000]
     assert all(0 <= late <= 2 * TICK_US + 10_000 for _, late in fired)
     wheel.after(1_000_000, lambda: fired.append((1, 0)))
-    clock.us += 60_000_000  # a stall of many turns
+    clock.us += 60_000_000  # a stall of many revolutions
     wheel.advance()
     assert fired[-1] == (1, 0)
 
 
-def test_a_limit_breaks_off_its_block_only() -> None:
-    async def go() -> None:
+def test_a_timeout_ends_only_its_own_block() -> None:
+    async def scenario() -> None:
         wheel = TimerWheel(Clock())
-        ticking = asyncio.create_task(wheel.run())
+        running = asyncio.create_task(wheel.run())
         try:
             async with wheel.timeout(10_000_000), wheel.timeout(1):
                 await asyncio.sleep(60)
         except TimeoutError:
-            await asyncio.sleep(0)  # the task is not left cancelled
+            await asyncio.sleep(0)  # raises if the task is still cancelled
         else:
-            raise AssertionError("not broken off")
-        ticking.cancel()
+            raise AssertionError("the block was not timed out")
+        running.cancel()
+
+    asyncio.run(scenario())
 
-    asyncio.run(go())
 
+def test_input_that_arrived_during_a_stall_is_processed_before_timers_fire() -> None:
+    """Guards against timing out input that was there when a stopped process went on.
 
-def test_what_came_during_a_stall_is_taken_in_before_time_outs_fire() -> None:
-    """A process that is stopped, or kept from running, wakes to timers and to answers that lie
-    there.
+    Such a process finds due timers and arrived answers at the same time.
     """
 
-    async def go() -> None:
+    async def scenario() -> None:
         wheel = TimerWheel(Clock())
         running = asyncio.create_task(wheel.run())
         server = await asyncio.start_server(lambda _, writer: writer.write(b"here"), "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         await wheel.sleep(0)
         async with wheel.timeout(50_000):
-            opening = asyncio.create_task(asyncio.open_connection("127.0.0.1", port))
+            connecting = asyncio.create_task(asyncio.open_connection("127.0.0.1", port))
             await asyncio.sleep(0)
             time.sleep(0.1)
-            reader, writer = await opening
+            reader, writer = await connecting
         async with wheel.timeout(50_000):
             while not len(reader._buffer):  # type: ignore[attr-defined]
                 await asyncio.sleep(0)
@@ -76,64 +77,64 @@
         running.cancel()
         server.close()
 
-    asyncio.run(go())
+    asyncio.run(scenario())
 
 
-def test_a_stall_of_the_process_is_logged_with_the_processor_time_it_had() -> None:
-    async def go() -> None:
+def test_a_stall_of_the_process_is_logged_with_its_cpu_time() -> None:
+    async def scenario() -> None:
         wheel = TimerWheel(Clock())
         running = asyncio.create_task(wheel.run())
         await wheel.sleep(20_000)
-        late = wheel.after(20_000, lambda: None)
+        delayed = wheel.after(20_000, lambda: None)
         time.sleep(0.4)
         await wheel.sleep(20_000)
-        late.cancel()
+        delayed.cancel()
         running.cancel()
 
-    async def only_start() -> None:
+    async def start_only() -> None:
         running = asyncio.create_task(TimerWheel(Clock()).run())
         await asyncio.sleep(0.01)
         running.cancel()
 
     with structlog.testing.capture_logs() as lines:
-        asyncio.run(only_start())
-    assert not lines, "a start is no stall"
+        asyncio.run(start_only())
+    assert not lines, "the start is not logged as a stall"
     with structlog.testing.capture_logs() as lines:
-        asyncio.run(go())
-    held_up = [line for line in lines if line["event"] == "process_held_up"]
-    assert held_up and max(line["late_us"] for line in held_up) >= 300_000
-    assert all(abs(line["at_us"] / 1e6 - time.monotonic()) < 60 for line in held_up)
-    assert all(0 < line["cpu_us"] <= cpu_us() for line in held_up)
+        asyncio.run(scenario())
+    stalls = [line for line in lines if line["event"] == "process_held_up"]
+    assert stalls and max(line["late_us"] for line in stalls) >= 300_000
+    assert all(abs(line["at_us"] / 1e6 - time.monotonic()) < 60 for line in stalls)
+    assert all(0 < line["cpu_us"] <= cpu_us() for line in stalls)
 
 
-def test_the_wheel_sleeps_till_the_next_timer_and_wakes_for_an_earlier_one() -> None:
-    async def go() -> None:
+def test_the_wheel_sleeps_until_the_next_timer_and_wakes_for_an_earlier_one() -> None:
+    async def scenario() -> None:
         wheel, fired = TimerWheel(Clock()), list[str]()
-        turns, turn = 0, wheel._advance_and_sleep
+        wakeups, wake = 0, wheel._advance_and_sleep
 
-        def counted() -> None:
-            nonlocal turns
-            turns += 1
-            turn()
+        def counting_wake() -> None:
+            nonlocal wakeups
+            wakeups += 1
+            wake()
 
-        wheel._advance_and_sleep = counted  # type: ignore[method-assign]
+        wheel._advance_and_sleep = counting_wake  # type: ignore[method-assign]
         running = asyncio.create_task(wheel.run())
         await asyncio.sleep(0)
-        late = wheel.after(3_000_000, lambda: fired.append("late"))
+        later = wheel.after(3_000_000, lambda: fired.append("late"))
         await wheel.sleep(150_000)
-        assert turns < 15, "it does not tick for nothing"
+        assert wakeups < 15, "the wheel does not wake for empty ticks"
         wheel.after(20_000, lambda: fired.append("soon"))
-        wheel.after(20_000, lambda: wheel.after(0, lambda: fired.append("from within")))
+        wheel.after(20_000, lambda: wheel.after(0, lambda: fired.append("nested")))
         await wheel.sleep(60_000)
-        assert fired == ["soon", "from within"]
-        late.cancel()
+        assert fired == ["soon", "nested"]
+        later.cancel()
         running.cancel()
 
-    asyncio.run(asyncio.wait_for(go(), 30))
+    asyncio.run(asyncio.wait_for(scenario(), 30))
 
 
-def test_a_wheel_that_fails_ends_its_task() -> None:
-    async def go() -> None:
+def test_an_error_of_the_wheel_ends_its_task() -> None:
+    async def scenario() -> None:
         wheel = TimerWheel(Clock())
         running = asyncio.create_task(wheel.run())
         await asyncio.sleep(0)
@@ -142,4 +143,4 @@
         with pytest.raises(ZeroDivisionError):
             await running
 
-    asyncio.run(asyncio.wait_for(go(), 30))
+    asyncio.run(asyncio.wait_for(scenario(), 30))
--- a/tests/test_worth.py
+++ b/tests/test_worth.py
@@ -1,4 +1,6 @@
-"""What a served answer was worth, how it is counted, and the budgets that many routers share."""
+"""Timeliness of completed answers and its counters, the cancellation budget of many routers, byte
+order marks and missing extras.
+"""
 
 import json
 import os
@@ -19,13 +21,13 @@
 from onyxpass.scheduling.contract import AttemptStatus
 from tests.support.dispatcher_bed import Bed
 
-CLS = contract.TrafficClass(
+TRAFFIC_CLASS = contract.TrafficClass(
     "a", 1_000_000, 4_000_000, token_objective_us=60_000, latency_objective_us_per_1k_tokens=100_000
 )
 
 
 @pytest.mark.parametrize(
-    ("prompt", "first_us", "token_objective_us", "timeliness", "cause"),
+    ("prompt", "first_us", "token_us", "timeliness", "cause"),
     [
         (0, 1_000_000, 60_000, Timeliness.IN_TIME, ""),
         (0, 1_000_001, 60_000, Timeliness.LATE, "first"),
@@ -39,13 +41,13 @@
         (0, 2_000_000, 120_001, Timeliness.WORTHLESS, "pace"),
     ],
 )
-def test_aims_and_deadlines_grow_with_the_prompt(
-    prompt: int, first_us: int, token_objective_us: int, timeliness: Timeliness, cause: str
+def test_objectives_and_deadlines_grow_with_the_prompt(
+    prompt: int, first_us: int, token_us: int, timeliness: Timeliness, cause: str
 ) -> None:
-    assert assess(CLS, prompt, first_us, token_objective_us) == Assessment(timeliness, cause)
+    assert assess(TRAFFIC_CLASS, prompt, first_us, token_us) == Assessment(timeliness, cause)
 
 
-def test_where_no_pace_is_wanted_none_is_missed() -> None:
+def test_any_pace_is_in_time_without_a_token_objective() -> None:
     assert assess(contract.TrafficClass("a", 1, 2), 0, 0, 10**9).timeliness is Timeliness.IN_TIME
     assert (mean_token_us(900_000, 10), mean_token_us(900_000, 1), mean_token_us(900_000, 0)) == (
         100_000,
@@ -54,7 +56,7 @@
     )
 
 
-def test_the_usage_is_found_wherever_the_chunks_are_cut() -> None:
+def test_the_token_usage_is_found_wherever_the_stream_is_split() -> None:
     events = [
         b'data: {"choices":[{"delta":{"content":"' + b"x" * 600 + b'"}}]}\n\n',
         b'data: {"choices":[],"usage":{"prompt_tokens":9,"completion_tokens":40}}\n\n',
@@ -62,14 +64,14 @@
     ]
     text = b"".join(events)
     for size in (1, 7, 100, len(text)):
-        cut = Events()
+        parser = Events()
         for at in range(0, len(text), size):
-            cut.feed(text[at : at + size])
-        assert cut.tokens() == 40
+            parser.feed(text[at : at + size])
+        assert parser.tokens() == 40
     assert Events().tokens() == 0
 
 
-def test_a_served_answer_that_came_too_slowly_is_told_and_counted() -> None:
+def test_a_completed_answer_that_was_too_slow_is_logged_and_counted() -> None:
     bed = Bed()
     request = bed.ask(
         contract.SendAttempt(7, "r0", 500_000), traffic_class="light", wait_us=5_000_000
@@ -82,38 +84,46 @@
     assert bed.core.outcomes.stream_event_received(attempt)
     attempt.output_tokens = 11
     bed.clock.us += 10 * 2 * CLASSES[0].token_objective_us + 10
-    told: dict[str, object] = {}
-    timed = bed.core.outcomes._count_completed
-    bed.core.outcomes._count_completed = lambda a: told.update(timed(a)) or told  # type: ignore[method-assign, func-returns-value]
+    logged: dict[str, object] = {}
+    count_completed = bed.core.outcomes._count_completed
+    bed.core.outcomes._count_completed = lambda attempt: (
+        logged.update(count_completed(attempt)) or logged
+    )  # type: ignore[method-assign, func-returns-value]
     bed.core.outcomes.attempt_ended(attempt, AttemptStatus.COMPLETED)
-    assert request.finished and told["wait_us"] == 500_000 and told["first_us"] == 200_000
-    assert (told["reader"], told["read_us"], told["kept"]) == ("r0", 300_000, 512)
-    assert (told["worth"], told["for"]) == ("worthless", "pace")
+    assert request.finished and logged["wait_us"] == 500_000 and logged["first_us"] == 200_000
+    assert (logged["reader"], logged["read_us"], logged["kept"]) == ("r0", 300_000, 512)
+    assert (logged["worth"], logged["for"]) == ("worthless", "pace")
     rows = bed.core.metrics.rows(0, 0)
     assert rows["svc.served.light.worthless"] == 1 and rows["svc.served.light.late"] == 0
-    assert rows["svc.downstream_requests.light.completed"] == 1, "it is served all the same"
+    assert rows["svc.downstream_requests.light.completed"] == 1, (
+        "the request also counts as completed"
+    )
 
 
-def calls_off(routers: int, each: int) -> int:
-    """How many calls off a fleet of routers makes that hear nothing from any server."""
-    called = 0
+def cancellations(routers: int, requests_per_router: int) -> int:
+    """Number of cancellations by a fleet of routers that receive nothing from any server."""
+    count = 0
     for ordinal in range(routers):
         drive = Drive(fleet(4, 8), ordinal=ordinal, routers=routers)
-        for i in range(each):
+        for i in range(requests_per_router):
             drive.ask(i, f"s{i}", f"p{i}", prompt_tokens=9, max_tokens=9)
         for _ in range(40):
             drive.tick()
-            called += sum(isinstance(a, contract.CancelAttempt) for a in drive.last)
-    return called
+            count += sum(isinstance(action, contract.CancelAttempt) for action in drive.last)
+    return count
+
 
+def test_the_cancellation_budget_holds_over_many_routers_with_few_requests_each() -> None:
+    """Guards against routers with few requests whose cancellation budget never fills.
 
-def test_a_budget_of_calls_off_holds_over_many_routers_with_a_few_requests_each() -> None:
-    """Found on a calm day with 200 routers: no router's budget for calls off was ever full, so
-    reads that waited 3 s at a jammed home were never tried elsewhere.
+    With 200 routers, prefills that waited 3 s at an overloaded home server were never tried
+    elsewhere.
     """
-    routers, each = 100, 4
-    most = routers * each * attempt_timeouts.CANCELLATIONS_PER_REQUEST_MANY_ROUTERS
-    assert 0.6 * most <= calls_off(routers, each) <= 1.5 * most
+    routers, requests_per_router = 100, 4
+    expected = (
+        routers * requests_per_router * attempt_timeouts.CANCELLATIONS_PER_REQUEST_MANY_ROUTERS
+    )
+    assert 0.6 * expected <= cancellations(routers, requests_per_router) <= 1.5 * expected
 
 
 def test_a_file_may_begin_with_a_byte_order_mark(tmp_path: Path) -> None:
@@ -129,7 +139,7 @@
         toml_config.read(File, path)
 
 
-def test_a_command_without_its_extra_ends_with_one_line() -> None:
+def test_a_command_whose_extra_is_missing_ends_with_a_one_line_message() -> None:
     blocked = "import runpy, sys; sys.modules.update(dict.fromkeys({names!r})); sys.argv[0] = 'onyxpass'; "
     script = (
         blocked.format(names=sorted(EXTRAS)) + "runpy.run_module('onyxpass', run_name='__main__')"
