--- a/onyxpass/core/send_preconditions.py
+++ b/onyxpass/core/send_preconditions.py
@@ -107,6 +107,6 @@
             return True
         endpoint = attempt.endpoint
         return endpoint is not None and all(
-            other.endpoint is not None and scope.joins(endpoint, other.endpoint)
+            other.endpoint is not None and scope.covers_both(endpoint, other.endpoint)
             for other in earlier_runs
         )
--- a/onyxpass/invariants/rules.py
+++ b/onyxpass/invariants/rules.py
@@ -236,7 +236,7 @@
             return True
         endpoint = self._servers.get(send.server)
         return endpoint is not None and all(
-            sent.endpoint is not None and scope.joins(endpoint, sent.endpoint)
+            sent.endpoint is not None and scope.covers_both(endpoint, sent.endpoint)
             for sent in earlier_runs
         )
 
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -18,11 +18,11 @@
 from onyxpass.core.clock import Clock
 from onyxpass.core.dispatcher import RequestDispatcher
 from onyxpass.core.timer_wheel import TimerWheel
-from onyxpass.net.endpoint_watcher import Lines, ListError, read_list
-from onyxpass.net.http import Broken, Wire, body
+from onyxpass.net.endpoint_watcher import EndpointListError, JsonObjectSplitter, parse_endpoint_list
+from onyxpass.net.http import HttpConnection, HttpError, read_body
 from onyxpass.net.replica import cached_tokens
 from onyxpass.net.request_parser import BadRequest, read_arrival
-from onyxpass.net.response_reader import Events, Incoming
+from onyxpass.net.response_reader import EventSplitter, ResponseReader
 from onyxpass.scheduling import contract
 from onyxpass.toolcalls import rpc
 from onyxpass.toolcalls.front import Connection, RpcFront
@@ -45,7 +45,7 @@
 
 
 async def read_message(role: Any, parts: list[bytes]) -> tuple[Any, bytes]:
-    """Return the head and body that a wire parses from the parts, one part per read."""
+    """Return the head and body that a connection parses from the parts, one part per read."""
     reader = SimpleNamespace(read=None)
     remaining = iter([*parts, b""])
 
@@ -53,12 +53,12 @@
         return next(remaining, b"")
 
     reader.read = read
-    wire = Wire(role, reader, None)
+    connection = HttpConnection(role, reader, None)
     if role is h11.CLIENT:
-        wire.h11.send(h11.Request(method="GET", target="/", headers=[("host", "x")]))
-        wire.h11.send(h11.EndOfMessage())
-    head = await wire.event()
-    return head, await body(wire)
+        connection.h11.send(h11.Request(method="GET", target="/", headers=[("host", "x")]))
+        connection.h11.send(h11.EndOfMessage())
+    head = await connection.next_event()
+    return head, await read_body(connection)
 
 
 POSITIONS = st.lists(st.integers(0, 400), max_size=30)
@@ -78,21 +78,19 @@
 def test_a_truncated_stream_is_never_accepted(positions: list[int], end: int) -> None:
     try:
         asyncio.run(read_message(h11.CLIENT, split_at(STREAM[:end] or b"\0", positions)))
-    except Broken:
+    except HttpError:
         return
     raise AssertionError("the truncated stream was accepted")
 
 
 @DETERMINISTIC
 @given(st.binary(max_size=300), st.integers(0, len(REQUEST)), st.booleans())
-def test_garbage_in_http_raises_broken_and_no_other_error(
-    garbage: bytes, at: int, server: bool
-) -> None:
+def test_garbage_in_http_raises_only_http_errors(garbage: bytes, at: int, server: bool) -> None:
     role, valid = (h11.SERVER, REQUEST) if server else (h11.CLIENT, STREAM)
     text = valid[:at] + garbage + valid[at:]
     try:
         head, _ = asyncio.run(read_message(role, [text]))
-    except Broken as error:
+    except HttpError as error:
         assert error.status == 0 or 400 <= error.status < 600
     else:
         assert (
@@ -103,7 +101,7 @@
 @DETERMINISTIC
 @given(POSITIONS)
 def test_split_list_updates_are_read_unchanged(positions: list[int]) -> None:
-    lines = Lines()
+    lines = JsonObjectSplitter()
     numbers = [
         message["seq"] for part in split_at(LIST_UPDATES, positions) for message in lines.feed(part)
     ]
@@ -117,15 +115,19 @@
     async def read(_: int) -> bytes:
         return next(remaining, b"")
 
-    wire = Wire(h11.CLIENT, SimpleNamespace(read=read), None)
-    wire.h11.send(h11.Request(method="GET", target="/", headers=[("host", "x")]))
-    wire.h11.send(h11.EndOfMessage())
-    incoming, events, received = Incoming(wire, TimerWheel(Clock())), Events(), b""
-    assert isinstance(await incoming.next(), h11.Response)
-    while isinstance(part := await incoming.next(), bytes):
-        received += events.feed(part)
-    if not isinstance(part, h11.EndOfMessage) or events.rest:
-        raise Broken("the stream is incomplete")
+    connection = HttpConnection(h11.CLIENT, SimpleNamespace(read=read), None)
+    connection.h11.send(h11.Request(method="GET", target="/", headers=[("host", "x")]))
+    connection.h11.send(h11.EndOfMessage())
+    response, splitter, received = (
+        ResponseReader(connection, TimerWheel(Clock())),
+        EventSplitter(),
+        b"",
+    )
+    assert isinstance(await response.next(), h11.Response)
+    while isinstance(part := await response.next(), bytes):
+        received += splitter.feed(part)
+    if not isinstance(part, h11.EndOfMessage) or splitter.has_partial_event:
+        raise HttpError("the stream is incomplete")
     return received
 
 
@@ -154,7 +156,7 @@
     try:
         parts = split_at(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + body, positions)
         assert asyncio.run(read_stream(parts)) == b""
-    except Broken:
+    except HttpError:
         return
 
 
@@ -173,8 +175,8 @@
 @given(st.fixed_dictionaries({"seq": JSON, "hosts": JSON | st.lists(ENTRY, max_size=3)}))
 def test_a_list_is_read_or_rejected(message: dict[str, Any]) -> None:
     try:
-        update, addresses = read_list(message)
-    except ListError:
+        update, addresses = parse_endpoint_list(message)
+    except EndpointListError:
         return
     assert len(update.endpoints) >= len(addresses)
 
--- a/tests/test_reasons.py
+++ b/tests/test_reasons.py
@@ -16,8 +16,8 @@
 
 
 async def wait_for_close(w: World, reason: CloseReason) -> None:
-    await until(lambda: w.dispatcher.front.open.closed[reason] == 1)
-    assert w.dispatcher.front.open.closed.total() == 1
+    await until(lambda: w.dispatcher.front.connections.closed[reason] == 1)
+    assert w.dispatcher.front.connections.closed.total() == 1
 
 
 def test_client_connections_are_counted_by_why_they_ended() -> None:
--- a/tests/test_state_reservations.py
+++ b/tests/test_state_reservations.py
@@ -158,7 +158,7 @@
     bed.step([contract.Fail(7)])
     outcome = bed.script.heard[-1]
     assert isinstance(outcome, contract.AttemptOutcome)
-    assert outcome.note == contract.NOT_ARRIVED
+    assert outcome.note == contract.DELIVERY_UNCONFIRMED
     assert request.reserved_since_us == reserved_since_us, (
         "the time for reserved state has not restarted"
     )
--- a/tests/test_worth.py
+++ b/tests/test_worth.py
@@ -15,7 +15,7 @@
 from onyxpass.config import toml_config
 from onyxpass.config.platform_file import ConfigError
 from onyxpass.core.answer_value import Assessment, Timeliness, assess, mean_token_us
-from onyxpass.net.response_reader import Events
+from onyxpass.net.response_reader import EventSplitter
 from onyxpass.optional_dependencies import EXTRAS
 from onyxpass.scheduling import attempt_timeouts, contract
 from onyxpass.scheduling.contract import AttemptStatus
@@ -64,11 +64,11 @@
     ]
     text = b"".join(events)
     for size in (1, 7, 100, len(text)):
-        parser = Events()
+        parser = EventSplitter()
         for at in range(0, len(text), size):
             parser.feed(text[at : at + size])
         assert parser.tokens() == 40
-    assert Events().tokens() == 0
+    assert EventSplitter().tokens() == 0
 
 
 def test_a_completed_answer_that_was_too_slow_is_logged_and_counted() -> None:
