--- a/onyxpass/core/dispatcher.py
+++ b/onyxpass/core/dispatcher.py
@@ -52,7 +52,7 @@
         self.wheel = wheel
         self.router = Router(settings, seed)
         self.deadlines = _deadlines(settings)
-        self.metrics = Metrics(known.name for known in settings.classes)
+        self.metrics = Metrics(traffic_class.name for traffic_class in settings.classes)
         self.invariants = InvariantChecker(settings)
         self.endpoints = EndpointTable(settings.kinds, clock)
         self.registry = RequestRegistry(clock, self.invariants)
@@ -299,4 +299,4 @@
 
 
 def _deadlines(settings: contract.Settings) -> dict[str, int]:
-    return {known.name: known.deadline_us for known in settings.classes}
+    return {traffic_class.name: traffic_class.deadline_us for traffic_class in settings.classes}
--- a/onyxpass/core/loop_turn.py
+++ b/onyxpass/core/loop_turn.py
@@ -4,7 +4,7 @@
 
 from onyxpass.core.clock import Clock
 
-MAX_TURN_US = 10_000  # total time of such steps after which the task yields
+MAX_TURN_US = 10_000  # total time of steps without a wait, after which the task yields
 
 
 class LoopTurn:
--- a/onyxpass/core/reasons.py
+++ b/onyxpass/core/reasons.py
@@ -24,7 +24,7 @@
 
 
 class CloseReason(StrEnum):
-    """Why a client's connection has ended."""
+    """Why a client's connection has ended; counted, and logged every few seconds."""
 
     AFTER_ANSWER = "after its answer"
     CLIENT_LEFT = "the client left"
--- a/onyxpass/core/release.py
+++ b/onyxpass/core/release.py
@@ -16,12 +16,11 @@
 HEDGE_DELAY_US = 25_000  # time until the next server is called beside an unanswered one
 MIN_BUDGET_US = 225_000  # minimum time for which a release is tried
 GRACE_US = 150_000  # time beyond ``release_within_us`` for which a release is tried
-MAX_CALLS = 6  # in flight at once, of one release
+MAX_CALLS = 6  # concurrent calls of one release
 RETRY_DELAY_US = 5_000  # between two calls that fail immediately
 log = structlog.get_logger("release")
-ReleaseCall = Callable[
-    [str], Coroutine[object, object, bool]
-]  # takes a server; returns whether it released the state
+# Called with a server; returns whether that server released the state.
+ReleaseCall = Callable[[str], Coroutine[object, object, bool]]
 
 
 async def release(
--- a/onyxpass/core/requests.py
+++ b/onyxpass/core/requests.py
@@ -46,9 +46,7 @@
     sent_us: int
     timer: Timer | None = None
     unanswered_timer: Timer | None = None  # pending until its server answers, if state is reserved
-    stop_status: AttemptStatus | None = (
-        None  # status of a requested stop; the end follows the close
-    )
+    stop_status: AttemptStatus | None = None  # of a requested stop; the end follows the close
     ended: bool = False
     delivered: bool = False  # known to have reached its server: part of an answer has come
     fully_sent: bool = False  # its last byte has been sent
@@ -93,7 +91,8 @@
     committed: Attempt | None = None  # the attempt whose stream the client has
     finished: bool = False  # the final answer was given, or the client has left
     has_reserved_state: bool = False  # a server may have state reserved for it
-    # Since when state is reserved, without a later attempt that is known to have reached a server.
+    # Start of the time limit for reserved state: the end of the attempt that reserved it, or of a
+    # later one that is known to have reached its server.
     reserved_since_us: int = 0
     release_task: asyncio.Task[None] | None = None  # the next send waits for its end
     state_holder: str = ""  # the server of the last prefill
@@ -120,4 +119,4 @@
         """Check the health of a server."""
 
     def drop_connections(self, server: str) -> None:
-        """Close idle connections to a server that was excluded, or may be another after that."""
+        """Close a server's idle connections, as it may be another process once readmitted."""
--- a/onyxpass/core/send_preconditions.py
+++ b/onyxpass/core/send_preconditions.py
@@ -45,7 +45,7 @@
         return Reason.NONE if self._may_run_again(attempt, now_us) else Reason.NOT_IDEMPOTENT
 
     def check_first_byte(self, attempt: Attempt) -> Reason:
-        """Return why the first byte may not be sent; if ``Reason.NONE``, send it in this step."""
+        """Return why the first byte may not be sent; on ``Reason.NONE``, send it in this step."""
         if reason := self.check(attempt):
             return reason
         context = self._context
--- a/onyxpass/core/start_times.py
+++ b/onyxpass/core/start_times.py
@@ -14,9 +14,8 @@
 # How long starts may still be reported according to a wall clock that has been stepped since.
 OFFSET_RETENTION_US = 600_000_000
 MIN_STEP_US = 50_000  # a smaller change is drift, or a stall between reading the two clocks
-MAX_DISCOVERY_DELAY_US = (
-    3_000_000  # generous maximum from a server's start until discovery lists it
-)
+# Generous maximum of the time from a server's start until discovery lists it.
+MAX_DISCOVERY_DELAY_US = 3_000_000
 
 
 @dataclass(slots=True)
--- a/onyxpass/core/state_reservations.py
+++ b/onyxpass/core/state_reservations.py
@@ -17,12 +17,12 @@
 from onyxpass.core.requests import Attempt, Request
 from onyxpass.scheduling.contract import AttemptStatus
 
-# Statuses after which a prefill may nevertheless have succeeded.
+# Statuses of interrupted attempts; an interrupted prefill may nevertheless have succeeded.
 INTERRUPTED = (AttemptStatus.TIMED_OUT, AttemptStatus.CANCELLED, AttemptStatus.RESET)
 NEVER_SENT = (AttemptStatus.UNREACHABLE, AttemptStatus.NOT_SENT)
 # Share of ``Settings.release_within_us`` for which a send may stay unanswered.
 UNANSWERED_SHARE = 0.8
-MIN_UNANSWERED_US = 100_000  # from the first byte, however much time was used before it
+MIN_UNANSWERED_US = 100_000  # after the first byte, however late it was sent
 Acknowledged = Callable[[], bool | None]  # by the peer's kernel; None if that is unknown
 log = structlog.get_logger("core")
 
--- a/onyxpass/core/timer_wheel.py
+++ b/onyxpass/core/timer_wheel.py
@@ -11,14 +11,14 @@
 TICK_US = 5_000
 MAX_SLEEP_TICKS = 64  # longest sleep if no timer is due in between
 STALL_TICKS = 4  # delay from which the process counts as stalled
-LOGGED_STALL_US = 150_000  # a stall that is longer is logged
-ROUNDS_AFTER_STALL = 6  # of the event loop, before timers fire
+LOGGED_STALL_US = 150_000  # longer stalls are logged
+ROUNDS_AFTER_STALL = 6  # iterations of the event loop after a stall, before timers fire
 SLOTS = 512  # a revolution is 2.56 s; later timers wait in their slots for several revolutions
 log = structlog.get_logger("wheel")
 
 
 class Timer:
-    """One pending call. It never fires early; unless the process stalls, about a tick late."""
+    """One pending call. It never fires early and, without a stall, at most about a tick late."""
 
     __slots__ = ("_callback", "_slot", "due_tick")
 
@@ -170,11 +170,11 @@
                 MAX_SLEEP_TICKS,
             )
             self._sleep_until(loop, self._tick + ahead)
-        except Exception as error:  # noqa: BLE001 - raised by ``run``; no process may run without its wheel
+        except Exception as error:  # noqa: BLE001 - ``run`` raises it: no process without its wheel
             failed.set_exception(error)
 
     def _log_stall(self) -> None:
-        """Log a stall, in which this process could keep none of its times.
+        """Log a stall, during which no timer of this process could fire.
 
         ``at_us`` is monotonic time; ``cpu_us`` is the process's CPU time so far, as in the log line
         ``state``: if it has hardly grown, the machine did not run the process.
--- a/onyxpass/invariants/rules.py
+++ b/onyxpass/invariants/rules.py
@@ -16,7 +16,7 @@
 SCHEDULING_DELAY_US = 150_000
 CLIENT_GONE_GRACE_US = 100_000  # time after a client's close in which a send may still begin
 MAX_REMOVED_SERVERS = 1_000  # removed servers whose drain is remembered
-TIMEOUT_SLACK_US = 150_000  # by which the timeout sent to a server may exceed the time left
+TIMEOUT_SLACK_US = 150_000  # maximum by which the timeout sent to a server exceeds the time left
 
 
 @dataclass(slots=True)
