--- a/onyxpass/invariants/rules.py
+++ b/onyxpass/invariants/rules.py
@@ -212,9 +212,7 @@
         since_us = self._draining_since_us.get(send.server)
         limit_us = self._settings.drain_grace_us - SCHEDULING_DELAY_US
         if since_us is not None and send.now_us - since_us > limit_us:
-            return _Violation(
-                Rule.DRAINED, f"draining or removed since {send.now_us - since_us} us"
-            )
+            return _Violation(Rule.DRAINED, f"draining or removed for {send.now_us - since_us} us")
         if send.may_generate and not self._may_run_again(record, send):
             return _Violation(Rule.RUN_ONCE, "an earlier attempt may have run")
         return None
--- a/tests/test_timer_wheel.py
+++ b/tests/test_timer_wheel.py
@@ -48,9 +48,9 @@
 
 
 def test_input_that_arrived_during_a_stall_is_processed_before_timers_fire() -> None:
-    """Guards against timing out input that was there when a stopped process went on.
+    """Guards against timing out input that arrived while the process did not run.
 
-    Such a process finds due timers and arrived answers at the same time.
+    A process that continues after a stop finds due timers and arrived answers at the same time.
     """
 
     async def scenario() -> None:
@@ -124,9 +124,9 @@
         await wheel.sleep(150_000)
         assert wakeups < 15, "the wheel does not wake for empty ticks"
         wheel.after(20_000, lambda: fired.append("soon"))
-        wheel.after(20_000, lambda: wheel.after(0, lambda: fired.append("nested")))
+        wheel.after(20_000, lambda: wheel.after(0, lambda: fired.append("from within")))
         await wheel.sleep(60_000)
-        assert fired == ["soon", "nested"]
+        assert fired == ["soon", "from within"]
         later.cancel()
         running.cancel()
 
--- a/tests/test_worth.py
+++ b/tests/test_worth.py
@@ -64,10 +64,10 @@
     ]
     text = b"".join(events)
     for size in (1, 7, 100, len(text)):
-        parser = EventSplitter()
+        splitter = EventSplitter()
         for at in range(0, len(text), size):
-            parser.feed(text[at : at + size])
-        assert parser.tokens() == 40
+            splitter.feed(text[at : at + size])
+        assert splitter.tokens() == 40
     assert EventSplitter().tokens() == 0
 
 
@@ -85,10 +85,8 @@
     attempt.output_tokens = 11
     bed.clock.us += 10 * 2 * CLASSES[0].token_objective_us + 10
     logged: dict[str, object] = {}
-    count_completed = bed.core.outcomes._count_completed
-    bed.core.outcomes._count_completed = lambda attempt: (
-        logged.update(count_completed(attempt)) or logged
-    )  # type: ignore[method-assign, func-returns-value]
+    original = bed.core.outcomes._count_completed
+    bed.core.outcomes._count_completed = lambda ended: logged.update(original(ended)) or logged  # type: ignore[method-assign, func-returns-value]
     bed.core.outcomes.attempt_ended(attempt, AttemptStatus.COMPLETED)
     assert request.finished and logged["wait_us"] == 500_000 and logged["first_us"] == 200_000
     assert (logged["reader"], logged["read_us"], logged["kept"]) == ("r0", 300_000, 512)
