--- a/onyxpass/config/platform_file.py
+++ b/onyxpass/config/platform_file.py
@@ -23,8 +23,8 @@
 GENERATION_VARIABLE = "ONYXPASS_GENERATION"
 LAUNCH_VARIABLE = "ONYXPASS_LAUNCH"
 
-# Descriptors reserved for discovery, operators, the log and the event loop: at most so many, and at
-# most this part of all descriptors
+# Descriptors reserved for discovery, operators, the log and the event loop: their maximum, and the
+# divisor that limits their part of all descriptors
 RESERVED_SOCKETS = 64
 RESERVED_SOCKETS_DIVISOR = 4
 MIN_CONNECTION_LIMIT = 8
--- a/onyxpass/config/toml_config.py
+++ b/onyxpass/config/toml_config.py
@@ -60,7 +60,7 @@
         return ()
 
 
-Found = TypeVar("Found", bound=Model)
+ModelT = TypeVar("ModelT", bound=Model)
 
 
 def split_key(dotted: str) -> list[str]:
@@ -78,7 +78,7 @@
         self._table: tuple[PathPart, ...] = ()
         self._last_indexes: dict[tuple[PathPart, ...], int] = {}  # by array of tables
 
-    def header(self, dotted: str, is_array: bool, number: int) -> None:
+    def add_header(self, dotted: str, is_array: bool, number: int) -> None:
         """Process the header of a table or of an element of an array of tables."""
         names = split_key(dotted)
         at: tuple[PathPart, ...] = ()
@@ -94,7 +94,7 @@
             del self._last_indexes[key]
         self._consider(at, number)
 
-    def key(self, dotted: str, number: int) -> None:
+    def add_key(self, dotted: str, number: int) -> None:
         """Process a key of the current table."""
         self._consider((*self._table, *split_key(dotted)), number)
 
@@ -116,9 +116,9 @@
     finder = _LineFinder(path)
     for number, line in enumerate(text.splitlines(), 1):
         if header := HEADER.match(line):
-            finder.header(header[2], header[1] == "[[", number)
+            finder.add_header(header[2], header[1] == "[[", number)
         elif key := KEY.match(line):
-            finder.key(key[1], number)
+            finder.add_key(key[1], number)
     return finder.best_line
 
 
@@ -162,8 +162,8 @@
 
 
 def check(
-    model: type[Found], raw: Mapping[str, Any], text: str = "", where: str = "the file"
-) -> Found:
+    model: type[ModelT], raw: Mapping[str, Any], text: str = "", where: str = "the file"
+) -> ModelT:
     """Return ``raw`` as a model; raise ConfigError with the first fault and its line."""
     try:
         found = model.model_validate(raw)
@@ -201,7 +201,7 @@
     return (reason, int(position[1]), int(position[2])) if position else (reason, 0, 0)
 
 
-def read(model: type[Found], path: Path) -> Found:
+def read(model: type[ModelT], path: Path) -> ModelT:
     """Read a file as a model; raise ConfigError with file, line and reason."""
     try:
         text = path.read_text(encoding="utf-8-sig")  # some editors write a byte order mark
