--- a/onyxpass/net/__init__.py
+++ b/onyxpass/net/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's wire, HTTP/1.1: clients in front, replicas behind, discovery beside."""
+"""HTTP/1.1 networking: the client front end, connections to replicas and endpoint discovery."""
--- a/onyxpass/net/bad_request_limiter.py
+++ b/onyxpass/net/bad_request_limiter.py
@@ -1,33 +1,40 @@
-"""Bounds what clients with bad requests can cost: the pace of 4xx answers and of log lines."""
+"""Limits the rate of 4xx responses and of the log lines about them."""
 
 import structlog
 
 from onyxpass.core.clock import Clock
 
-COMPLAINT_US, COMPLAINT_BURST_US, COMPLAINT_MOST_US = 20_000, 400_000, 1_000_000
-LINE_US = 1_000_000  # between log lines on bad requests
+# A burst of 20 responses goes out at once; later ones are spaced, each delayed by 1 s at most.
+RESPONSE_INTERVAL_US, RESPONSE_BURST_US, MAX_RESPONSE_DELAY_US = 20_000, 400_000, 1_000_000
+LOG_INTERVAL_US = 1_000_000  # minimum time between two log lines about bad requests
 log = structlog.get_logger("front")
 
 
-class Complaints:
+class BadRequestLimiter:
     """Bounds the work and the log lines that clients with bad requests can cause."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self._free_us = self._line_us = self._untold = 0
+        self._next_response_us = self._next_log_us = self._unlogged = 0
 
-    def wait_us(self) -> int:
-        """How long to hold back one more complaint, so that who asks again at once comes no
-        faster.
+    def delay_us(self) -> int:
+        """Return how long to delay the next error response.
+
+        Prevents a client that repeats a bad request at once from speeding up.
         """
         now_us = self.clock.now_us()
-        self._free_us = max(self._free_us, now_us - COMPLAINT_BURST_US) + COMPLAINT_US
-        self._free_us = min(self._free_us, now_us + COMPLAINT_MOST_US)
-        return max(0, self._free_us - now_us)
-
-    def told(self, status: int, why: str) -> None:
-        """One line a while; it counts those that it stands for."""
-        now_us, self._untold = self.clock.now_us(), self._untold + 1
-        if now_us >= self._line_us:
-            log.info("bad_request", status=status, why=why, n=self._untold)
-            self._line_us, self._untold = now_us + LINE_US, 0
+        self._next_response_us = (
+            max(self._next_response_us, now_us - RESPONSE_BURST_US) + RESPONSE_INTERVAL_US
+        )
+        self._next_response_us = min(self._next_response_us, now_us + MAX_RESPONSE_DELAY_US)
+        return max(0, self._next_response_us - now_us)
+
+    def log_rejection(self, status: int, why: str) -> None:
+        """Log a rejected request, at most once per interval.
+
+        The field ``n`` counts the requests rejected since the last line.
+        """
+        now_us, self._unlogged = self.clock.now_us(), self._unlogged + 1
+        if now_us >= self._next_log_us:
+            log.info("bad_request", status=status, why=why, n=self._unlogged)
+            self._next_log_us, self._unlogged = now_us + LOG_INTERVAL_US, 0
--- a/onyxpass/net/client.py
+++ b/onyxpass/net/client.py
@@ -1,4 +1,4 @@
-"""The core's client over HTTP: relays a stream event by event, or writes one final answer."""
+"""The core's ``Client`` over HTTP: relays a stream event by event, or writes one final response."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,15 +12,15 @@
 
 
 class HttpClient:
-    """The core's client over one HTTP exchange."""
+    """The ``Client`` of one HTTP exchange."""
 
     def __init__(self, wire: HttpConnection, closing: Callable[[], bool]) -> None:
         self.wire, self._closing = wire, closing
         self.done = asyncio.Event()
         self.broken = False
-        self.was_cut = False  # by us, since its stream broke
-        self.begun = False  # whether the stream's head has gone out
-        self.keeps = True  # whether the client, and then that head, lets the connection stay open
+        self.stream_aborted = False  # aborted by this dispatcher after its stream had begun
+        self.stream_begun = False  # whether the response head of the stream was written
+        self.keep_alive = True  # whether both the client and the response head allow reuse
 
     def has_disconnected(self) -> bool:
         return self.broken or self.wire.hung_up
@@ -31,30 +31,32 @@
     async def forward(self, event: bytes) -> None:
         if self.done.is_set():
             return
-        if self.begun:
+        if self.stream_begun:
             self.wire.write(h11.Data(data=event))
         else:
-            self.begun, self.keeps = True, self.keeps and not self._closing()
+            self.stream_begun, self.keep_alive = True, self.keep_alive and not self._closing()
             kind = (b"content-type", b"text/event-stream")
             headers = self._headers(kind, (b"transfer-encoding", b"chunked"))
             self.wire.write(h11.Response(status_code=200, headers=headers), h11.Data(data=event))
         try:
             await self.wire.writer.drain()
         except OSError:
-            log.debug("client_disconnected")  # its reading side tells the core
+            # the task that reads from the client reports this to the core
+            log.debug("client_disconnected")
 
     def complete(self) -> None:
         self.wire.write(h11.EndOfMessage())
         self.done.set()
 
     def abort(self, reason: str) -> None:
-        self.broken = self.was_cut = True
-        self.wire.abort()  # guards against a broken stream that looks whole: no last chunk
+        self.broken = self.stream_aborted = True
+        self.wire.abort()  # no last chunk, so the client sees that the stream is incomplete
         self.done.set()
 
-    def leave(self) -> None:
-        """Another process goes on with it: close this one's hold on the connection and nothing
-        else.
+    def detach(self) -> None:
+        """Close this process's copy of the connection after another process has taken it over.
+
+        Nothing is sent to the client.
         """
         self.abort("")
 
--- a/onyxpass/net/connection_budget.py
+++ b/onyxpass/net/connection_budget.py
@@ -1,44 +1,47 @@
-"""Connections to servers: the idle ones, and the budget of descriptors that all servers share."""
+"""Idle connections to servers, and the descriptor budget that all servers share."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
 
 from onyxpass.net.http import HttpConnection
 
-RISK_BLEND, RISK_HALVES_US = (
+BREAK_RATE_WEIGHT, BREAK_RATE_HALF_LIFE_US = (
     0.05,
     20_000_000,
-)  # how the share of kept connections that break is learnt, and fades
+)  # moving average of broken reuses: weight of the latest one, and half-life without any
 
 
 @dataclass(slots=True)
 class IdleConnection:
     wire: HttpConnection
     since_us: int
-    ready_us: int  # from when on it may be used
+    reusable_us: int  # when it may be reused at the earliest
 
 
 @dataclass(slots=True)
 class ConnectionBudget:
-    """Connections to all replicas together; the rest of the descriptors are for clients."""
+    """Budget of connections to all replicas; the remaining descriptors are for clients."""
 
     limit: int
     open: int = 0
-    risk: float = 0.0  # share of kept connections that broke at their next request lately
-    risk_us: int = 0  # when that was learnt
-    make_room: Callable[[], bool] = lambda: False  # close the connection that is idle for longest
+    break_rate: float = 0.0  # moving average: share of reused connections that broke at once
+    break_rate_us: int = 0  # when ``break_rate`` was last updated
+    # closes the connection that has been idle longest; False if there is none
+    make_room: Callable[[], bool] = lambda: False
 
     def shrink(self) -> None:
-        """Guards against idle connections that are kept beyond the limit once it has been
-        lowered.
-        """
+        """Close idle connections until the number of open ones is within a lowered limit."""
         while self.open > self.limit and self.make_room():
             pass
 
-    def met(self, now_us: int, broke: bool) -> None:
-        """A kept connection was used again, and broke or did not."""
-        self.risk, self.risk_us = self.risk_at(now_us), now_us
-        self.risk += RISK_BLEND * (broke - self.risk)
-
-    def risk_at(self, now_us: int) -> float:
-        return self.risk * 0.5 ** ((now_us - self.risk_us) / RISK_HALVES_US) if self.risk else 0.0
+    def record_reuse(self, now_us: int, broke: bool) -> None:
+        """Record whether a reused connection broke."""
+        self.break_rate, self.break_rate_us = self.break_rate_at(now_us), now_us
+        self.break_rate += BREAK_RATE_WEIGHT * (broke - self.break_rate)
+
+    def break_rate_at(self, now_us: int) -> float:
+        return (
+            self.break_rate * 0.5 ** ((now_us - self.break_rate_us) / BREAK_RATE_HALF_LIFE_US)
+            if self.break_rate
+            else 0.0
+        )
--- a/onyxpass/net/connections.py
+++ b/onyxpass/net/connections.py
@@ -1,6 +1,4 @@
-"""What the front knows of each client's connection, and which may be closed to make room for
-another.
-"""
+"""State of all client connections, and the choice of one to close in favour of a new one."""
 
 import asyncio
 import heapq
@@ -16,68 +14,70 @@
 
 
 class Stage(Enum):
-    """What a client's connection is at."""
+    """Stage of a client's connection."""
 
-    NEW = "new"  # nothing has come on it yet
-    READING = "reading"  # part of a request has
+    NEW = "new"  # no bytes received yet
+    READING = "reading"  # a request is partly received
     OPEN = "open"  # a request is being served
     IDLE = "idle"  # between requests
-    LEAVING = "leaving"  # its last answer is given
+    LEAVING = "leaving"  # no further request is read; the connection is being closed
 
 
-LOOKS = 16  # connections looked at, at most, to find one on which nothing is on its way
-FRESH_US = 150_000  # so long after connecting a first request may still be on its way
-# connections that may be closed for others, those missed least first, and from which age on
-SPARED = (
+MAX_EXAMINED = 16  # candidates examined in one search for a connection without unread bytes
+MIN_AGE_US = 150_000  # a request may still be in transit this long after the stage began
+# Stages whose connections may be closed for a new one, in this order, and the minimum time in the
+# stage.
+DISPLACEMENT_ORDER = (
     (Stage.LEAVING, 0),
-    (Stage.NEW, FRESH_US),
-    (Stage.IDLE, FRESH_US),
-    (Stage.READING, FRESH_US),
+    (Stage.NEW, MIN_AGE_US),
+    (Stage.IDLE, MIN_AGE_US),
+    (Stage.READING, MIN_AGE_US),
 )
 
 
 @dataclass(eq=False, slots=True)
 class ClientConnection:
-    """One client's connection, and how far its present request has come."""
+    """One client's connection and the progress of its current request."""
 
-    since_us: int  # of the stage
-    due_us: int  # by when the request that is being read must be whole
+    since_us: int  # when the current stage began
+    due_us: int  # when the request being read must be complete
     wire: HttpConnection | None = None
     stage: Stage = Stage.NEW
-    resting: Limit | None = None  # while it waits for a next request
-    arrived_us: int = 0  # since when, at the earliest, it may have waited to be taken
-    watched_us: int = 0  # since when the loop watches it
-    request: Request | None = None  # the last one that was taken on from it
-    answered: bool = True  # whether that has its answer
-    why: CloseReason = CloseReason.AFTER_ANSWER  # it ends, once it does
-    pieces: int = 0  # that had come on the wire before the request that is being read
+    wait_limit: Limit | None = None  # time limit of the present wait for bytes
+    queued_since_us: int = 0  # lower bound of when it entered the accept queue
+    watched_since_us: int = 0  # when the event loop began to watch it
+    request: Request | None = None  # the last request submitted from it
+    answered: bool = True  # whether ``request`` has its final answer
+    close_reason: CloseReason = CloseReason.AFTER_ANSWER  # why it closes, or has closed
+    reads_before: int = 0  # reads on the connection before the current request
 
     @property
     def unread(self) -> bool:
-        """Whether bytes have come that no task has looked at yet.
+        """Whether bytes have arrived that no task has read, on a connection the client keeps open.
 
-        Guards against a request that was taken from the system and is then closed for a newcomer
-        unanswered.
+        Such a connection may carry a request, and must not be closed unanswered for a new
+        connection.
         """
         return self.wire is not None and self.wire.unread and not self.wire.hung_up
 
     def progress(self) -> tuple[int, int]:
-        """Guards against true requests that are written slowly and go for what a crowd has left
-        behind.
+        """Return the sort key for displacement: reads of the current request, and its start.
 
-        In how many pieces its request has come so far: one that is never finished stops early, so
-        among those with the fewest the eldest is missed least.
+        A request that is never completed stops after few reads, while one that is written slowly
+        keeps adding reads. Sorting by the number of reads protects slow but genuine requests from
+        displacement by a crowd of incomplete ones; among equals the oldest goes first.
         """
         reading = self.stage is Stage.READING and self.wire is not None
-        return (self.wire.pieces - self.pieces if reading and self.wire else 0), self.since_us
+        return (
+            self.wire.read_count - self.reads_before if reading and self.wire else 0
+        ), self.since_us
 
 
 class ClientConnections:
-    """All open connections by the task that serves each, and in the order in which they entered
-    their stage.
+    """All open client connections, by the task that serves each, and by stage in order of entry.
 
-    Guards against a search through all of them for each newcomer: where a crowd holds every place,
-    that was most of what a connection that brings nothing cost.
+    The index by stage avoids a scan of all connections for each new one: with all slots taken by a
+    crowd, that scan was most of the cost of a connection that sends nothing.
     """
 
     def __init__(self) -> None:
@@ -85,7 +85,7 @@
         self._by_stage: dict[Stage, dict[ClientConnection, asyncio.Task[None]]] = {
             s: {} for s in Stage
         }
-        self.closed = Counter[CloseReason]()  # those that have ended, by why
+        self.closed = Counter[CloseReason]()  # number of closed connections by reason
 
     def __len__(self) -> int:
         return len(self._by_task)
@@ -101,14 +101,15 @@
         self._by_stage[connection.stage][connection] = task
 
     def remove(self, task: asyncio.Task[None]) -> None:
-        """Forget a connection; one that is not known is passed over."""
+        """Remove a connection; an unknown task is ignored."""
         if (connection := self._by_task.pop(task, None)) is not None:
-            self.closed[connection.why] += 1
+            self.closed[connection.close_reason] += 1
             self._by_stage[connection.stage].pop(connection, None)
 
     def enter(self, connection: ClientConnection, stage: Stage, now_us: int) -> None:
-        """Move it to the end of a stage; one that was closed for another only changes its own
-        record.
+        """Move a connection to the end of a stage.
+
+        A connection that was displaced is in no stage any more: only its own record changes.
         """
         task = self._by_stage[connection.stage].pop(connection, None)
         connection.stage, connection.since_us = stage, now_us
@@ -118,29 +119,27 @@
     def count(self, *stages: Stage) -> int:
         return sum(len(self._by_stage[stage]) for stage in stages)
 
-    def take_least_missed(self, now_us: int) -> tuple[asyncio.Task[None], ClientConnection] | None:
-        """Take out the connection that is missed least, if there is one that may be closed for
-        another.
-        """
-        for stage, least_us in SPARED:
-            if (connection := self._least_missed(stage, now_us - least_us)) is not None:
+    def take_displaceable(self, now_us: int) -> tuple[asyncio.Task[None], ClientConnection] | None:
+        """Remove and return the connection to close for a new one; None if none may be closed."""
+        for stage, min_age_us in DISPLACEMENT_ORDER:
+            if (connection := self._displaceable(stage, now_us - min_age_us)) is not None:
                 task = self._by_stage[stage][connection]
-                connection.why = CloseReason.DISPLACED
+                connection.close_reason = CloseReason.DISPLACED
                 self.remove(task)
                 return task, connection
         return None
 
-    def _least_missed(self, stage: Stage, before_us: int) -> ClientConnection | None:
-        """Of those in a stage since ``before_us`` at the latest; the eldest come first there."""
+    def _displaceable(self, stage: Stage, before_us: int) -> ClientConnection | None:
+        """Return a candidate that entered the stage at or before ``before_us``, the oldest first."""
         if stage is Stage.READING:
             old = [
                 connection
                 for connection in self._by_stage[stage]
                 if connection.since_us <= before_us
             ]
-            slowest = heapq.nsmallest(LOOKS, old, key=ClientConnection.progress)
+            slowest = heapq.nsmallest(MAX_EXAMINED, old, key=ClientConnection.progress)
             return next((connection for connection in slowest if not connection.unread), None)
-        for connection, _ in zip(self._by_stage[stage], range(LOOKS), strict=False):
+        for connection, _ in zip(self._by_stage[stage], range(MAX_EXAMINED), strict=False):
             if connection.since_us > before_us:
                 return None
             if stage is Stage.LEAVING or not connection.unread:
--- a/onyxpass/net/control.py
+++ b/onyxpass/net/control.py
@@ -1,6 +1,4 @@
-"""The operators' address: one HTTP/1.1 call a connection, answered within a second whatever the
-load.
-"""
+"""The operators' HTTP endpoint: one call per connection, answered within a second under any load."""
 
 from collections.abc import Awaitable, Callable
 from urllib.parse import parse_qs
@@ -56,9 +54,9 @@
             return 200, "".join(f"{name}={value}\n" for name, value in rows).encode(
                 "utf-8", "replace"
             )
-        return await self._move(query, path == b"/api/exclude")
+        return await self._set_excluded(query, path == b"/api/exclude")
 
-    async def _move(self, query: bytes, out: bool) -> Reply:
+    async def _set_excluded(self, query: bytes, out: bool) -> Reply:
         try:
             named = parse_qs(query.decode("ascii"), True, strict_parsing=True, errors="strict")
         except ValueError:
@@ -66,7 +64,7 @@
         hosts = named.get("host", [])
         if len(hosts) != 1 or not hosts[0]:
             return 400, b"one host is to be named: ?host=ID\n"
-        # Guards against a ban that can't be undone since its replica has left the list.
+        # Prevents an exclusion that can't be undone because its replica has left the list.
         if (
             hosts[0] not in self.core.endpoints.by_id
             and hosts[0] not in self.core.endpoints.excluded
--- a/onyxpass/net/dialer.py
+++ b/onyxpass/net/dialer.py
@@ -1,12 +1,10 @@
-"""Connections to servers, for both wires: what is lacking here is told apart from what is wrong
-there.
-"""
+"""Connections to servers of both protocols; separates local shortages from server failures."""
 
 import asyncio
 import errno
 
-# Errors that speak of this machine: of its descriptors, buffers or ports (connect(2), socket(2)).
-LACKING_HERE = frozenset(
+# Errors of this machine: of its descriptors, buffers or ports (connect(2), socket(2)).
+LOCAL_SHORTAGE_ERRNOS = frozenset(
     (
         errno.EMFILE,
         errno.ENFILE,
@@ -20,49 +18,52 @@
         errno.ECONNABORTED,
     )
 )
-# Errors that may pass as quickly, but that speak of the way to one server where they last.
-NO_WAY_THERE = frozenset((errno.ENETUNREACH, errno.EHOSTUNREACH, errno.EACCES, errno.EPERM))
-PAUSES_S = (0.002, 0.005, 0.015)  # before further tries at either; most lacks are short
+# Errors that may be as short-lived, but that concern the route to one server if they persist.
+UNREACHABLE_ERRNOS = frozenset((errno.ENETUNREACH, errno.EHOSTUNREACH, errno.EACCES, errno.EPERM))
+# before each retry after an error of either set; most local shortages are short
+RETRY_DELAYS_S = (0.002, 0.005, 0.015)
 
 
 class ResourceShortageError(Exception):
-    """This dispatcher lacks what a connection needs. It says nothing of the server."""
+    """This dispatcher lacks a resource that a connection needs; says nothing about the server."""
 
 
 async def connect(
     host: str, port: int, limit: int = 2**16
 ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """A connection to a server. Shortage where it can't be made for want of something here.
+    """Open a connection to a server; ``ResourceShortageError`` if a local resource is lacking.
 
-    Guards against a server blamed for what is lacking here, and against attempts spent where some
-    new connections are dropped: a reset is tried again once, a lack a few times. A connection that
-    is refused or silent is not tried again.
+    Prevents blaming a server for a local shortage, and wasting attempts where some new connections
+    are dropped: a reset is retried once, a shortage or an unreachable route a few times. A refused
+    connection or one without an answer is not retried.
     """
-    pauses = iter(PAUSES_S)
+    delays = iter(RETRY_DELAYS_S)
     was_reset = False
     while True:
         try:
-            return await _opened(host, port, limit)
-        except OSError as problem:
-            lacking = problem.errno in LACKING_HERE
-            if lacking or problem.errno in NO_WAY_THERE:
-                if (pause_s := next(pauses, None)) is not None:
-                    await asyncio.sleep(pause_s)
-                elif lacking:
-                    raise ResourceShortageError(str(problem)) from problem
+            return await _open_streams(host, port, limit)
+        except OSError as error:
+            is_shortage = error.errno in LOCAL_SHORTAGE_ERRNOS
+            if is_shortage or error.errno in UNREACHABLE_ERRNOS:
+                if (delay_s := next(delays, None)) is not None:
+                    await asyncio.sleep(delay_s)
+                elif is_shortage:
+                    raise ResourceShortageError(str(error)) from error
                 else:
                     raise
-            elif isinstance(problem, ConnectionResetError) and not was_reset:
+            elif isinstance(error, ConnectionResetError) and not was_reset:
                 was_reset = True
             else:
                 raise
 
 
-async def _opened(
+async def _open_streams(
     host: str, port: int, limit: int
 ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """Guards against a connection that only seems to have come up: asyncio takes EAGAIN for its
-    beginning.
+    """Open the streams; OSError with EAGAIN if the connection was not established.
+
+    asyncio takes EAGAIN from connect for a connection in progress, and then returns one that is not
+    connected.
     """
     reader, writer = await asyncio.open_connection(host, port, limit=limit)
     if writer.get_extra_info("peername") is None:
--- a/onyxpass/net/endpoint_watcher.py
+++ b/onyxpass/net/endpoint_watcher.py
@@ -1,4 +1,4 @@
-"""The list's actor: keeps a watch on discovery and tells the core and the replicas what it says."""
+"""Follows the endpoint list of the discovery service and applies it to the core and the replicas."""
 
 import asyncio
 import contextlib
@@ -15,29 +15,38 @@
 from onyxpass.core.actor import Actor
 from onyxpass.core.dispatcher import RequestDispatcher
 from onyxpass.net.http import HttpConnection, HttpError
-from onyxpass.net.poll_schedule import CONNECT_MS, SILENT_MS, PollSchedule
+from onyxpass.net.poll_schedule import CONNECT_TIMEOUT_MS, WATCH_SILENCE_TIMEOUT_MS, PollSchedule
 from onyxpass.net.replicas import Replicas
 from onyxpass.scheduling import contract
 
-LIST = b"/registry/instances"
-LINE_LIMIT = 4 * 1024 * 1024
+ENDPOINTS_PATH = b"/registry/instances"
+MAX_LIST_BYTES = 4 * 1024 * 1024
 CONDITIONS = {
     "active": contract.EndpointCondition.UP,
     "leaving": contract.EndpointCondition.DRAINING,
     "left": contract.EndpointCondition.REMOVED,
 }
-EXPECTED = (HttpError, OSError, TimeoutError, ValueError, RecursionError)  # of a watch that is lost
+WATCH_ERRORS = (
+    HttpError,
+    OSError,
+    TimeoutError,
+    ValueError,
+    RecursionError,
+)  # errors that end a watch in normal operation
 log = structlog.get_logger("list")
 
 
 class EndpointListError(ValueError):
-    """Discovery said something that is not a list."""
+    """Discovery sent something that is not an endpoint list."""
 
 
 def parse_endpoint_list(
     message: Mapping[str, Any], form: contract.EndpointUpdateForm | None = None
 ) -> tuple[contract.EndpointUpdate, dict[str, Address]]:
-    """One of discovery's objects in the module's words, and where each replica listens."""
+    """Return a discovery message as an endpoint update, and the address of each replica.
+
+    Raises ``EndpointListError`` if it is not an endpoint list.
+    """
     try:
         servers, addresses = [], {}
         for entry in message.get("hosts") or ():
@@ -53,7 +62,7 @@
                     weight=float(entry.get("share") or 1.0),
                 )
             )
-            # guards against a name that can't be hashed: every choice would fail on it
+            # prevents a name that can't be encoded: every server selection would fail to hash it
             name.encode()
             addresses[name] = Address.parse(str(entry["dial"]))
         form = form or (
@@ -62,107 +71,115 @@
             else contract.EndpointUpdateForm.DELTA
         )
         return contract.EndpointUpdate(form, tuple(servers), int(message["seq"])), addresses
-    except (KeyError, TypeError, ValueError, AttributeError, OverflowError, ConfigError) as problem:
-        raise EndpointListError(f"not a list: {problem!r}") from problem
+    except (KeyError, TypeError, ValueError, AttributeError, OverflowError, ConfigError) as error:
+        raise EndpointListError(f"not a list: {error!r}") from error
 
 
 class JsonObjectSplitter:
-    """Cuts a stream of parts into objects, one a line or indented over many; empty lines part them.
+    """Splits a byte stream into JSON objects, each on one line or indented over several.
 
-    One that grows past the limit, and one that a sign of life breaks into, is an error.
+    Objects may be separated by empty lines, which discovery also sends as heartbeats. An object
+    that exceeds the size limit, or that an empty line interrupts, raises ``EndpointListError``.
     """
 
-    def __init__(self, most: int = LINE_LIMIT) -> None:
-        self._rest, self._begun, self._size, self._most = b"", list[bytes](), 0, most
-        self._depth = 0  # of what has begun, by its braces
-        self.ended = 0  # whole lines so far, empty ones among them
+    def __init__(self, max_bytes: int = MAX_LIST_BYTES) -> None:
+        self._partial_line, self._lines, self._size, self._max_bytes = (
+            b"",
+            list[bytes](),
+            0,
+            max_bytes,
+        )
+        self._depth = 0  # nesting depth of the current object, by its braces
+        self.line_count = 0  # complete lines so far, including empty ones
 
     def feed(self, data: bytes) -> list[dict[str, Any]]:
-        *lines, self._rest = (self._rest + data).split(b"\n")
-        self.ended += len(lines)
+        *lines, self._partial_line = (self._partial_line + data).split(b"\n")
+        self.line_count += len(lines)
         found = [message for line in lines if (message := self._line(line.strip())) is not None]
-        if self._size + len(self._rest) > self._most:
+        if self._size + len(self._partial_line) > self._max_bytes:
             raise EndpointListError("a line without an end")
         return found
 
     def _line(self, line: bytes) -> dict[str, Any] | None:
         if not line:
-            if self._begun:
+            if self._lines:
                 raise EndpointListError("an object that breaks off")
             return None
-        if not self._begun and not line.startswith(b"{"):
+        if not self._lines and not line.startswith(b"{"):
             raise EndpointListError("not an object")
-        self._begun.append(line)
+        self._lines.append(line)
         self._size += len(line)
         self._depth += line.count(b"{") - line.count(b"}")
-        # Guards against parsing an indented list of a hundred servers at each of its lines.
-        if self._depth > 0 and (len(self._begun) > 1 or not line.endswith(b"}")) and line != b"}":
+        # Prevents parsing an indented list of a hundred servers again at each of its lines.
+        if self._depth > 0 and (len(self._lines) > 1 or not line.endswith(b"}")) and line != b"}":
             return None
         try:
-            message = json.loads(b"\n".join(self._begun))
+            message = json.loads(b"\n".join(self._lines))
         except ValueError:
             if self._depth > 0:
-                return None  # a brace within a word, or the end of an entry
+                return None  # the brace was in a string, or closed a nested object
             raise
-        self._begun, self._size, self._depth = [], 0, 0
-        return cast("dict[str, Any]", message)  # it begins with a brace
+        self._lines, self._size, self._depth = [], 0, 0
+        return cast("dict[str, Any]", message)  # the text begins with a brace
 
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryUpdate:
-    """One of discovery's objects, and the how-manieth address it was heard at."""
+    """A message from discovery, and the epoch of the address that sent it."""
 
-    # None: all that there was to tell since our version has been told
+    # None: every change since the last known version has been received
     message: Mapping[str, Any] | None
-    era: int
-    absent_us: int | None = None  # when the list was last heard of without it
+    epoch: int
+    absent_us: int | None = None  # when the list was last confirmed without this message
 
 
 class EndpointWatcher(Actor[DiscoveryUpdate]):
-    """Its mailbox takes discovery's objects in order; ``follow`` fills it from the watch."""
+    """Applies messages from discovery in order; ``follow`` fills its mailbox from the watch."""
 
     def __init__(
         self, core: RequestDispatcher, replicas: Replicas, discovery: Address, seed: int = 0
     ) -> None:
         super().__init__("list")
-        asked = core.settings
-        within_ms = asked.poll_within_us / 1000
-        self.pace = PollSchedule(
-            random.Random(seed), asked.watch_endpoints, asked.routers, within_ms
+        settings = core.settings
+        within_ms = settings.poll_within_us / 1000
+        self.schedule = PollSchedule(
+            random.Random(seed), settings.watch_endpoints, settings.routers, within_ms
         )
         self.core, self.replicas, self.discovery = core, replicas, discovery
         self.seq: int | None = None
-        self.era = 0  # how often discovery has moved
-        self._moved = asyncio.Event()  # since it was asked last
+        self.epoch = 0  # number of changes of the discovery address
+        # set when the address changes, cleared before each watch
+        self._address_changed = asyncio.Event()
         self.ready = False
-        self.heard_us: int | None = None  # when the list was last known to be as told
-        self._watch: asyncio.Task[None] | None = None
+        self.confirmed_us: int | None = None  # when discovery last confirmed the list
+        self._watch_task: asyncio.Task[None] | None = None
         self.overlay: Callable[[contract.EndpointUpdate], contract.EndpointUpdate] | None = (
-            None  # another source on top of this
+            None  # merges another source into each update
         )
-        self.raw: dict[str, contract.Endpoint] = {}  # with an overlay: what discovery said itself
+        self.discovered: dict[
+            str, contract.Endpoint
+        ] = {}  # with an overlay: the endpoints as discovery sent them
         self.on_ready: Callable[[], None] | None = None
 
     def load_saved(self, known: Mapping[str, Any]) -> None:
-        """The list as this dispatcher last had it. It may be old, so it makes nothing ready by
-        itself.
+        """Apply the list that this dispatcher saved last.
 
-        But where discovery is shared its first answer may take long, and meanwhile an old list
-        serves better than none: a herd that waits for it leaves the whole load to those few that
-        were not restarted.
+        The list may be outdated, so it alone makes the dispatcher ready only with a shared
+        discovery, whose first response may take long: many dispatchers that restart together and
+        wait for it would leave the whole load to the few that were not restarted.
         """
         try:
             update, addresses = parse_endpoint_list(known, contract.EndpointUpdateForm.PERSISTED)
-        except EndpointListError as problem:
+        except EndpointListError as error:
             if known:
-                log.warning("known_endpoints_unusable", why=str(problem))
+                log.warning("known_endpoints_unusable", why=str(error))
             update, addresses = contract.EndpointUpdate(contract.EndpointUpdateForm.PERSISTED), {}
-        # guards against a herd that asks for the whole list where little has changed
+        # prevents many dispatchers from fetching the whole list where little has changed
         if update.endpoints:
             self.seq = update.version
         self._apply(update, addresses)
-        if update.endpoints and self.pace.shared:
-            self._be_ready()
+        if update.endpoints and self.schedule.shared:
+            self._set_ready()
 
     def _apply(
         self,
@@ -175,133 +192,138 @@
             self.replicas.set_address(server.id, addresses[server.id], left)
         if update.form is not contract.EndpointUpdateForm.DELTA:
             self.replicas.retain_only(addresses)
-        self.core.update_endpoints(self._overlaid(update), absent_us)
+        self.core.update_endpoints(self._with_overlay(update), absent_us)
 
-    def _overlaid(self, update: contract.EndpointUpdate) -> contract.EndpointUpdate:
+    def _with_overlay(self, update: contract.EndpointUpdate) -> contract.EndpointUpdate:
         if self.overlay is None:
             return update
         if update.form is not contract.EndpointUpdateForm.DELTA:
-            self.raw = {}
+            self.discovered = {}
         for server in update.endpoints:
             if server.condition is contract.EndpointCondition.REMOVED:
-                self.raw.pop(server.id, None)
+                self.discovered.pop(server.id, None)
             else:
-                self.raw[server.id] = server
+                self.discovered[server.id] = server
         return self.overlay(update)
 
     def reapply_overlay(self) -> None:
-        """Tell the list anew, since what lies over it has changed."""
+        """Apply the discovered endpoints again after a change of the overlay."""
         update = contract.EndpointUpdate(
-            contract.EndpointUpdateForm.DELTA, tuple(self.raw.values()), self.seq or 0
+            contract.EndpointUpdateForm.DELTA, tuple(self.discovered.values()), self.seq or 0
         )
-        self.core.update_endpoints(self._overlaid(update))
+        self.core.update_endpoints(self._with_overlay(update))
 
     def receive(self, message: DiscoveryUpdate) -> None:
         if message.message is None:
-            self._be_ready()
+            self._set_ready()
             return
         update, addresses = parse_endpoint_list(message.message)
-        if message.era != self.era and self.seq is not None:
-            # Guards against an older state put over the new address's list. A drain was told all
-            # the same.
+        if message.epoch != self.epoch and self.seq is not None:
+            # Prevents state of the old address from replacing the list of the new one. A drain that
+            # the old address announced still applies.
             leaving = tuple(
                 s for s in update.endpoints if s.condition is not contract.EndpointCondition.UP
             )
             update = contract.EndpointUpdate(
                 contract.EndpointUpdateForm.DELTA, leaving, update.version
             )
-        # Guards against versions of two addresses being compared: each counts for itself.
-        known = self.seq if message.era == self.era else None
+        # Versions of two addresses are not comparable: each address counts its own.
+        known = self.seq if message.epoch == self.epoch else None
         if (
             update.form is contract.EndpointUpdateForm.DELTA
             and known is not None
             and update.version <= known
         ):
-            return  # heard of already, on a watch that was lost
+            return  # already received on an earlier watch
         self._apply(update, addresses, message.absent_us)
-        if message.era == self.era:
+        if message.epoch == self.epoch:
             self.seq = update.version
         log.info("list", seq=update.version, form=update.form.value, n=len(update.endpoints))
         if update.form is contract.EndpointUpdateForm.COMPLETE:
-            self._be_ready()
+            self._set_ready()
 
-    def _be_ready(self) -> None:
+    def _set_ready(self) -> None:
         if not self.ready:
             self.ready = True
             if self.on_ready:
                 self.on_ready()
 
     def set_discovery(self, discovery: Address) -> None:
-        """Discovery is somewhere else from now on: leave the old watch, ask there for the whole
-        list.
+        """Switch to another discovery address.
 
-        Readiness and the list stay; what the old address told and the mailbox still holds is taken
-        over.
+        Ends the current watch and fetches the whole list there. Readiness and the current list are
+        kept. Messages of the old address that are still in the mailbox are processed by
+        ``receive``.
         """
         if discovery == self.discovery:
             return
-        self.discovery, self.seq, self.era = discovery, None, self.era + 1
-        self.pace.failures = 0
-        self._moved.set()
-        if self._watch is not None:
-            self._watch.cancel()
+        self.discovery, self.seq, self.epoch = discovery, None, self.epoch + 1
+        self.schedule.failures = 0
+        self._address_changed.set()
+        if self._watch_task is not None:
+            self._watch_task.cancel()
 
     async def follow(self) -> None:
-        """Never ends: the old list holds while the watch is lost, and it resumes from the last
+        """Watch discovery until cancelled.
+
+        While no watch is up the last list stays in force; the next watch resumes from the last
         version.
         """
         if self.seq is not None:
-            await self._sleep(self.pace.first_ms())
+            await self._sleep(self.schedule.initial_delay_ms())
         while True:
-            self._moved.clear()
+            self._address_changed.clear()
             began_us = self.core.clock.now_us()
-            watch = self._watch = asyncio.create_task(self._once())
+            watch = self._watch_task = asyncio.create_task(self._watch_once())
             try:
                 await asyncio.wait([watch])
             finally:
                 watch.cancel()
-            problem = None if watch.cancelled() else watch.exception()
-            if isinstance(problem, EXPECTED):
-                log.warning("watch_lost", why=str(problem) or type(problem).__name__, seq=self.seq)
-            elif problem is not None:
-                log.error("watch_failed", exc_info=problem)
-            if not self._moved.is_set():
-                await self._sleep(self.pace.lost_ms((self.core.clock.now_us() - began_us) / 1000))
+            error = None if watch.cancelled() else watch.exception()
+            if isinstance(error, WATCH_ERRORS):
+                log.warning("watch_lost", why=str(error) or type(error).__name__, seq=self.seq)
+            elif error is not None:
+                log.error("watch_failed", exc_info=error)
+            if not self._address_changed.is_set():
+                await self._sleep(
+                    self.schedule.retry_delay_ms((self.core.clock.now_us() - began_us) / 1000)
+                )
 
     async def _sleep(self, wait_ms: float) -> None:
-        """No longer than till discovery moves."""
+        """Sleep, but end early if the discovery address changes."""
         if wait_ms > 0:
             with contextlib.suppress(TimeoutError):
                 async with self.core.wheel.limit(round(wait_ms * 1000)):
-                    await self._moved.wait()
+                    await self._address_changed.wait()
 
-    async def _once(self) -> None:
+    async def _watch_once(self) -> None:
         wheel = self.core.wheel
-        async with wheel.limit(round(CONNECT_MS * 1000)):
+        async with wheel.limit(round(CONNECT_TIMEOUT_MS * 1000)):
             streams = await asyncio.open_connection(self.discovery.host, self.discovery.port)
         wire = HttpConnection(h11.CLIENT, *streams)
         try:
             if self.seq is None:
-                await self._ask_whole(wire)
+                await self._fetch_list(wire)
                 wire.h11.start_next_cycle()
-            await self._ask_watch(wire)
+            await self._run_watch(wire)
         finally:
             wire.abort()
 
-    def _ask(self, wire: HttpConnection, target: bytes) -> int:
-        """Ask; by when there has to be an answer."""
+    def _send_get(self, wire: HttpConnection, target: bytes) -> int:
+        """Send a GET request; return the deadline of its response."""
         host = str(self.discovery).encode()
         wire.write(
             h11.Request(method=b"GET", target=target, headers=[(b"host", host)]), h11.EndOfMessage()
         )
-        return self._in(self.pace.answer_ms)
+        return self._deadline_us(self.schedule.response_timeout_ms)
 
-    def _in(self, wait_ms: float) -> int:
+    def _deadline_us(self, wait_ms: float) -> int:
         return self.core.clock.now_us() + round(wait_ms * 1000)
 
-    async def _part(self, wire: HttpConnection, due_us: int) -> bytes | None:
-        """What comes next of an answer; None at its end. Whatever else comes does not put off
-        ``due_us``.
+    async def _next_body_part(self, wire: HttpConnection, due_us: int) -> bytes | None:
+        """Return the next part of a response body; None at its end.
+
+        ``due_us`` bounds the wait; bytes that complete no event do not extend it.
         """
         while True:
             async with self.core.wheel.limit(due_us - self.core.clock.now_us()):
@@ -315,48 +337,53 @@
             if not isinstance(event, h11.Response | h11.InformationalResponse):
                 raise HttpError("closed")
 
-    async def _ask_whole(self, wire: HttpConnection) -> None:
-        due_us, text = self._ask(wire, LIST), b""
-        while (part := await self._part(wire, due_us)) is not None:
+    async def _fetch_list(self, wire: HttpConnection) -> None:
+        due_us, text = self._send_get(wire, ENDPOINTS_PATH), b""
+        while (part := await self._next_body_part(wire, due_us)) is not None:
             text += part
-            if len(text) > LINE_LIMIT:
+            if len(text) > MAX_LIST_BYTES:
                 raise EndpointListError("a list too long")
         message = json.loads(text)
         if not isinstance(message, dict):
             raise EndpointListError("not an object")
-        self._hear(message)
-        self._heard_now()
+        self._handle(message)
+        self._confirm_list()
+
+    async def _run_watch(self, wire: HttpConnection) -> None:
+        """Watch for changes until the watch ends, which raises.
 
-    async def _ask_watch(self, wire: HttpConnection) -> None:
-        """The one clock of silence: since the last whole line, or since the question."""
+        The time limit runs from the last complete line, or from the request until there is one.
+        """
         lines, due_us = (
             JsonObjectSplitter(),
-            self._ask(wire, LIST + b"?watch=1&from=%d" % (self.seq or 0)),
+            self._send_get(wire, ENDPOINTS_PATH + b"?watch=1&from=%d" % (self.seq or 0)),
         )
-        while (part := await self._part(wire, due_us)) is not None:
-            ended = lines.ended
+        while (part := await self._next_body_part(wire, due_us)) is not None:
+            line_count = lines.line_count
             for message in lines.feed(part):
-                self._hear(message)
-            # guards against bytes that never make a line and keep a dead watch alive
-            if lines.ended > ended:
-                due_us = self._in(SILENT_MS)
-                self._heard_now()
-                self.pace.heard()
+                self._handle(message)
+            # prevents bytes without a line end from keeping a dead watch alive
+            if lines.line_count > line_count:
+                due_us = self._deadline_us(WATCH_SILENCE_TIMEOUT_MS)
+                self._confirm_list()
+                self.schedule.line_received()
                 if not self.ready:
-                    self.tell(DiscoveryUpdate(None, self.era))
+                    self.tell(DiscoveryUpdate(None, self.epoch))
         raise HttpError("the watch has ended")
 
-    def _heard_now(self) -> None:
-        """The list is known to be as told, and the wall clock is looked at."""
-        self.heard_us = self.core.clock.now_us()
-        self.core.endpoints.start_times.observe_wall_clock(self.heard_us, self.core.clock.wall_us())
+    def _confirm_list(self) -> None:
+        """Note that the list is current, and compare the wall clock for server start times."""
+        self.confirmed_us = self.core.clock.now_us()
+        self.core.endpoints.start_times.observe_wall_clock(
+            self.confirmed_us, self.core.clock.wall_us()
+        )
 
-    def _hear(self, message: dict[str, Any]) -> None:
+    def _handle(self, message: dict[str, Any]) -> None:
         parse_endpoint_list(
             message
-        )  # what is no list ends this watch rather than reach the mailbox
-        news = DiscoveryUpdate(message, self.era, self.heard_us)
+        )  # a malformed message ends this watch instead of reaching the mailbox
+        update = DiscoveryUpdate(message, self.epoch, self.confirmed_us)
         if self.seq is None:
-            self.receive(news)  # the first list settles from where to watch
+            self.receive(update)  # the watch starts from the version of the first list
         else:
-            self.tell(news)
+            self.tell(update)
--- a/onyxpass/net/http.py
+++ b/onyxpass/net/http.py
@@ -1,6 +1,4 @@
-"""HTTP/1.1 over asyncio streams with h11: heads parsed in place, written out with gathered
-writes.
-"""
+"""HTTP/1.1 over asyncio streams, with h11 for parsing and gathered writes."""
 
 import asyncio
 import select
@@ -15,11 +13,11 @@
 
 HEAD_LIMIT = 32 * 1024
 BODY_LIMIT = 256 * 1024
-CHUNK = 32 * 1024
-# for a client to close once our side has; what it sends meanwhile is read, not served
+READ_BYTES = 32 * 1024
+# time for a client to close after this side has; bytes it sends meanwhile are discarded
 CLIENT_CLOSE_TIMEOUT_US = 250_000
-# what is still read of a bad message, so that its answer arrives
-DRAIN_US, DRAIN_PARTS = 300_000, 16
+# bounds of what is read of a rejected message, so that its response is not lost
+DRAIN_TIMEOUT_US, MAX_DRAIN_READS = 300_000, 16
 HOP_BY_HOP = frozenset(
     b"connection keep-alive proxy-connection te trailer transfer-encoding".split()
     + b"upgrade expect content-length".split()
@@ -27,8 +25,9 @@
 
 
 class HttpError(Exception):
-    """The other side closed or sent what is not HTTP; ``status``: what a server may answer, 0
-    for nothing.
+    """The peer closed the connection or broke the protocol, or a limit was exceeded.
+
+    ``status`` is the status code that a server may answer with; 0: no answer.
     """
 
     def __init__(self, reason: str, status: int = 0) -> None:
@@ -37,9 +36,9 @@
 
 
 class TimedProtocol(asyncio.StreamReaderProtocol):
-    """Notes since when the bytes that come may have waited in the kernel."""
+    """Records a lower bound of when received bytes entered the kernel's buffer."""
 
-    unseen_since_ns: int | None = None  # of the first bytes since ``take_since``
+    unseen_since_ns: int | None = None  # for the first bytes received since ``take_since``
 
     def data_received(self, data: bytes) -> None:
         if self.unseen_since_ns is None:
@@ -52,26 +51,27 @@
 
 
 class HttpConnection:
-    """One connection: an h11 state machine on a pair of asyncio streams."""
+    """One HTTP/1.1 connection: an h11 state machine on a pair of asyncio streams."""
 
     def __init__(self, role: type[h11.CLIENT] | type[h11.SERVER], reader: Any, writer: Any) -> None:
         self.reader: asyncio.StreamReader = reader
         self.writer: asyncio.StreamWriter = writer
         self.h11 = h11.Connection(role, max_incomplete_event_size=HEAD_LIMIT)
-        self.born = 0  # which life of its server it was opened in
-        self.pieces = 0  # in which what came so far has come
-        self.last = b""  # the last two bytes that came
-        self.timed: TimedProtocol | None = None  # where a client's time counts from its first byte
-        self.since_ns: int | None = None  # a bound of when what was taken in last can have come
-        self.kept_us = -1  # how long it stood idle before its present request; -1: it is new
+        self.generation = 0  # generation of the server's connections that this one belongs to
+        self.read_count = 0  # number of reads so far
+        self.last_two_bytes = b""  # last two bytes received
+        self.timed_protocol: TimedProtocol | None = None  # set if arrival times are recorded
+        # lower bound of when the bytes of the last read arrived
+        self.received_since_ns: int | None = None
+        self.idle_us = -1  # idle time before the current request; -1: a new connection
 
     @classmethod
-    async def over(
+    async def from_socket(
         cls, sock: socket.socket, role: type[h11.CLIENT] | type[h11.SERVER]
     ) -> "HttpConnection":
-        """A wire on a connection that is there already."""
+        """Wrap a connected socket."""
         loop = asyncio.get_running_loop()
-        reader = asyncio.StreamReader(CHUNK, loop)
+        reader = asyncio.StreamReader(READ_BYTES, loop)
         protocol = TimedProtocol(reader)
         try:
             transport, _ = await loop.connect_accepted_socket(lambda: protocol, sock)
@@ -79,49 +79,54 @@
             sock.close()
             raise
         if sock.family in (socket.AF_INET, socket.AF_INET6):
-            # Guards against events held back till the client has acknowledged the ones before:
-            # asyncio does
-            # this only for sockets that name their protocol, and what a listener accepts does not.
+            # Prevents the kernel from holding back events until earlier ones are acknowledged.
+            # asyncio sets this option only if the socket states its protocol, which accepted
+            # sockets do not.
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         wire = cls(role, reader, asyncio.StreamWriter(transport, protocol, reader, loop))
-        wire.timed = protocol
+        wire.timed_protocol = protocol
         return wire
 
     async def next_event(self) -> h11.Event | type[h11.PAUSED]:
-        """The next event. HttpError if the other side ends within a message or breaks the protocol."""
+        """Return the next event.
+
+        Raises HttpError if the peer closes within a message or breaks the protocol.
+        """
         while (event := self.poll()) is None:
-            await self.fill()
+            await self.read_more()
         return event
 
     def poll(self) -> h11.Event | type[h11.PAUSED] | None:
-        """The next event of what has come already; None if more is needed for one."""
+        """Return the next event from bytes already received; None if more bytes are needed."""
         try:
             event = self.h11.next_event()
-        except h11.RemoteProtocolError as problem:
-            raise HttpError(str(problem), problem.error_status_hint) from problem
+        except h11.RemoteProtocolError as error:
+            raise HttpError(str(error), error.error_status_hint) from error
         return None if event is h11.NEED_DATA else event  # type: ignore[return-value]
 
-    async def fill(self) -> None:
-        """Take in what comes next, be it the end."""
+    async def read_more(self) -> None:
+        """Read once and pass the bytes, or the end of the stream, to h11."""
         try:
-            data = await self.reader.read(CHUNK)
-        except OSError as problem:
-            raise HttpError(f"connection lost: {problem}") from problem
-        self.pieces += 1
-        self.since_ns = self.timed.take_since() if self.timed is not None else None
-        self.last = (self.last + data[-2:])[-2:]
+            data = await self.reader.read(READ_BYTES)
+        except OSError as error:
+            raise HttpError(f"connection lost: {error}") from error
+        self.read_count += 1
+        self.received_since_ns = (
+            self.timed_protocol.take_since() if self.timed_protocol is not None else None
+        )
+        self.last_two_bytes = (self.last_two_bytes + data[-2:])[-2:]
         try:
             self.h11.receive_data(data)
-        except (h11.RemoteProtocolError, RuntimeError) as problem:
-            raise HttpError(str(problem)) from problem
+        except (h11.RemoteProtocolError, RuntimeError) as error:
+            raise HttpError(str(error)) from error
 
     @property
     def pending(self) -> bool:
-        """Whether bytes have come that are no whole event yet, or belong to none."""
+        """Whether received bytes form no complete event yet, or belong to none."""
         return bool(self.h11.trailing_data[0])
 
     def write(self, *events: h11.Event) -> None:
-        """All the events in one gathered write."""
+        """Write all events in one gathered write."""
         parts: list[bytes] = []
         for event in events:
             parts += self.h11.send_with_data_passthrough(event) or ()
@@ -130,22 +135,21 @@
 
     @property
     def written(self) -> bool:
-        """Whether the kernel has taken all that was written."""
+        """Whether the kernel has accepted everything written."""
         transport = self.writer.transport
         return transport.get_write_buffer_size() == 0 and not transport.is_closing()
 
     @property
     def unsent(self) -> bool:
-        """Whether it is proven that the kernel has not taken all: closed now, the rest never
-        leaves.
+        """Whether the kernel has certainly not accepted everything written.
+
+        If the connection is aborted now, the rest is never sent.
         """
         transport = self.writer.transport
         return transport.get_write_buffer_size() > 0 and not transport.is_closing()
 
     def acknowledged(self) -> bool | None:
-        """Whether the other side's kernel has acknowledged all that was written; None where this
-        can't be told.
-        """
+        """Return whether the peer's kernel has acknowledged everything; None if unknown."""
         transport = self.writer.transport
         if transport.is_closing():
             return None
@@ -154,9 +158,7 @@
         return acknowledged(self.writer.get_extra_info("socket"))
 
     async def flush(self) -> None:
-        """Wait till the kernel has taken all that was written; OSError if the connection breaks
-        before.
-        """
+        """Wait until the kernel has accepted everything written; OSError if the connection breaks."""
         if self.written:
             return
         self.writer.transport.set_write_buffer_limits(high=0)
@@ -166,25 +168,22 @@
 
     @property
     def stale(self) -> bool:
-        """An idle connection that the other side has closed, or on which it has spoken out of
-        turn.
-        """
-        # Guards against a close or a second answer that the loop has not read yet: the kernel knows
-        # of it.
-        return ended(self.reader, self.writer) or self.pending or self.unread
+        """Whether the peer has closed an idle connection, or has sent bytes without a request."""
+        # Asks the kernel too: the event loop may not have read a close or a second response yet.
+        return has_ended(self.reader, self.writer) or self.pending or self.unread
 
     @property
     def unread(self) -> bool:
-        """Whether bytes, or the end, wait in the stream's buffer or in the kernel."""
+        """Whether bytes, or the end of the stream, wait in the stream's buffer or in the kernel."""
         held = len(getattr(self.reader, "_buffer", b"")) > 0
-        return held or bool(kernel_tells(self.writer, select.POLLIN))
+        return held or bool(poll_socket(self.writer, select.POLLIN))
 
     @property
     def hung_up(self) -> bool:
         return hung_up(self.reader, self.writer)
 
     def abort(self) -> None:
-        """Close at once; what is not yet written never is."""
+        """Close at once; data that is not yet written is discarded."""
         self.writer.transport.abort()
 
     def close(self) -> None:
@@ -192,48 +191,51 @@
 
 
 def hung_up(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-    """Whether the other side has ended its sending or broken, by the kernel's word if not yet by
-    ours.
-    """
-    return ended(reader, writer) or bool(kernel_tells(writer, select.POLLRDHUP))
+    """Return whether the peer has ended its side or reset, by asyncio's or the kernel's knowledge."""
+    return has_ended(reader, writer) or bool(poll_socket(writer, select.POLLRDHUP))
 
 
-def ended(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-    """Whether this process knows that nothing more comes."""
+def has_ended(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
+    """Return whether asyncio has seen the end of the connection."""
     return writer.is_closing() or reader.at_eof() or reader.exception() is not None
 
 
-def kernel_tells(writer: asyncio.StreamWriter, events: int) -> int:
-    """Which of these events, or a break, the kernel knows of on a connection that is open here."""
+def poll_socket(writer: asyncio.StreamWriter, events: int) -> int:
+    """Return those of ``events``, or an error or hang-up, that the kernel reports on an open
+    connection.
+    """
     asked = select.poll()
     asked.register(writer.get_extra_info("socket"), events)
     return sum(found for _, found in asked.poll(0))
 
 
-async def drain_input(wire: HttpConnection, wheel: TimerWheel, most_us: int = DRAIN_US) -> None:
-    """Guards against a reset that outruns the answer: end our side, and read on a moment before
-    closing.
+async def drain_input(
+    wire: HttpConnection, wheel: TimerWheel, timeout_us: int = DRAIN_TIMEOUT_US
+) -> None:
+    """End this side, and discard input for a moment before the close.
+
+    A close with unread input resets the connection, and the reset may overtake the response.
     """
     if wire.writer.can_write_eof() and not wire.writer.is_closing():
         wire.writer.write_eof()
     try:
-        async with wheel.limit(most_us):
-            for _ in range(DRAIN_PARTS):
-                if not await wire.reader.read(CHUNK):
+        async with wheel.limit(timeout_us):
+            for _ in range(MAX_DRAIN_READS):
+                if not await wire.reader.read(READ_BYTES):
                     return
     except (OSError, TimeoutError):
         return
 
 
-async def read_body(wire: HttpConnection, most: int = BODY_LIMIT) -> bytes:
-    """The rest of the message's body; HttpError with 413 if it is larger than ``most``."""
+async def read_body(wire: HttpConnection, max_bytes: int = BODY_LIMIT) -> bytes:
+    """Return the rest of the message's body; HttpError with 413 if it exceeds ``max_bytes``."""
     parts: list[bytes] = []
     size = 0
     while True:
         event = await wire.next_event()
         if isinstance(event, h11.Data):
             size += len(event.data)
-            if size > most:
+            if size > max_bytes:
                 raise HttpError("body too large", 413)
             parts.append(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
--- a/onyxpass/net/http_client.py
+++ b/onyxpass/net/http_client.py
@@ -14,7 +14,7 @@
 from onyxpass.config.platform_file import Address
 from onyxpass.net.unix import short_socket_path
 
-ANSWER_MOST = 8 * 1024 * 1024
+MAX_RESPONSE_BYTES = 8 * 1024 * 1024
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 Opener = Callable[[], Awaitable[Streams]]
 
@@ -42,11 +42,11 @@
 
 
 def unix_opener(path: Path) -> Opener:
-    async def opened() -> Streams:
+    async def open_streams() -> Streams:
         with short_socket_path(path) as name:
             return await asyncio.open_unix_connection(name)
 
-    return opened
+    return open_streams
 
 
 async def call_api(
@@ -80,22 +80,22 @@
             ]
             sent = True  # from here on it may have arrived
             writer.writelines([part for part in parts if part])
-            return await _answer(wire, reader)
-    except TimeoutError as problem:
+            return await _read_response(wire, reader)
+    except TimeoutError as error:
         if sent:
-            raise ResponseLostError(f"no answer within {timeout_s:g} s") from problem
-        raise RequestNotSentError(f"no connection within {timeout_s:g} s") from problem
-    except (OSError, h11.ProtocolError, ValueError, RecursionError) as problem:
-        reason = (problem.strerror if isinstance(problem, OSError) else None) or str(problem)
+            raise ResponseLostError(f"no answer within {timeout_s:g} s") from error
+        raise RequestNotSentError(f"no connection within {timeout_s:g} s") from error
+    except (OSError, h11.ProtocolError, ValueError, RecursionError) as error:
+        reason = (error.strerror if isinstance(error, OSError) else None) or str(error)
         raise (ResponseLostError if sent else RequestNotSentError)(
-            reason or type(problem).__name__
-        ) from problem
+            reason or type(error).__name__
+        ) from error
     finally:
         if writer is not None:
             writer.transport.abort()
 
 
-async def _answer(wire: h11.Connection, reader: asyncio.StreamReader) -> ApiResponse:
+async def _read_response(wire: h11.Connection, reader: asyncio.StreamReader) -> ApiResponse:
     status, text = 0, b""
     while True:
         event = wire.next_event()
@@ -105,7 +105,7 @@
             status = event.status_code
         elif isinstance(event, h11.Data):
             text += bytes(event.data)
-            if len(text) > ANSWER_MOST:
+            if len(text) > MAX_RESPONSE_BYTES:
                 raise ValueError("an answer too long")
         elif isinstance(event, h11.EndOfMessage):
             found = json.loads(text) if text.strip() else {}
--- a/onyxpass/net/http_server.py
+++ b/onyxpass/net/http_server.py
@@ -18,9 +18,9 @@
 
 # from connecting to the end of the call; then its caller is told so, or closed on
 CALL_TIMEOUT_US = 800_000
-LEAVE_US = 300_000  # for a caller to take its answer
-DRAIN_US = 150_000  # for it to close once it has it
-# callers at once; a newcomer takes the place of the one that has said nothing for longest
+FLUSH_TIMEOUT_US = 300_000  # for a caller to take its answer
+DRAIN_TIMEOUT_US = 150_000  # for it to close once it has it
+# callers at once; a wait_readable takes the place of the one that has said nothing for longest
 MAX_CALLS = 16
 MAX_BODY_BYTES = 4096
 BACKLOG = 64
@@ -45,8 +45,8 @@
     max_calls = MAX_CALLS
     max_body_bytes = MAX_BODY_BYTES
 
-    def __init__(self, wheel: TimerWheel, where: str) -> None:
-        self.wheel, self.where = wheel, where
+    def __init__(self, wheel: TimerWheel, address_text: str) -> None:
+        self.wheel, self.address_text = wheel, address_text
         self.calls: dict[asyncio.Task[None], bool] = {}  # and whether the call is whole
         self.listener: Listener | None = None
 
@@ -66,8 +66,8 @@
             try:
                 self.listener = self.listen()
             # guards against clients left unserved for the operators' address
-            except OSError as problem:
-                log.error("listen_failed", address=self.where, why=str(problem))
+            except OSError as error:
+                log.error("listen_failed", address=self.address_text, why=str(error))
                 await self.wheel.sleep(LISTEN_RETRY_US)
         self.log_listening()
         try:
@@ -76,14 +76,14 @@
             self.listener.close()
 
     def log_listening(self) -> None:
-        log.info("control", listen=self.where)
+        log.info("control", listen=self.address_text)
 
     async def _accept_all(self, listener: Listener) -> None:
         while True:
             sock = await listener.accept()
             while len(self.calls) >= self.max_calls and not self._make_room():
                 await self.wheel.sleep(10_000)
-            task = asyncio.create_task(self._call(sock))
+            task = asyncio.create_task(self._serve_call(sock))
             self.calls[task] = False
             task.add_done_callback(lambda done: self.calls.pop(done, None))
             await asyncio.sleep(0)
@@ -96,27 +96,27 @@
             eldest.cancel()
         return eldest is not None
 
-    async def _call(self, sock: socket.socket) -> None:
+    async def _serve_call(self, sock: socket.socket) -> None:
         wire: HttpConnection | None = None
         try:
-            wire = await HttpConnection.over(sock, h11.SERVER)
-            await self._answer(wire)
+            wire = await HttpConnection.from_socket(sock, h11.SERVER)
+            await self._handle_call(wire)
             wire.close()
-            async with self.wheel.limit(LEAVE_US):
+            async with self.wheel.limit(FLUSH_TIMEOUT_US):
                 await wire.writer.wait_closed()
-        except (HttpError, OSError, TimeoutError, asyncio.CancelledError) as problem:
-            log.debug("call_ended", why=str(problem))
+        except (HttpError, OSError, TimeoutError, asyncio.CancelledError) as error:
+            log.debug("call_ended", why=str(error))
         except Exception:
             log.exception("call_failed")
         finally:
             if wire is not None:
                 wire.abort()
 
-    async def _answer(self, wire: HttpConnection) -> None:
+    async def _handle_call(self, wire: HttpConnection) -> None:
         began = False
         try:
             async with self.wheel.limit(CALL_TIMEOUT_US):
-                await wire.fill()
+                await wire.read_more()
                 if not (began := wire.pending):
                     return  # it left without a word
                 head = await wire.next_event()
@@ -126,25 +126,25 @@
         except TimeoutError:
             if not began:
                 return
-            reply: Reply = (408, self.said("too slow"))
-        except HttpError as problem:
-            if not problem.status:
+            reply: Reply = (408, self.error_body("too slow"))
+        except HttpError as error:
+            if not error.status:
                 return
-            reply = (problem.status, self.said(str(problem)))
+            reply = (error.status, self.error_body(str(error)))
         else:
             task = asyncio.current_task()
             if task in self.calls:
                 self.calls[task] = True
             try:
                 reply = await self.answer(head, text)
-            except ApiError as problem:
-                reply = (problem.status, self.said(str(problem), **problem.more))
+            except ApiError as error:
+                reply = (error.status, self.error_body(str(error), **error.more))
             except Exception:  # guards against a caller left without an answer by a fault here
                 log.exception("call_crashed")
-                reply = (500, self.said("the program's own fault"))
+                reply = (500, self.error_body("the program's own fault"))
         await self._write(wire, *reply)
 
-    def said(self, reason: str, **more: Any) -> bytes:
+    def error_body(self, reason: str, **more: Any) -> bytes:
         """A refusal's one line, in the form of the server's answers."""
         if self.content_type is JSON:
             return json.dumps({"error": reason[:400], **more}).encode() + b"\n"
@@ -159,15 +159,15 @@
         if wire.h11.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             head = h11.Response(status_code=status, headers=headers)
             wire.write(head, h11.Data(data=text), h11.EndOfMessage())
-        await drain_input(wire, self.wheel, DRAIN_US)
+        await drain_input(wire, self.wheel, DRAIN_TIMEOUT_US)
 
 
 def parse_json_object(text: bytes) -> dict[str, Any]:
     """The JSON object that a call's body holds; an empty body is an empty one."""
     try:
         found = json.loads(text) if text.strip() else {}
-    except (ValueError, RecursionError) as problem:
-        raise ApiError(400, f"the body is no JSON: {problem}") from problem
+    except (ValueError, RecursionError) as error:
+        raise ApiError(400, f"the body is no JSON: {error}") from error
     if not isinstance(found, dict):
         raise ApiError(400, "the body is no JSON object")
     return found
--- a/onyxpass/net/poll_schedule.py
+++ b/onyxpass/net/poll_schedule.py
@@ -1,89 +1,107 @@
-"""When discovery is asked: the pauses before each call, without I/O.
+"""Delays between calls to discovery; no I/O.
 
-Where the list comes from an agent on the dispatcher's own machine, asking costs nobody anything.
-Where it must be asked for, discovery is one service for all dispatchers: calls wait there in turn,
-and what is given up while it waits costs it as much as what is answered. Dispatchers that all ask
-at once, and ask anew as soon as they are turned away, keep its queue full of calls that nobody
-waits for any more, and then none is ever answered.
+If the list comes from an agent on the dispatcher's own machine, a call costs next to nothing.
+Otherwise discovery is one service shared by all dispatchers: it queues calls and works on one after
+the other, and a call that its client has abandoned costs as much as one that is answered.
+Dispatchers that all call at once, and call again as soon as they are rejected, keep its queue full
+of abandoned calls, and then none is ever answered.
 
-What a watch misses counts as told ``TOLD_MS`` after it fell silent. Into that time have to fit:
-that the silence is noticed, the pause, a call that fails, another pause, and a call that is
-answered.
+Changes that a watch misses count as known ``MISSED_CHANGES_DEADLINE_MS`` after the watch fell
+silent. That time must cover the detection of the silence, a delay, a failed call, another delay,
+and a successful call.
 """
 
 import random
 from dataclasses import dataclass, field
 
-TOLD_MS = 6_000.0  # after this, what a silent watch has missed counts as told
-HEARTBEAT_MS = 2_000.0  # a watch sends a line this often at least
-SILENT_MS = HEARTBEAT_MS + 400  # since the last whole line, till a watch counts as broken
-CONNECT_MS = 500.0  # for a connection to come up
-BACKOFF_MS, BACKOFF_MOST_MS = 50, 150  # bounds of the pause before an agent is asked again
-# For the whole list, or the first line of a watch. An agent answers at once, and is asked anew at
-# no cost: one that was silent while discovery was down has to be asked within what drains leave
-# once it is back.
-ANSWER_MS, ANSWER_MOST_MS = 250.0, 500.0
-SHARED_ANSWER_MS = 3_000.0  # a shared discovery turns away within 2 s what can't have its turn
-# of a shared discovery's time for one call, counted generously: 5 to 8 a second were seen
-CALL_MS = 200
-# of the time within which a dispatcher has to have asked: so far its first call is put off
-ASK_SHARE = 0.8
-# a shared watch that lasted so long had been taken on: others hear a no within 2 s
-STEADY_MS = 3_000
-# After a watch that was lost, all have asked by then: who asks later can't be told in time any
-# more. Only this first pause is bounded: bounding the later ones too keeps the queue of one that
-# can't answer all full
-# of abandoned calls, and in the model with 200 dispatchers all but the first 12 were never told.
-LOST_MOST_MS = TOLD_MS - SILENT_MS - 600
-DOUBLINGS = 1  # of the pause between calls that fail in a row: past that, a list grows too old
+# after the start of a silence; changes missed meanwhile then count as known
+MISSED_CHANGES_DEADLINE_MS = 6_000.0
+HEARTBEAT_INTERVAL_MS = 2_000.0  # maximum time between two lines of a healthy watch
+WATCH_SILENCE_TIMEOUT_MS = (
+    HEARTBEAT_INTERVAL_MS + 400
+)  # since the last complete line, until a watch counts as broken
+CONNECT_TIMEOUT_MS = 500.0  # to establish a connection
+# first and largest upper bound of the random delay before a retry at an agent
+BACKOFF_MS, MAX_BACKOFF_MS = 50, 150
+# For the whole list, or the first line of a watch, at an agent. An agent answers at once, and a
+# retry costs nothing: an agent that was silent while discovery was down must be called again within
+# the grace time of a drain once it is back.
+RESPONSE_TIMEOUT_MS, MAX_RESPONSE_TIMEOUT_MS = 250.0, 500.0
+SHARED_RESPONSE_TIMEOUT_MS = (
+    3_000.0  # a shared discovery rejects within 2 s a call that it can't serve in turn
+)
+# time of one call at a shared discovery, rounded up: 5 to 8 calls per second were observed
+SHARED_CALL_MS = 200
+# share of ``first_call_within_ms`` over which the first calls are spread at most
+FIRST_CALL_SHARE = 0.8
+# a shared watch that lasted this long had been accepted: a rejection comes within 2 s
+ACCEPTED_WATCH_MS = 3_000
+# Maximum delay of the first retry after a lost watch, by which all dispatchers have called: a later
+# call can't be answered in time any more. Later retries are not bounded like this: in the model,
+# with 200 dispatchers at a discovery that can't serve them all, that kept the queue full of
+# abandoned calls, and all but the first 12 were never told.
+MAX_FIRST_RETRY_MS = MISSED_CHANGES_DEADLINE_MS - WATCH_SILENCE_TIMEOUT_MS - 600
+# of the retry delay after consecutive failures: with more, the list would get too old
+MAX_DOUBLINGS = 1
 
 
 @dataclass(slots=True)
 class PollSchedule:
-    """One dispatcher's calls to discovery."""
+    """Schedule of one dispatcher's calls to discovery."""
 
-    chance: random.Random
-    shared: bool = False  # the list must be asked for
+    rng: random.Random
+    shared: bool = False  # discovery is shared by all dispatchers
     routers: int = 1
-    ask_within_ms: float = 10_000.0
-    failures: int = field(default=0, init=False)  # in a row
+    first_call_within_ms: float = 10_000.0
+    failures: int = field(default=0, init=False)  # consecutive failures
 
     @property
-    def answer_ms(self) -> float:
-        """How long a call may wait for its whole answer, or a watch for its first line.
+    def response_timeout_ms(self) -> float:
+        """Time limit of a call for the whole list, or of a watch until its first line.
 
-        Guards against an address that takes the question and says nothing: it is asked again soon;
-        and against a busy one that never has the time to answer: what is given up costs it as well.
+        The limit is short at first, so that an address that accepts a call and stays silent is
+        called again soon. It grows with each failure, because a busy address that never gets enough
+        time spends as much on abandoned calls as on answered ones.
         """
         if self.shared:
-            return SHARED_ANSWER_MS
-        return min(ANSWER_MOST_MS, ANSWER_MS * (1 << min(self.failures, 10)))
+            return SHARED_RESPONSE_TIMEOUT_MS
+        return min(MAX_RESPONSE_TIMEOUT_MS, RESPONSE_TIMEOUT_MS * (1 << min(self.failures, 10)))
 
     @property
-    def turn_ms(self) -> float:
-        """The time in which all dispatchers can be answered once."""
-        return min(ASK_SHARE * self.ask_within_ms, self.routers * CALL_MS) if self.shared else 0.0
+    def round_ms(self) -> float:
+        """Time in which a shared discovery can answer every dispatcher once; 0 with an agent."""
+        return (
+            min(FIRST_CALL_SHARE * self.first_call_within_ms, self.routers * SHARED_CALL_MS)
+            if self.shared
+            else 0.0
+        )
 
-    def first_ms(self) -> float:
-        """Guards against dispatchers that start together and ask a shared discovery all at once."""
-        return self.chance.uniform(0, self.turn_ms)
+    def initial_delay_ms(self) -> float:
+        """Return the delay before the first call.
 
-    def heard(self) -> None:
-        """A line came on the watch; a shared discovery writes one before it takes the watch on."""
+        Spreads the calls of dispatchers that start together and share a discovery.
+        """
+        return self.rng.uniform(0, self.round_ms)
+
+    def line_received(self) -> None:
+        """Record a line on the watch.
+
+        This proves nothing for a shared discovery, which sends a line before it accepts a watch.
+        """
         if not self.shared:
             self.failures = 0
 
-    def lost_ms(self, lasted_ms: float) -> float:
-        """The pause after a watch that ended, for whatever reason, after so long.
+    def retry_delay_ms(self, lasted_ms: float) -> float:
+        """Return the delay after a watch that ended, for any reason, after ``lasted_ms``.
 
-        Guards against dispatchers that lose discovery together and then all ask it in step, or ask
-        it more often than it can answer.
+        Prevents dispatchers that lose discovery together from calling it in step, or more often
+        than it can answer.
         """
-        if self.shared and lasted_ms >= STEADY_MS:
+        if self.shared and lasted_ms >= ACCEPTED_WATCH_MS:
             self.failures = 0
         failures, self.failures = self.failures, self.failures + 1
         if not self.shared:
-            return self.chance.uniform(0, min(BACKOFF_MOST_MS, BACKOFF_MS << min(failures, 10)))
+            return self.rng.uniform(0, min(MAX_BACKOFF_MS, BACKOFF_MS << min(failures, 10)))
         if not failures:
-            return self.chance.uniform(0, min(self.turn_ms, LOST_MOST_MS))
-        return self.chance.uniform(0.5, 1.5) * self.turn_ms * (1 << min(failures - 1, DOUBLINGS))
+            return self.rng.uniform(0, min(self.round_ms, MAX_FIRST_RETRY_MS))
+        return self.rng.uniform(0.5, 1.5) * self.round_ms * (1 << min(failures - 1, MAX_DOUBLINGS))
--- a/onyxpass/net/replica.py
+++ b/onyxpass/net/replica.py
@@ -19,7 +19,14 @@
 from onyxpass.net.connection_budget import ConnectionBudget, IdleConnection
 from onyxpass.net.dialer import ResourceShortageError, connect
 from onyxpass.net.http import BODY_LIMIT, HOP_BY_HOP, HttpConnection, HttpError, header, read_body
-from onyxpass.net.response_reader import EventSplitter, Nudged, Part, ResponseReader, Spoilt, framed
+from onyxpass.net.response_reader import (
+    CorruptResponseError,
+    EventSplitter,
+    Part,
+    ResponseReader,
+    WaitInterrupted,
+    is_framed,
+)
 from onyxpass.scheduling.contract import (
     IDLE_CONNECTION_BROKE,
     STATE_LOST,
@@ -30,19 +37,26 @@
 
 # so long before the replica may close it, an idle connection is no longer used
 IDLE_MARGIN_US = 1_500_000
-MOST_IDLE = 24  # idle connections kept to one replica
-REST_US = 50_000  # after a stream, till its connection is used again: a second answer may come late
-PROBE_US = 250_000
+MAX_IDLE_CONNECTIONS = 24  # idle connections kept to one replica
+REUSE_DELAY_US = (
+    50_000  # after a stream, till its connection is used again: a second answer may come late
+)
+HEALTH_CHECK_TIMEOUT_US = 250_000
 FIRST_EVENT_TIMEOUT_US = 2_000_000  # from the head of a stream to its first event
 # a begun stream that is silent for so long has stopped: good ones pause for 0.2 s
 STREAM_STALL_TIMEOUT_US = 4_600_000
-TAKE_US = 30_000_000  # so long a client may take nothing of what is passed on to it
+CLIENT_WRITE_TIMEOUT_US = 30_000_000  # so long a client may take nothing of what is passed on to it
 # a kept connection that is of no use breaks so soon after it was written to
-KEPT_BROKE_US = 250_000
-RISK_BOOKING, RISK_ANY = 0.005, 0.06  # shares past which requests go out on new connections
-SETTLE_US = 25_000  # till a read that was just broken off has ended for sure at the replica's side
-LEASE_TRY_US = 100_000  # one try at letting go
-MAY_PASS = (408, 425, 429)  # answers 4xx that say nothing against the request
+REUSED_BREAK_WINDOW_US = 250_000
+MAX_BREAK_RATE_NON_IDEMPOTENT, MAX_BREAK_RATE = (
+    0.005,
+    0.06,
+)  # shares past which requests go out on new connections
+CANCEL_SETTLE_US = (
+    25_000  # till a read that was just broken off has ended for sure at the replica's side
+)
+LEASE_RELEASE_TIMEOUT_US = 100_000  # one try at letting go
+RETRYABLE_STATUSES = (408, 425, 429)  # answers 4xx that say nothing against the request
 log = structlog.get_logger("net")
 
 
@@ -57,35 +71,35 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Moved:
+class AddressChanged:
     address: Address
-    left: bool = False
+    removed: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Sweep:
+class CloseIdle:
     everything: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Forget:
+class DropConnections:
     pass
 
 
 @dataclass(frozen=True, slots=True)
-class Resumed:
+class AdoptedStream:
     """A stream that the process before this one had begun to pass on."""
 
     wire: HttpConnection
     events: EventSplitter
 
 
-class HandedOver(Exception):
+class StreamMigrated(Exception):
     """The process that comes after this one goes on with the stream."""
 
 
-class Heirs(Protocol):
-    async def take(
+class StreamSuccessor(Protocol):
+    async def migrate(
         self, attempt: Attempt, incoming: ResponseReader, events: EventSplitter
     ) -> bool: ...
 
@@ -104,34 +118,36 @@
     ) -> None:
         super().__init__(name, core)
         self.address, self.budget = address, budget
-        self.connect_us, self.keep_us = connect_us, keep_us(idle_us)
+        self.connect_us, self.max_idle_us = connect_us, max_idle_us(idle_us)
         self.idle: list[IdleConnection] = []
         self.streams: set[ResponseReader] = set()  # those that wait for their next part
-        self.left = False
-        self.heirs: Callable[[], Heirs | None] = lambda: (
+        self.removed = False
+        self.successor: Callable[[], StreamSuccessor | None] = lambda: (
             None
         )  # who goes on with streams, once this process ends
         self.answered_us = 0  # when it last answered anything
-        self.born = 0  # how often it was taken out or in: connections from before are not kept
+        self.generation = (
+            0  # how often it was taken out or in: connections from before are not kept
+        )
 
     @property
     def finished(self) -> bool:
-        """Whether it has left the list and nothing of it is under way."""
-        return self.left and not (
+        """Whether it has removed the list and nothing of it is under way."""
+        return self.removed and not (
             self.tasks or self.background_tasks or self.idle or self.mailbox.qsize()
         )
 
     def receive(self, message: object) -> None:
         match message:
-            case Moved(address, left):
-                self.left = left
-                if address != self.address or left:
+            case AddressChanged(address, removed):
+                self.removed = removed
+                if address != self.address or removed:
                     self.address = address
                     self._drop_idle(True)
-            case Forget():
-                self.born += 1
+            case DropConnections():
+                self.generation += 1
                 self._drop_idle(True)
-            case Sweep(everything):
+            case CloseIdle(everything):
                 self._drop_idle(everything)
             case _:
                 super().receive(message)
@@ -141,7 +157,7 @@
     def _drop_idle(self, everything: bool = False) -> None:
         now_us, kept = self.core.clock.now_us(), []
         for idle in self.idle:
-            if everything or idle.wire.stale or now_us - idle.since_us >= self.keep_us:
+            if everything or idle.wire.stale or now_us - idle.since_us >= self.max_idle_us:
                 self._discard(idle.wire)
             else:
                 kept.append(idle)
@@ -151,38 +167,38 @@
         wire.abort()
         self.budget.open -= 1
 
-    def _reuse(self) -> HttpConnection | None:
+    def _take_idle(self) -> HttpConnection | None:
         """The connection used last. One that may be closed by the other side soon is not used
         again.
         """
         now_us = self.core.clock.now_us()
-        for idle in reversed([idle for idle in self.idle if now_us >= idle.ready_us]):
+        for idle in reversed([idle for idle in self.idle if now_us >= idle.reusable_us]):
             self.idle.remove(idle)
-            idle.wire.kept_us = now_us - idle.since_us
-            if not idle.wire.stale and idle.wire.kept_us < self.keep_us:
+            idle.wire.idle_us = now_us - idle.since_us
+            if not idle.wire.stale and idle.wire.idle_us < self.max_idle_us:
                 return idle.wire
             self._discard(idle.wire)
         return None
 
-    def give_up_idle(self) -> None:
+    def close_oldest_idle(self) -> None:
         """Close the connection that is idle for longest, in favour of another replica."""
         self._discard(self.idle.pop(0).wire)
 
-    async def _open(self, most_us: int | None = None) -> HttpConnection:
+    async def _open(self, timeout_us: int | None = None) -> HttpConnection:
         if self.budget.open >= self.budget.limit and not self.budget.make_room():
             raise ResourceShortageError("no descriptors left for replicas")
         self.budget.open += 1
         try:
-            async with self.wheel.limit(self.connect_us if most_us is None else most_us):
+            async with self.wheel.limit(self.connect_us if timeout_us is None else timeout_us):
                 streams = await connect(self.address.host, self.address.port)
         except BaseException:
             self.budget.open -= 1
             raise
         wire = HttpConnection(h11.CLIENT, *streams)
-        wire.born = self.born
+        wire.generation = self.generation
         return wire
 
-    def _give_back(self, wire: HttpConnection, streamed: bool = False) -> None:
+    def _return_connection(self, wire: HttpConnection, streamed: bool = False) -> None:
         """Keep the connection if both sides are ready for another request on it.
 
         Guards against a second answer, some milliseconds behind a stream, that answers the next
@@ -193,30 +209,30 @@
             # Guards against connections kept from before a drain or a ban: their other end has
             # gone.
             if (
-                len(self.idle) < MOST_IDLE
+                len(self.idle) < MAX_IDLE_CONNECTIONS
                 and self.core.endpoints.accepts_new_work(self.name)
-                and wire.born == self.born
+                and wire.generation == self.generation
             ):
                 now_us = self.core.clock.now_us()
-                self.idle.append(IdleConnection(wire, now_us, now_us + REST_US * streamed))
+                self.idle.append(IdleConnection(wire, now_us, now_us + REUSE_DELAY_US * streamed))
                 return
         self._discard(wire)
 
     # Exchanges
 
-    async def run_attempt(self, attempt: Attempt, resumed: Resumed | None = None) -> None:
+    async def run_attempt(self, attempt: Attempt, resumed: AdoptedStream | None = None) -> None:
         """One attempt from connection to end, or the rest of one; however it ends, the core is
         told.
         """
         wire: HttpConnection | None = resumed.wire if resumed else None
         status, note, reason, written, written_us = AttemptStatus.UNREACHABLE, 0, "", False, 0
-        handed_over = False
+        migrated = False
         try:
             if resumed is not None:
                 written = True
                 status, note, reason = await self._resume(resumed, attempt)
                 return
-            if self._wary(attempt) or (wire := self._reuse()) is None:
+            if self._avoids_reuse(attempt) or (wire := self._take_idle()) is None:
                 wire = await self._open(
                     self.core.preconditions.connect_timeout_us(attempt.request, self.connect_us)
                 )
@@ -227,7 +243,7 @@
                 status, reason = AttemptStatus.NOT_SENT, why
             else:
                 self._write_head(wire, attempt)
-                if wire.writer.is_closing():  # the first write failed, so nothing has left
+                if wire.writer.is_closing():  # the first write failed, so nothing has removed
                     raise ConnectionResetError("closed before it was written")
                 # Guards against a refusal of what has run: while the rest is being flushed its last
                 # byte may
@@ -236,27 +252,27 @@
                 self.core.reservations.attempt_begun(attempt, wire.acknowledged)
                 await wire.flush()
                 self.core.outcomes.request_sent(attempt)
-                status, note, reason = await self._answer(wire, attempt)
-        except HandedOver:
-            handed_over = True
+                status, note, reason = await self._receive_response(wire, attempt)
+        except StreamMigrated:
+            migrated = True
         except (
             ResourceShortageError
-        ) as problem:  # guards against a replica blamed for what is lacking here
-            status, reason = AttemptStatus.NOT_SENT, str(problem)
-        except Spoilt as problem:
-            status, note, reason = AttemptStatus.RESET, STATE_LOST, f"spoilt: {problem}"
-        except (HttpError, OSError, TimeoutError) as problem:
+        ) as error:  # guards against a replica blamed for what is lacking here
+            status, reason = AttemptStatus.NOT_SENT, str(error)
+        except CorruptResponseError as error:
+            status, note, reason = AttemptStatus.RESET, STATE_LOST, f"spoilt: {error}"
+        except (HttpError, OSError, TimeoutError) as error:
             # Only what is proven never to have been sent may be called unreachable.
             status, reason = (
                 AttemptStatus.RESET if written else AttemptStatus.UNREACHABLE,
-                str(problem) or "no connection",
+                str(error) or "no connection",
             )
             now_us = self.core.clock.now_us()
             if (
                 written
                 and wire is not None
-                and wire.kept_us >= 0
-                and now_us - written_us < KEPT_BROKE_US
+                and wire.idle_us >= 0
+                and now_us - written_us < REUSED_BREAK_WINDOW_US
             ):
                 note = IDLE_CONNECTION_BROKE
         except asyncio.CancelledError:
@@ -268,20 +284,20 @@
         finally:
             if wire is not None:
                 # closed unless it is whole and clean
-                self._give_back(wire, status is AttemptStatus.COMPLETED)
-                if written and wire.kept_us >= 0:
-                    self.budget.met(
+                self._return_connection(wire, status is AttemptStatus.COMPLETED)
+                if written and wire.idle_us >= 0:
+                    self.budget.record_reuse(
                         self.core.clock.now_us(),
                         note == IDLE_CONNECTION_BROKE and status is AttemptStatus.RESET,
                     )
-                if reason and wire.kept_us >= 0:
-                    reason += f" (kept for {wire.kept_us // 1000} ms)"
-            if handed_over:
+                if reason and wire.idle_us >= 0:
+                    reason += f" (kept for {wire.idle_us // 1000} ms)"
+            if migrated:
                 self.core.outcomes.stream_migrated(attempt)
             else:
                 self.core.outcomes.attempt_ended(attempt, status, note, reason)
 
-    def _wary(self, attempt: Attempt) -> bool:
+    def _avoids_reuse(self, attempt: Attempt) -> bool:
         """Guards against bookings lost and attempts spent where kept connections break when used
         again.
         """
@@ -289,8 +305,8 @@
             attempt.may_generate
             and self.core.idempotency_of(attempt.request) is not Idempotency.IDEMPOTENT
         )
-        return self.budget.risk_at(self.core.clock.now_us()) > (
-            RISK_BOOKING if booking else RISK_ANY
+        return self.budget.break_rate_at(self.core.clock.now_us()) > (
+            MAX_BREAK_RATE_NON_IDEMPOTENT if booking else MAX_BREAK_RATE
         )
 
     def _write_head(self, wire: HttpConnection, attempt: Attempt) -> None:
@@ -305,19 +321,21 @@
         head = h11.Request(method=payload.method, target=payload.target, headers=headers)
         wire.write(head, h11.Data(data=payload.body), h11.EndOfMessage())
 
-    async def _answer(
+    async def _receive_response(
         self, wire: HttpConnection, attempt: Attempt
     ) -> tuple[AttemptStatus, int, str]:
         incoming = ResponseReader(wire, self.wheel)
-        return await self._or_spoilt(attempt, incoming, self._read_answer(incoming, attempt))
+        return await self._flag_corrupt(attempt, incoming, self._read_response(incoming, attempt))
 
-    async def _resume(self, resumed: Resumed, attempt: Attempt) -> tuple[AttemptStatus, int, str]:
+    async def _resume(
+        self, resumed: AdoptedStream, attempt: Attempt
+    ) -> tuple[AttemptStatus, int, str]:
         incoming = ResponseReader(resumed.wire, self.wheel)
         incoming.begun = incoming.chunked = True
-        rest = self._pass_on(incoming, attempt, resumed.events, True)
-        return await self._or_spoilt(attempt, incoming, rest)
+        rest = self._relay_events(incoming, attempt, resumed.events, True)
+        return await self._flag_corrupt(attempt, incoming, rest)
 
-    async def _or_spoilt(
+    async def _flag_corrupt(
         self,
         attempt: Attempt,
         incoming: ResponseReader,
@@ -325,16 +343,16 @@
     ) -> tuple[AttemptStatus, int, str]:
         try:
             return await answer
-        except HttpError as problem:
+        except HttpError as error:
             # Noise, or a break within the answer, proves that the request has run; silence proves
             # nothing.
             if incoming.begun:
-                raise Spoilt(str(problem)) from problem
+                raise CorruptResponseError(str(error)) from error
             raise
         finally:
             attempt.delivered = attempt.delivered or incoming.begun
 
-    async def _read_answer(
+    async def _read_response(
         self, incoming: ResponseReader, attempt: Attempt
     ) -> tuple[AttemptStatus, int, str]:
         head = await incoming.next()
@@ -344,7 +362,7 @@
             raise HttpError("closed without an answer")
         self.answered_us = self.core.clock.now_us()
         if head.status_code == 200:
-            return await self._stream(incoming, attempt, head)
+            return await self._relay_stream(incoming, attempt, head)
         text = b""
         while isinstance(part := await incoming.next(), bytes):
             text += part
@@ -359,37 +377,37 @@
             return AttemptStatus.OVERLOADED, 1, "no state"
         if head.status_code in (503, 504) and not_run:
             return AttemptStatus.OVERLOADED, 0, f"status {head.status_code}"
-        if 400 <= head.status_code < 500 and head.status_code not in MAY_PASS:
+        if 400 <= head.status_code < 500 and head.status_code not in RETRYABLE_STATUSES:
             return AttemptStatus.INVALID_REQUEST, 0, f"status {head.status_code}"
         return AttemptStatus.ERROR, 0, f"status {head.status_code}"
 
-    async def _stream(
+    async def _relay_stream(
         self, incoming: ResponseReader, attempt: Attempt, head: h11.Response
     ) -> tuple[AttemptStatus, int, str]:
         """Pass whole events on as they come; served only if the stream is whole."""
         if not (header(head, b"content-type") or b"").lower().startswith(b"text/event-stream"):
             raise HttpError("not a stream of events")
-        return await self._pass_on(incoming, attempt, EventSplitter(), framed(head))
+        return await self._relay_events(incoming, attempt, EventSplitter(), is_framed(head))
 
-    async def _pass_on(
+    async def _relay_events(
         self, incoming: ResponseReader, attempt: Attempt, events: EventSplitter, whole_at_end: bool
     ) -> tuple[AttemptStatus, int, str]:
         client = attempt.request.client
         turn = LoopTurn(self.core.clock)
         while True:
-            heirs = self.heirs()
+            successor = self.successor()
             if (
-                heirs is not None
+                successor is not None
                 and attempt.committed
-                and await heirs.take(attempt, incoming, events)
+                and await successor.migrate(attempt, incoming, events)
             ):
-                raise HandedOver
+                raise StreamMigrated
             try:
-                part = await self._next(
+                part = await self._next_part(
                     incoming,
                     STREAM_STALL_TIMEOUT_US if attempt.committed else FIRST_EVENT_TIMEOUT_US,
                 )
-            except Nudged:
+            except WaitInterrupted:
                 continue
             if isinstance(part, bytes):
                 # Guards against noise that commits the request: only whole events reach the client.
@@ -399,7 +417,7 @@
                     raise HttpError("nobody waits for this stream")
                 # a client that takes nothing holds no replica for ever
                 turn.begin_step()
-                async with self.wheel.limit(TAKE_US):
+                async with self.wheel.limit(CLIENT_WRITE_TIMEOUT_US):
                     await client.forward(whole)
                 await turn.end_step()
             elif isinstance(part, h11.EndOfMessage):
@@ -410,23 +428,23 @@
             else:
                 raise HttpError("ended within the stream")
 
-    async def _next(self, incoming: ResponseReader, quiet_us: int) -> Part:
+    async def _next_part(self, incoming: ResponseReader, silence_us: int) -> Part:
         self.streams.add(incoming)
         try:
-            return await incoming.next(quiet_us)
+            return await incoming.next(silence_us)
         finally:
             self.streams.discard(incoming)
 
     async def check_health(self) -> None:
         began_us, ok, wire = self.core.clock.now_us(), False, None
         try:
-            async with self.wheel.limit(PROBE_US):
-                wire = self._reuse() or await self._open()
+            async with self.wheel.limit(HEALTH_CHECK_TIMEOUT_US):
+                wire = self._take_idle() or await self._open()
                 if (
                     self.name in self.core.endpoints.excluded
                 ):  # taken out while the connection was coming up
                     return
-                wire.write(request(b"GET", b"/health/live"), h11.EndOfMessage())
+                wire.write(build_request(b"GET", b"/health/live"), h11.EndOfMessage())
                 head = await wire.next_event()
                 if isinstance(head, h11.Response):
                     await read_body(wire)
@@ -438,17 +456,17 @@
             ok = False
         finally:
             if wire is not None:
-                self._give_back(wire)
+                self._return_connection(wire)
         self.core.tell(HealthCheckResult(self.name, ok, self.core.clock.now_us() - began_us))
 
-    async def let_go(self, request_id: str) -> bool:
+    async def release_lease(self, request_id: str) -> bool:
         """Ask this replica to release all that is held; True once it has answered."""
         wire: HttpConnection | None = None
         try:
-            async with self.wheel.limit(LEASE_TRY_US):
-                wire = self._reuse() or await self._open()
+            async with self.wheel.limit(LEASE_RELEASE_TIMEOUT_US):
+                wire = self._take_idle() or await self._open()
                 target = b"/kv/leases/" + request_id.encode("ascii")
-                wire.write(request(b"DELETE", target), h11.EndOfMessage())
+                wire.write(build_request(b"DELETE", target), h11.EndOfMessage())
                 head = await wire.next_event()
                 if not isinstance(head, h11.Response):
                     return False
@@ -459,15 +477,15 @@
             return False
         finally:
             if wire is not None:
-                self._give_back(wire)
+                self._return_connection(wire)
 
 
-def keep_us(idle_us: int) -> int:
+def max_idle_us(idle_us: int) -> int:
     """How long an idle connection is used, where the replica closes it after ``idle_us``."""
     return max(0, idle_us - IDLE_MARGIN_US)
 
 
-def request(method: bytes, target: bytes) -> h11.Request:
+def build_request(method: bytes, target: bytes) -> h11.Request:
     return h11.Request(method=method, target=target, headers=[(b"host", b"backend.local")])
 
 
@@ -479,7 +497,7 @@
         return 0
 
 
-def passed_on(headers: Iterable[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
+def forwarded_headers(headers: Iterable[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
     """The headers that go on to a replica: all but those of the one connection and the client's
     deadline.
     """
--- a/onyxpass/net/request_parser.py
+++ b/onyxpass/net/request_parser.py
@@ -9,11 +9,11 @@
 from onyxpass.net.http import BODY_LIMIT, HttpError, header
 from onyxpass.scheduling import contract
 
-NUMBER_MOST = 2**53
-WAIT_MOST = 10  # times its class's usual time that a client may wait
-HINT_MOST_US = 3_600_000_000
-NAME_MOST = 512
-SINGLE = (
+MAX_NUMBER = 2**53
+MAX_WAIT_MULTIPLE = 10  # times its class's usual time that a client may wait
+MAX_HINT_US = 3_600_000_000
+MAX_HEADER_BYTES = 512
+SINGLE_VALUE_HEADERS = (
     b"x-request-id",
     b"x-priority-class",
     b"x-route-key",
@@ -21,19 +21,19 @@
     b"x-attrs",
     b"x-tenant-id",
 )
-ID = re.compile(rb"[A-Za-z0-9._~-]{1,128}\Z")
+REQUEST_ID_PATTERN = re.compile(rb"[A-Za-z0-9._~-]{1,128}\Z")
 
 
 class BadRequest(ValueError):
     """A request that lacks something or says it in a form that is not allowed."""
 
 
-def whole_number(text: bytes | str | None, name: str, fallback: int | None = None) -> int:
+def parse_integer(text: bytes | str | None, name: str, fallback: int | None = None) -> int:
     if text is None or len(text) == 0:
         if fallback is None:
             raise BadRequest(f"{name} is absent")
         return fallback
-    if not text.isdigit() or len(text) > 16 or not text.isascii() or int(text) > NUMBER_MOST:
+    if not text.isdigit() or len(text) > 16 or not text.isascii() or int(text) > MAX_NUMBER:
         raise BadRequest(f"{name} is not a whole number")
     return int(text)
 
@@ -82,39 +82,42 @@
     """The request's headers in the module's words. ``size``: of its body, which bounds its
     prompt.
     """
-    named = {bytes(k): bytes(v) for k, v in head.headers}
-    for name in SINGLE:
+    headers = {bytes(k): bytes(v) for k, v in head.headers}
+    for name in SINGLE_VALUE_HEADERS:
         # guards against two readings of one request
         if sum(k == name for k, _ in head.headers) > 1:
             raise BadRequest(f"{name.decode()} stands there twice")
-    if any(len(named.get(name, b"")) > NAME_MOST for name in SINGLE):
+    if any(len(headers.get(name, b"")) > MAX_HEADER_BYTES for name in SINGLE_VALUE_HEADERS):
         # guards against names that fill the module's tables
         raise BadRequest("a header is too long")
-    request_id = named.get(b"x-request-id", b"")
-    if not ID.match(request_id):
+    request_id = headers.get(b"x-request-id", b"")
+    if not REQUEST_ID_PATTERN.match(request_id):
         raise BadRequest("X-Request-ID is absent or not an id")
-    attrs = read_attrs(named.get(b"x-attrs"))
-    traffic_class = named.get(b"x-priority-class", b"").decode("latin-1")
-    if (most_us := core.deadlines.get(traffic_class)) is None:
+    attrs = read_attrs(headers.get(b"x-attrs"))
+    traffic_class = headers.get(b"x-priority-class", b"").decode("latin-1")
+    if (class_deadline_us := core.deadlines.get(traffic_class)) is None:
         raise BadRequest("no such class")
-    wait_us = whole_number(named.get(b"x-timeout-ms"), "X-Timeout-Ms", most_us // 1000) * 1000
-    wait_us = min(wait_us, WAIT_MOST * most_us)
-    hint = named.get(b"x-cost")
-    retried = named.get(b"x-retried", b"")
+    wait_us = (
+        parse_integer(headers.get(b"x-timeout-ms"), "X-Timeout-Ms", class_deadline_us // 1000)
+        * 1000
+    )
+    wait_us = min(wait_us, MAX_WAIT_MULTIPLE * class_deadline_us)
+    hint = headers.get(b"x-cost")
+    retried = headers.get(b"x-retried", b"")
     text_id = request_id.decode("ascii")
     return text_id, contract.Arrival(
         id=core.registry.allocate_number(text_id),
         traffic_class=traffic_class,
-        session=named.get(b"x-route-key", b"").decode("latin-1") or text_id,
+        session=headers.get(b"x-route-key", b"").decode("latin-1") or text_id,
         deadline_us=arrived_us + wait_us - ANSWER_MARGIN_US,
         # Guards against lengths that make the module believe that servers are full: a token has a
         # character.
-        prompt_tokens=min(size, whole_number(attrs.get("prompt_len"), "prompt_len", 0)),
-        max_tokens=min(BODY_LIMIT, whole_number(attrs.get("max_out"), "max_out", 0)),
+        prompt_tokens=min(size, parse_integer(attrs.get("prompt_len"), "prompt_len", 0)),
+        max_tokens=min(BODY_LIMIT, parse_integer(attrs.get("max_out"), "max_out", 0)),
         prefix=attrs.get("prefix") or None,
-        prefix_tokens=min(size, whole_number(attrs.get("prefix_len"), "prefix_len", 0)),
-        tenant=named.get(b"x-tenant-id", b"").decode("latin-1") or None,
-        hint_us=min(HINT_MOST_US, whole_number(hint, "X-Cost")) if hint else None,
+        prefix_tokens=min(size, parse_integer(attrs.get("prefix_len"), "prefix_len", 0)),
+        tenant=headers.get(b"x-tenant-id", b"").decode("latin-1") or None,
+        hint_us=min(MAX_HINT_US, parse_integer(hint, "X-Cost")) if hint else None,
         is_retry=retried == b"1",
         resumed=retried == b"again",
     )
--- a/onyxpass/net/stream_migration.py
+++ b/onyxpass/net/stream_migration.py
@@ -2,7 +2,7 @@
 connections.
 
 The old process offers a stream between two whole chunks, with nothing half read or half written and
-reading paused. The new one says that it could go on with it; only then is it told to, and the old
+reading paused. The new one says that it could go on with it; only then is it fields to, and the old
 one lets go. Nothing goes out again to a replica, and whatever fails before that word leaves the
 stream where it was.
 """
@@ -24,39 +24,39 @@
 from onyxpass.net.front import Front
 from onyxpass.net.http import HttpConnection
 from onyxpass.net.listen import Listener
-from onyxpass.net.replica import Resumed
+from onyxpass.net.replica import AdoptedStream
 from onyxpass.net.replicas import Replicas
 from onyxpass.net.response_reader import EventSplitter, ResponseReader
 from onyxpass.net.unix import short_socket_path
 from onyxpass.scheduling import contract
 
 VERSION = 2  # of the message; one that is not among those known is turned down
-OWN_CLOCK_VERSION = 1  # told times on its process's own clock, which others need not share
-MESSAGE_MOST = 64 * 1024
-TURNS = 4  # streams on their way at once
-FAILURES = 8  # offers in vain, till no more are made
-OFFER_US = 300_000  # from the offer to the other process's word
+LOCAL_CLOCK_VERSION = 1  # fields times on its process's own clock, which others need not share
+MAX_MESSAGE_BYTES = 64 * 1024
+MAX_CONCURRENT_OFFERS = 4  # streams on their way at once
+MAX_FAILED_OFFERS = 8  # offers in vain, till no more are made
+OFFER_TIMEOUT_US = 300_000  # from the offer to the other process's word
 BACKLOG = 64
-TIMES = ("deadline_us", "arrived_us", "sent_us")
-WILLING, GO = b"1", b"2"
+TIME_FIELDS = ("deadline_us", "arrived_us", "sent_us")
+ACCEPTED, CONFIRMED = b"1", b"2"
 log = structlog.get_logger("succession")
 
 
-def describe(attempt: Attempt, rest: bytes, keeps: bool, clock: Clock) -> bytes:
+def encode_stream(attempt: Attempt, rest: bytes, keep_alive: bool, clock: Clock) -> bytes:
     """What the other process needs to know of a stream besides its two connections.
 
     Times are those of the monotonic clock, which all processes of a machine share and nobody sets.
     """
     request = attempt.request
-    asked = request.arrival
-    told = {
+    arrival = request.arrival
+    fields = {
         "version": VERSION,
         "id": request.id,
-        "cls": asked.traffic_class,
-        "session": asked.session,
-        "deadline_us": clock.monotonic_us(asked.deadline_us),
-        "prompt_tokens": asked.prompt_tokens,
-        "max_tokens": asked.max_tokens,
+        "cls": arrival.traffic_class,
+        "session": arrival.session,
+        "deadline_us": clock.monotonic_us(arrival.deadline_us),
+        "prompt_tokens": arrival.prompt_tokens,
+        "max_tokens": arrival.max_tokens,
         "arrived_us": clock.monotonic_us(request.arrived_us),
         "n": attempt.number,
         "server": attempt.server,
@@ -65,9 +65,9 @@
         "parts": attempt.event_count,
         "gap_us": attempt.longest_gap_us,
         "rest": rest.decode("latin-1"),
-        "keeps": keeps,
+        "keeps": keep_alive,
     }
-    return json.dumps(told).encode()
+    return json.dumps(fields).encode()
 
 
 class StreamSender:
@@ -75,29 +75,35 @@
 
     def __init__(self, path: Path, core: RequestDispatcher) -> None:
         self.path, self.core, self.wheel = path, core, core.wheel
-        self.turns = asyncio.Semaphore(TURNS)
+        self.offer_slots = asyncio.Semaphore(MAX_CONCURRENT_OFFERS)
         self.failures = 0
 
-    async def take(self, attempt: Attempt, incoming: ResponseReader, events: EventSplitter) -> bool:
+    async def migrate(
+        self, attempt: Attempt, incoming: ResponseReader, events: EventSplitter
+    ) -> bool:
         """True: the stream is the other process's, and nothing of it may be touched here any
         more.
         """
         client = attempt.request.client
-        if not isinstance(client, HttpClient) or not client.begun:
+        if not isinstance(client, HttpClient) or not client.stream_begun:
             return False
-        if self.failures >= FAILURES:  # guards against streams held up by offers that nobody takes
+        if (
+            self.failures >= MAX_FAILED_OFFERS
+        ):  # guards against streams held up by offers that nobody takes
             return False
-        async with self.turns:
+        async with self.offer_slots:
             wires = (client.wire, incoming.wire)
             if (
                 attempt.stop_status
                 or client.done.is_set()
-                or not incoming.between
-                or not all(map(quiet, wires))
+                or not incoming.at_chunk_boundary
+                or not all(map(is_quiescent, wires))
             ):
                 return False
-            message = describe(attempt, events.partial_event, client.keeps, self.core.clock)
-            if len(message) > MESSAGE_MOST:
+            message = encode_stream(
+                attempt, events.partial_event, client.keep_alive, self.core.clock
+            )
+            if len(message) > MAX_MESSAGE_BYTES:
                 return False
             for wire in wires:  # what comes from now on is for the one who goes on
                 wire.writer.transport.pause_reading()  # type: ignore[attr-defined]
@@ -105,13 +111,13 @@
             try:
                 held = [wire.writer.get_extra_info("socket").fileno() for wire in wires]
                 taken = await self._offer(message, held)
-            except (OSError, TimeoutError) as problem:
+            except (OSError, TimeoutError) as error:
                 log.warning(
-                    "stream_not_migrated", id=attempt.request.id, why=str(problem) or "no answer"
+                    "stream_not_migrated", id=attempt.request.id, why=str(error) or "no answer"
                 )
             finally:
                 if taken:
-                    client.leave()
+                    client.detach()
                 else:
                     self.failures += 1
                     for wire in wires:
@@ -124,15 +130,15 @@
             with short_socket_path(self.path) as path:
                 sock.connect(path)
             socket.send_fds(sock, [message], descriptors)
-            async with self.wheel.limit(OFFER_US):
+            async with self.wheel.limit(OFFER_TIMEOUT_US):
                 answer = await asyncio.get_running_loop().sock_recv(sock, 1)
-            if answer != WILLING:
+            if answer != ACCEPTED:
                 return False
-            sock.send(GO)
+            sock.send(CONFIRMED)
             return True
 
 
-def quiet(wire: HttpConnection) -> bool:
+def is_quiescent(wire: HttpConnection) -> bool:
     """Whether nothing is half done on it: all that was read is used, all that was written has
     left.
     """
@@ -158,37 +164,37 @@
                 sock.bind(path)
             sock.listen(BACKLOG)
         # guards against a start that fails for what is only needed at an upgrade
-        except OSError as problem:
-            log.error("stream_receiver_unavailable", why=str(problem))
+        except OSError as error:
+            log.error("stream_receiver_unavailable", why=str(error))
             sock.close()
             await asyncio.Event().wait()
         listener = Listener(sock)
         try:
             while True:
                 offer = await listener.accept()
-                task = asyncio.create_task(self._hear(offer))
+                task = asyncio.create_task(self._handle_offer(offer))
                 self.tasks.add(task)
                 task.add_done_callback(self.tasks.discard)
         finally:
             listener.close()
             self.path.unlink(missing_ok=True)
 
-    async def _hear(self, offer: socket.socket) -> None:
+    async def _handle_offer(self, offer: socket.socket) -> None:
         loop, held = asyncio.get_running_loop(), list[socket.socket]()
         offer.setblocking(False)
         try:
-            async with self.wheel.limit(OFFER_US):
-                message, descriptors = await receive(offer)
+            async with self.wheel.limit(OFFER_TIMEOUT_US):
+                message, descriptors = await receive_offer(offer)
                 held = [socket.socket(fileno=number) for number in descriptors]
-                stream = self._read(message, held)
-                offer.send(WILLING)
-                if await loop.sock_recv(offer, 1) != GO:
+                stream = self._decode_stream(message, held)
+                offer.send(ACCEPTED)
+                if await loop.sock_recv(offer, 1) != CONFIRMED:
                     raise ValueError("taken back")
             client, replica = held
             held = []
-            await self._go_on(stream, client, replica)
-        except (OSError, TimeoutError, ValueError, KeyError, TypeError, RecursionError) as problem:
-            log.warning("stream_offer_rejected", why=str(problem) or "no word")
+            await self._adopt(stream, client, replica)
+        except (OSError, TimeoutError, ValueError, KeyError, TypeError, RecursionError) as error:
+            log.warning("stream_offer_rejected", why=str(error) or "no word")
         except Exception:
             log.exception("stream_migration_crashed")
         finally:
@@ -196,13 +202,13 @@
                 sock.close()
             offer.close()
 
-    def _read(self, message: bytes, held: list[socket.socket]) -> dict[str, Any]:
-        told: Any = json.loads(message)
-        known = isinstance(told, dict) and told["version"] in (VERSION, OWN_CLOCK_VERSION)
+    def _decode_stream(self, message: bytes, held: list[socket.socket]) -> dict[str, Any]:
+        fields: Any = json.loads(message)
+        known = isinstance(fields, dict) and fields["version"] in (VERSION, LOCAL_CLOCK_VERSION)
         if not known or len(held) != 2:
             raise ValueError("not a stream that this version knows")
         for name in ("id", "cls", "session", "server", "rest"):
-            if not isinstance(told[name], str):
+            if not isinstance(fields[name], str):
                 raise ValueError(f"{name} is no text")
         for name in (
             "deadline_us",
@@ -213,52 +219,54 @@
             "sent_us",
             "first_us",
         ):
-            if type(told[name]) is not int or told[name] < 0:
+            if type(fields[name]) is not int or fields[name] < 0:
                 raise ValueError(f"{name} is no number")
-        if told["version"] != OWN_CLOCK_VERSION:
-            for name in TIMES:
-                told[name] = self.core.clock.at_us(told[name] * 1000)
-        told["rest"].encode("latin-1")
-        if told["id"] in self.core.registry.by_id:  # guards against two answers under one id
+        if fields["version"] != LOCAL_CLOCK_VERSION:
+            for name in TIME_FIELDS:
+                fields[name] = self.core.clock.at_us(fields[name] * 1000)
+        fields["rest"].encode("latin-1")
+        if fields["id"] in self.core.registry.by_id:  # guards against two answers under one id
             raise ValueError("a request with this id is open")
-        return cast("dict[str, Any]", told)
+        return cast("dict[str, Any]", fields)
 
-    async def _go_on(
-        self, told: dict[str, Any], client_sock: socket.socket, sock: socket.socket
+    async def _adopt(
+        self, fields: dict[str, Any], client_sock: socket.socket, sock: socket.socket
     ) -> None:
-        wire = await HttpConnection.over(sock, h11.CLIENT)
+        wire = await HttpConnection.from_socket(sock, h11.CLIENT)
         try:
-            client_wire = await HttpConnection.over(client_sock, h11.SERVER)
+            client_wire = await HttpConnection.from_socket(client_sock, h11.SERVER)
         # guards against a replica kept at work for a client that can't be answered
         except BaseException:
             wire.abort()
             raise
         client = HttpClient(client_wire, lambda: self.front.closing)
-        client.begun, client.keeps = True, bool(told["keeps"])
-        replay(wire, client_wire, client.keeps)
-        asked = contract.Arrival(
-            id=self.core.registry.allocate_number(told["id"]),
-            traffic_class=told["cls"],
-            session=told["session"],
-            deadline_us=told["deadline_us"],
-            prompt_tokens=told["prompt_tokens"],
-            max_tokens=told["max_tokens"],
+        client.stream_begun, client.keep_alive = True, bool(fields["keeps"])
+        restore_http_state(wire, client_wire, client.keep_alive)
+        arrival = contract.Arrival(
+            id=self.core.registry.allocate_number(fields["id"]),
+            traffic_class=fields["cls"],
+            session=fields["session"],
+            deadline_us=fields["deadline_us"],
+            prompt_tokens=fields["prompt_tokens"],
+            max_tokens=fields["max_tokens"],
         )
-        request = Request(told["id"], asked.id, asked, client, None, told["arrived_us"])
-        attempt = Attempt(request, told["n"], told["server"], 0, told["sent_us"], fully_sent=True)
-        attempt.first_event_us, attempt.event_count = told["first_us"], int(told["parts"])
+        request = Request(fields["id"], arrival.id, arrival, client, None, fields["arrived_us"])
+        attempt = Attempt(
+            request, fields["n"], fields["server"], 0, fields["sent_us"], fully_sent=True
+        )
+        attempt.first_event_us, attempt.event_count = fields["first_us"], int(fields["parts"])
         attempt.longest_gap_us, attempt.last_event_us = (
-            int(told["gap_us"]),
+            int(fields["gap_us"]),
             self.core.clock.now_us(),
         )
         self.core.adopt_stream(request, attempt)
         self.front.adopt(client_wire, client, request)
-        rest = EventSplitter(told["rest"].encode("latin-1"))
-        self.replicas.adopt(attempt, Resumed(wire, rest), replica_address(wire))
+        rest = EventSplitter(fields["rest"].encode("latin-1"))
+        self.replicas.adopt(attempt, AdoptedStream(wire, rest), replica_address(wire))
         log.info("stream_adopted", id=request.id, server=attempt.server)
 
 
-async def receive(sock: socket.socket) -> tuple[bytes, list[int]]:
+async def receive_offer(sock: socket.socket) -> tuple[bytes, list[int]]:
     """One message with the descriptors that came with it."""
     loop, ready = asyncio.get_running_loop(), asyncio.Event()
     loop.add_reader(sock.fileno(), ready.set)
@@ -266,7 +274,7 @@
         await ready.wait()
     finally:
         loop.remove_reader(sock.fileno())
-    message, descriptors, _, _ = socket.recv_fds(sock, MESSAGE_MOST, 2)
+    message, descriptors, _, _ = socket.recv_fds(sock, MAX_MESSAGE_BYTES, 2)
     return message, descriptors
 
 
@@ -276,7 +284,7 @@
     return Address(str(name[0]), int(name[1])) if isinstance(name, tuple) else NOWHERE
 
 
-def replay(wire: HttpConnection, client_wire: HttpConnection, keeps: bool) -> None:
+def restore_http_state(wire: HttpConnection, client_wire: HttpConnection, keep_alive: bool) -> None:
     """Bring two fresh h11 machines to where those of the other process are: within a body in
     chunks.
     """
@@ -286,7 +294,7 @@
     wire.h11.next_event()
     client_wire.h11.receive_data(
         b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n%b\r\n"
-        % (b"" if keeps else b"Connection: close\r\n")
+        % (b"" if keep_alive else b"Connection: close\r\n")
     )
     client_wire.h11.next_event()
     client_wire.h11.next_event()
--- a/onyxpass/net/tcp.py
+++ b/onyxpass/net/tcp.py
@@ -7,7 +7,7 @@
 # bytes that the other side has not acknowledged, those not yet sent among them (tcp(7))
 SIOCOUTQ = 0x5411
 TCP_INFO_SIZE = 56  # of struct tcp_info, up to the last field that is read here
-RETRANSMIT_TIMEOUT_AT, LAST_DATA_AT = 8, 52  # its fields tcpi_rto and tcpi_last_data_recv
+RTO_OFFSET, LAST_DATA_OFFSET = 8, 52  # its fields tcpi_rto and tcpi_last_data_recv
 
 
 def tcp_info(sock: socket.socket) -> bytes | None:
@@ -20,16 +20,16 @@
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_SIZE)
     except OSError:
         return None
-    known = len(info) == TCP_INFO_SIZE and struct.unpack_from("=I", info, RETRANSMIT_TIMEOUT_AT)[0]
+    known = len(info) == TCP_INFO_SIZE and struct.unpack_from("=I", info, RTO_OFFSET)[0]
     return info if known else None
 
 
-def silent_ms(sock: socket.socket) -> int | None:
+def ms_since_last_data(sock: socket.socket) -> int | None:
     """How long ago the last data came, or the connection, if none has; None where this can't be
     told.
     """
     info = tcp_info(sock)
-    return int(struct.unpack_from("=I", info, LAST_DATA_AT)[0]) if info is not None else None
+    return int(struct.unpack_from("=I", info, LAST_DATA_OFFSET)[0]) if info is not None else None
 
 
 def acknowledged(sock: socket.socket) -> bool | None:
--- a/onyxpass/net/unix.py
+++ b/onyxpass/net/unix.py
@@ -6,13 +6,13 @@
 from contextlib import contextmanager
 from pathlib import Path
 
-PATH_MOST = 100  # bytes of a socket's path that every system takes
+MAX_PATH_BYTES = 100  # bytes of a socket's path that every system takes
 
 
 @contextmanager
 def short_socket_path(path: Path) -> Iterator[str]:
     """The path of a socket, in a form that is short enough however deep the folder lies."""
-    if len(os.fsencode(path)) <= PATH_MOST:
+    if len(os.fsencode(path)) <= MAX_PATH_BYTES:
         yield str(path)
         return
     folder = os.open(path.parent, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
--- a/tests/test_client_time.py
+++ b/tests/test_client_time.py
@@ -150,13 +150,13 @@
         if len(waiting) < 16 and chance.random() < 0.55:
             client = socket.create_connection(("127.0.0.1", listener.port))
             waiting.append((time.monotonic_ns(), client))
-        elif (taken := listener.take()) is None:
+        elif (taken := listener.accept_nowait()) is None:
             assert not waiting
             empty_ns = time.monotonic_ns()
         else:
             connected_ns, client = waiting.pop(0)
-            assert listener.waited_since_ns <= connected_ns
-            assert listener.waited_since_ns >= empty_ns - 1_000_000 or not empty_ns
+            assert listener.queued_since_ns <= connected_ns
+            assert listener.queued_since_ns >= empty_ns - 1_000_000 or not empty_ns
             held += [taken, client]
     for sock in (*held, *(client for _, client in waiting)):
         sock.close()
@@ -167,7 +167,7 @@
     """As much of a wire as a search for room looks at."""
 
     def __init__(self, unread: bool) -> None:
-        self.unread, self.hung_up, self.pieces = unread, False, 1
+        self.unread, self.hung_up, self.read_count = unread, False, 1
 
 
 def test_what_has_been_read_is_not_closed_for_a_newcomer_and_the_eldest_goes_first() -> None:
@@ -181,7 +181,7 @@
         held.enter(made[1], Stage.OPEN, 10)
         held.enter(made[2], Stage.IDLE, 11)
         order = []
-        while (found := held.take_least_missed(10**9)) is not None:
+        while (found := held.take_displaceable(10**9)) is not None:
             order.append(made.index(found[1]))
         assert order == [3, 4, 5, 2], (
             "new ones before idle ones; never what is unread or being served"
@@ -196,11 +196,11 @@
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
             opened = w.dispatcher.front.connections
             with connected(w) as client:
-                await until(lambda: [c.resting is not None for c in opened.values()] == [True])
+                await until(lambda: [c.wait_limit is not None for c in opened.values()] == [True])
                 (connection,) = opened.values()
                 client.sendall(ask("a1"))
-                assert connection.resting is not None
-                connection.resting.expire()  # before the loop has had a turn to read it
+                assert connection.wait_limit is not None
+                connection.wait_limit.expire()  # before the loop has had a turn to read it
                 assert (await answer(client)).startswith(b"HTTP/1.1 200")
 
     run(go)
@@ -250,13 +250,13 @@
     async def go() -> None:
         ours, theirs = socket.socketpair()
         ours.setblocking(False)
-        wire = await HttpConnection.over(ours, front.h11.SERVER)
+        wire = await HttpConnection.from_socket(ours, front.h11.SERVER)
         assert not wire.unread
         theirs.sendall(b"x")
         assert wire.unread, "in the kernel"
         await asyncio.sleep(0.05)
         assert wire.unread, "in the stream's buffer"
-        await wire.fill()
+        await wire.read_more()
         assert not wire.unread
         wire.abort()
         theirs.close()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -37,7 +37,7 @@
             # as a socket that is inherited arrives
             passed = Listener(socket.socket(fileno=bound.detach()))
             with socket.create_connection(("127.0.0.1", passed.port)):
-                adopted = await HttpConnection.over(await passed.accept(), h11.SERVER)
+                adopted = await HttpConnection.from_socket(await passed.accept(), h11.SERVER)
                 assert not held_back(adopted)
                 adopted.abort()
             passed.close()
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -47,8 +47,8 @@
     actor = w.dispatcher.replicas.actors[name]
     dial = actor._open
 
-    async def held(most_us: int | None = None) -> Any:
-        wire = await dial(most_us)
+    async def held(timeout_us: int | None = None) -> Any:
+        wire = await dial(timeout_us)
         up.set()
         await go_on.wait()
         return wire
@@ -119,8 +119,8 @@
             up, go_on = asyncio.Event(), asyncio.Event()
             for peer in w.service.peers.actors.values():  # type: ignore[attr-defined]
 
-                async def held(most_us: int | None = None, dial: Any = peer._open) -> Any:
-                    streams = await dial(most_us)
+                async def held(timeout_us: int | None = None, dial: Any = peer._open) -> Any:
+                    streams = await dial(timeout_us)
                     up.set()
                     await go_on.wait()
                     return streams
@@ -142,7 +142,7 @@
 # Closing
 
 
-async def resting(w: World) -> socket.socket:
+async def idle_limit(w: World) -> socket.socket:
     """A client that has had its answer and keeps its connection."""
     client = raw(w, ask("a1"))
     assert b"[DONE]" in await received(client, b"\r\n0\r\n\r\n")
@@ -155,7 +155,7 @@
 ):
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
-            client = await resting(w)
+            client = await idle_limit(w)
             w.dispatcher.front.close_idle()
             assert await received(client) == b"", "its end is seen"
             client.setblocking(True)
@@ -170,7 +170,7 @@
 def test_a_request_that_is_there_as_its_idle_connection_is_closed_is_answered() -> None:
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
-            client = await resting(w)
+            client = await idle_limit(w)
             client.setblocking(True)
             client.sendall(ask("a2"))
             w.dispatcher.front.closing = True
@@ -365,9 +365,9 @@
     async def go() -> None:
         async with test_toolcalls.world(test_toolcalls.st.say("x")) as w:
             service = w.service  # type: ignore[attr-defined]
-            resting = await w.client()
-            resting.generate(1)
-            assert "result" in await resting.response(1)
+            idle_limit = await w.client()
+            idle_limit.generate(1)
+            assert "result" in await idle_limit.response(1)
             stopping = asyncio.create_task(service.front.stop())
             await until(lambda: service.front.closing)
             call = {"jsonrpc": "2.0", "id": 1, "method": "ping"}
@@ -384,7 +384,7 @@
                 client.sendall(json.dumps(call).encode() * 20 + b"\n")
                 assert await received(client) == b"", "ended, and not reset"
                 client.close()
-            await resting.stop()
+            await idle_limit.stop()
             await stopping
 
     run(go)
--- a/tests/test_crossings_list.py
+++ b/tests/test_crossings_list.py
@@ -79,7 +79,7 @@
     play: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def go() -> None:
-        monkeypatch.setattr(endpoint_watcher, "SILENT_MS", 60.0)
+        monkeypatch.setattr(endpoint_watcher, "WATCH_SILENCE_TIMEOUT_MS", 60.0)
         async with world([Replica(READ)], [Replica(STREAM)], discovery=Scripted(play)) as w:
             await until(lambda: len(w.discovery.asked) >= 4)
 
@@ -90,8 +90,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def go() -> None:
-        monkeypatch.setattr(poll_schedule, "ANSWER_MS", 40.0)
-        monkeypatch.setattr(poll_schedule, "ANSWER_MOST_MS", 40.0)
+        monkeypatch.setattr(poll_schedule, "RESPONSE_TIMEOUT_MS", 40.0)
+        monkeypatch.setattr(poll_schedule, "MAX_RESPONSE_TIMEOUT_MS", 40.0)
 
         async def slow_head(
             d: Scripted, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -165,7 +165,7 @@
             found = [
                 m for at in range(0, len(text), size) for m in lines.feed(text[at : at + size])
             ]
-            assert found == made and lines.ended == text.count(b"\n")
+            assert found == made and lines.line_count == text.count(b"\n")
     for broken in (b'{"seq": 1,\n\n', b"[]\n", b"x\n", b'{"seq": }\n', b"{" + b" " * 4096):
         with pytest.raises((EndpointListError, ValueError)):
             JsonObjectSplitter(4000).feed(broken)
@@ -186,13 +186,13 @@
             for health, host in (("active", 0), ("leaving", 1)):
                 old = {**d.hosts[host], "health": health}
                 actor.receive(
-                    DiscoveryUpdate({"seq": 90, "whole": False, "hosts": [old]}, actor.era - 1)
+                    DiscoveryUpdate({"seq": 90, "whole": False, "hosts": [old]}, actor.epoch - 1)
                 )
             assert not w.dispatcher.core.endpoints.accepts_new_work("r0"), (
                 "the new address knows better"
             )
             assert not w.dispatcher.core.endpoints.accepts_new_work("r1"), "told is told"
-            actor.receive(DiscoveryUpdate({"seq": 91, "whole": True, "hosts": []}, actor.era - 1))
+            actor.receive(DiscoveryUpdate({"seq": 91, "whole": True, "hosts": []}, actor.epoch - 1))
             assert len(w.dispatcher.core.endpoints.by_id) == 3 and actor.seq == 7
             await new.stop()
 
@@ -258,8 +258,8 @@
             core, chosen = w.dispatcher.core, []
             dial = w.dispatcher.replicas.actors["r0"]._open.__func__  # type: ignore[attr-defined]
 
-            async def drained_meanwhile(actor: Any, most_us: int | None = None) -> Any:
-                wire = await dial(actor, most_us)
+            async def drained_meanwhile(actor: Any, timeout_us: int | None = None) -> Any:
+                wire = await dial(actor, timeout_us)
                 if not chosen:
                     chosen.append(actor.name)
                     port = w.readers[int(actor.name[1])].address
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -66,7 +66,7 @@
             deduplication_window_us = KEYED.classes[0].deduplication_window_us
             for actor in (w.dispatcher.replicas.actors[name] for name in ("w0", "w1")):
 
-                async def slow(most_us: int | None = None, dial: Any = actor._open) -> Any:
+                async def slow(timeout_us: int | None = None, dial: Any = actor._open) -> Any:
                     wire = await dial(None)
                     dials.append(core.clock.now_us())
                     # the repeat was chosen in time, and its connection comes up late
@@ -141,7 +141,7 @@
 def test_a_second_answer_that_comes_late_never_answers_the_next_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(net_replica, "REST_US", 60 * S)
+    monkeypatch.setattr(net_replica, "REUSE_DELAY_US", 60 * S)
 
     async def go() -> None:
         wrong = b'data: {"wrong":1}\n\n'
@@ -177,14 +177,14 @@
 
 
 def test_a_connection_that_has_rested_is_used_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(net_replica, "REST_US", 1_000)
+    monkeypatch.setattr(net_replica, "REUSE_DELAY_US", 1_000)
 
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
             now_us, actor = w.dispatcher.clock.now_us, w.dispatcher.replicas.actors["w0"]
             for n in range(3):
                 assert b"HTTP/1.1 200" in await w.ask(f"a{n}")
-                await until(lambda: all(now_us() >= idle.ready_us for idle in actor.idle))
+                await until(lambda: all(now_us() >= idle.reusable_us for idle in actor.idle))
             assert w.writers[0].connections == 1
 
     run(go)
@@ -228,7 +228,7 @@
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
             replicas, asked = w.dispatcher.replicas, asyncio.Event()
             most, replicas.budget.limit = replicas.budget.limit, 0
-            tries, let_go = [], replicas._let_go
+            tries, let_go = [], replicas._release_lease
 
             async def counted(name: str, request_id: str) -> bool:
                 tries.append(name)
@@ -236,7 +236,7 @@
                     asked.set()
                 return await let_go(name, request_id)
 
-            replicas._let_go = counted  # type: ignore[method-assign]
+            replicas._release_lease = counted  # type: ignore[method-assign]
             request = Request("a1", 1, None, Waits(), None, state_holder="r0")  # type: ignore[arg-type]
             # the time of the test is no matter here
             request.reserved_since_us = w.dispatcher.clock.now_us() + 60 * S
@@ -424,9 +424,9 @@
             actor = w.dispatcher.replicas.actors["r0"]
             open_one, run_attempt = actor._open, actor.run_attempt
 
-            async def slowly(most_us: int | None = None) -> Any:
+            async def slowly(timeout_us: int | None = None) -> Any:
                 await asyncio.sleep(waited_us / S)
-                return await open_one(most_us)
+                return await open_one(timeout_us)
 
             async def carried(attempt: Attempt, resumed: Any = None) -> None:
                 attempts.append(attempt)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -75,7 +75,7 @@
 
 
 def test_connections_are_used_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(net_replica, "REST_US", 0)
+    monkeypatch.setattr(net_replica, "REUSE_DELAY_US", 0)
 
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
@@ -104,7 +104,7 @@
 def test_where_kept_connections_break_bookings_go_out_on_new_ones_and_nobody_is_blamed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(net_replica, "REST_US", 0)
+    monkeypatch.setattr(net_replica, "REUSE_DELAY_US", 0)
 
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM, breaks(), STREAM)]) as w:
@@ -118,15 +118,15 @@
             for i in range(3):
                 assert b"HTTP/1.1 200" in await w.ask(f"c{i}")
             assert writer.connections == 4, "what may be repeated goes out on kept ones"
-            kept = connection_budget.ConnectionBudget(9, risk_us=10**9)
+            kept = connection_budget.ConnectionBudget(9, break_rate_us=10**9)
             for n in range(3):
-                assert (kept.risk_at(10**9) > net_replica.RISK_ANY) == (n == 2), (
+                assert (kept.break_rate_at(10**9) > net_replica.MAX_BREAK_RATE) == (n == 2), (
                     "till they break often"
                 )
-                kept.met(10**9, True)
+                kept.record_reuse(10**9, True)
             assert (
-                kept.risk_at(10**9 + 4 * connection_budget.RISK_HALVES_US)
-                < net_replica.RISK_ANY / 4
+                kept.break_rate_at(10**9 + 4 * connection_budget.BREAK_RATE_HALF_LIFE_US)
+                < net_replica.MAX_BREAK_RATE / 4
             )
 
     run(go)
@@ -173,8 +173,8 @@
             )
             wire.flush = asyncio.Event().wait  # type: ignore[assignment]
             actor = w.dispatcher.replicas.actors["w0"]
-            actor._reuse = lambda: wire  # type: ignore[method-assign]
-            actor._give_back = lambda *_: None  # type: ignore[method-assign]
+            actor._take_idle = lambda: wire  # type: ignore[method-assign]
+            actor._return_connection = lambda *_: None  # type: ignore[method-assign]
             payload = net_replica.Payload(b"POST", b"/", [(b"host", b"x")], b"{}")
             arrival = contract.Arrival(1, "light", "s", w.dispatcher.clock.now_us() + 10**7, 1, 1)
             w.dispatcher.core.invariants.taken("a1", "light", arrival.deadline_us)
@@ -238,7 +238,7 @@
     answered.
     """
     # one ask after the other would not end
-    monkeypatch.setattr(net_replica, "LEASE_TRY_US", 60_000_000)
+    monkeypatch.setattr(net_replica, "LEASE_RELEASE_TIMEOUT_US", 60_000_000)
 
     async def go() -> None:
         async with world(
@@ -346,7 +346,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def go() -> None:
-        monkeypatch.setattr(poll_schedule, "ANSWER_MS", 20.0)
+        monkeypatch.setattr(poll_schedule, "RESPONSE_TIMEOUT_MS", 20.0)
         monkeypatch.setattr(poll_schedule, "BACKOFF_MS", 1)
         slow = Discovery()
         slow.delay_s = 0.1  # five times what it gets at first
@@ -374,7 +374,7 @@
             paused.set()
             return 3_600_000.0
 
-        monkeypatch.setattr(poll_schedule.PollSchedule, "lost_ms", an_hour)
+        monkeypatch.setattr(poll_schedule.PollSchedule, "retry_delay_ms", an_hour)
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
             new = Discovery()
             await new.start()
@@ -402,7 +402,7 @@
             await until(lambda: not old.writers and d.list.seq == 7)
             assert d.list.ready and new.asked[0] == "/registry/instances"
             d.list.receive(
-                DiscoveryUpdate({"seq": 90, "whole": False, "hosts": []}, d.list.era - 1)
+                DiscoveryUpdate({"seq": 90, "whole": False, "hosts": []}, d.list.epoch - 1)
             )
             assert d.list.seq == 7, (
                 "what the old address still had to say counts, its version does not"
@@ -566,24 +566,30 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def go() -> None:
-        monkeypatch.setattr(connections, "SPARED", [(stage, 0) for stage, _ in connections.SPARED])
+        monkeypatch.setattr(
+            connections,
+            "DISPLACEMENT_ORDER",
+            [(stage, 0) for stage, _ in connections.DISPLACEMENT_ORDER],
+        )
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
             text, held = ask("slow", close=True), w.dispatcher.front
 
-            def pieces() -> list[int]:
+            def read_counts() -> list[int]:
                 return sorted(
-                    peer.wire.pieces for peer in held.connections.values() if peer.wire is not None
+                    peer.wire.read_count
+                    for peer in held.connections.values()
+                    if peer.wire is not None
                 )
 
             slow, writer = await w.send(b"")
             for i in range(3):  # the eldest of all, but it keeps coming
                 writer.write(text[20 * i : 20 * (i + 1)])
-                await until(lambda i=i: pieces() == [i + 1])
+                await until(lambda i=i: read_counts() == [i + 1])
             held.max_connections = 4
             crowd = [await w.send(b"POST /v1/chat") for _ in range(12)]
             ended = [asyncio.create_task(reader.read()) for reader, _ in crowd]
             await until(lambda: sum(task.done() for task in ended) == 9)
-            assert pieces() == [1, 1, 1, 3]
+            assert read_counts() == [1, 1, 1, 3]
             writer.write(text[60:])
             assert (await slow.read()).startswith(b"HTTP/1.1 200")
             for _, other in (*crowd, (slow, writer)):
@@ -595,18 +601,18 @@
 
 def test_complaints_are_paced_and_their_lines_counted() -> None:
     clock = Clock()
-    made = bad_request_limiter.Complaints(clock)
-    waits = [made.wait_us() for _ in range(200)]
+    made = bad_request_limiter.BadRequestLimiter(clock)
+    waits = [made.delay_us() for _ in range(200)]
     assert (
         waits[0] == 0
         and waits == sorted(waits)
-        and 900_000 <= waits[-1] <= bad_request_limiter.COMPLAINT_MOST_US
+        and 900_000 <= waits[-1] <= bad_request_limiter.MAX_RESPONSE_DELAY_US
     )
     with structlog.testing.capture_logs() as lines:
         for _ in range(50):
-            made.told(400, "x")
-        made._line_us = 0
-        made.told(400, "x")
+            made.log_rejection(400, "x")
+        made._next_log_us = 0
+        made.log_rejection(400, "x")
     assert [line["n"] for line in lines] == [1, 50]
 
 
@@ -631,7 +637,7 @@
 def test_a_stream_spoilt_before_its_first_event_may_have_run(
     monkeypatch: pytest.MonkeyPatch, text: bytes
 ) -> None:
-    monkeypatch.setattr(response_reader, "PART_US", 100_000)
+    monkeypatch.setattr(response_reader, "PART_TIMEOUT_US", 100_000)
 
     async def go() -> None:
         async with world([Replica(READ)], [Replica(says(text), STREAM)]) as w:
@@ -650,7 +656,7 @@
 def test_a_stream_spoilt_later_is_cut_off_soon(
     monkeypatch: pytest.MonkeyPatch, text: bytes
 ) -> None:
-    monkeypatch.setattr(response_reader, "PART_US", 100_000)
+    monkeypatch.setattr(response_reader, "PART_TIMEOUT_US", 100_000)
 
     async def go() -> None:
         async with world([Replica(READ)], [Replica(says(HEAD + CHUNKS + text))]) as w:
@@ -673,7 +679,7 @@
     text: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # so that the looks at the connection are all there is
-    monkeypatch.setattr(net_replica, "REST_US", 0)
+    monkeypatch.setattr(net_replica, "REUSE_DELAY_US", 0)
 
     async def go() -> None:
         good = text + CHUNKS + b"0\r\n\r\n"
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -10,13 +10,13 @@
 import pytest
 
 from onyxpass.net.poll_schedule import (
-    ANSWER_MOST_MS,
-    BACKOFF_MOST_MS,
-    CONNECT_MS,
-    HEARTBEAT_MS,
-    SILENT_MS,
-    STEADY_MS,
-    TOLD_MS,
+    ACCEPTED_WATCH_MS,
+    CONNECT_TIMEOUT_MS,
+    HEARTBEAT_INTERVAL_MS,
+    MAX_BACKOFF_MS,
+    MAX_RESPONSE_TIMEOUT_MS,
+    MISSED_CHANGES_DEADLINE_MS,
+    WATCH_SILENCE_TIMEOUT_MS,
     PollSchedule,
 )
 
@@ -44,7 +44,7 @@
         heapq.heappush(events, (when_ms, next(order), what, who))
 
     for who, pace in enumerate(paces):
-        first_ms = pace.lost_ms(STEADY_MS) if lost else pace.first_ms()
+        first_ms = pace.retry_delay_ms(ACCEPTED_WATCH_MS) if lost else pace.initial_delay_ms()
         at(first_ms if spread else 0.0, "ask", who)
     while events:
         now_ms, _, what, who = heapq.heappop(events)
@@ -52,14 +52,14 @@
             break
         if what == "ask":
             asked, began[who] = asked + 1, now_ms
-            paces[who].heard()
+            paces[who].line_received()
             if len(queue) >= PLACES:
-                at(now_ms + paces[who].lost_ms(0.0), "ask", who)
+                at(now_ms + paces[who].retry_delay_ms(0.0), "ask", who)
             else:
                 queue.append((who, now_ms))
                 at(now_ms + PATIENCE_MS, "leave", who)
         elif what == "leave" and who not in taken and began[who] + PATIENCE_MS <= now_ms:
-            at(now_ms + paces[who].lost_ms(PATIENCE_MS), "ask", who)
+            at(now_ms + paces[who].retry_delay_ms(PATIENCE_MS), "ask", who)
         elif what == "done":
             busy, (other, since_ms) = False, queue.popleft()
             if now_ms - since_ms < PATIENCE_MS:
@@ -95,22 +95,24 @@
 
 def test_an_agent_is_asked_at_once_and_again_soon() -> None:
     pace = PollSchedule(random.Random(1), False, ROUTERS)
-    assert pace.first_ms() == 0
+    assert pace.initial_delay_ms() == 0
     rows = [
-        [one.lost_ms(0.0) for _ in range(30)]
+        [one.retry_delay_ms(0.0) for _ in range(30)]
         for one in (pace, PollSchedule(random.Random(2), False, ROUTERS))
     ]
-    assert all(0 <= p <= BACKOFF_MOST_MS for row in rows for p in row)
-    assert rows[0] != rows[1] and max(rows[0]) > BACKOFF_MOST_MS / 2 > min(rows[0][6:])
-    pace.heard()
-    assert pace.failures == 0 and pace.lost_ms(0.0) <= 50
+    assert all(0 <= p <= MAX_BACKOFF_MS for row in rows for p in row)
+    assert rows[0] != rows[1] and max(rows[0]) > MAX_BACKOFF_MS / 2 > min(rows[0][6:])
+    pace.line_received()
+    assert pace.failures == 0 and pace.retry_delay_ms(0.0) <= 50
 
 
 def test_pauses_stay_within_what_the_drain_rule_leaves_after_a_failed_call() -> None:
     pace = PollSchedule(random.Random(3), True, 10_000, 10_000.0)
-    assert max(pace.first_ms() for _ in range(200)) <= 8_000
-    assert max(pace.lost_ms(0.0) for _ in range(200)) < 4 * 10_000
-    assert pace.lost_ms(STEADY_MS) <= 8_000, "a watch that was taken on starts the count anew"
+    assert max(pace.initial_delay_ms() for _ in range(200)) <= 8_000
+    assert max(pace.retry_delay_ms(0.0) for _ in range(200)) < 4 * 10_000
+    assert pace.retry_delay_ms(ACCEPTED_WATCH_MS) <= 8_000, (
+        "a watch that was taken on starts the count anew"
+    )
 
 
 @pytest.mark.parametrize("routers", [4, 30, 200])
@@ -121,7 +123,9 @@
     """All of them lose their watches together, and what they miss counts as told soon after."""
     call_ms = 2_000 / routers
     told = told_within(paces(True, seed, routers), True, 60_000.0, lost=True, call_ms=call_ms)
-    assert len(told) == routers and told[-1] <= TOLD_MS - SILENT_MS
+    assert (
+        len(told) == routers and told[-1] <= MISSED_CHANGES_DEADLINE_MS - WATCH_SILENCE_TIMEOUT_MS
+    )
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -136,13 +140,18 @@
 
 
 def test_a_silence_a_failed_call_and_a_good_one_fit_into_the_time_at_an_agent() -> None:
-    assert SILENT_MS > HEARTBEAT_MS
+    assert WATCH_SILENCE_TIMEOUT_MS > HEARTBEAT_INTERVAL_MS
     pace = PollSchedule(random.Random(4), False, 200)
-    first = pace.lost_ms(STEADY_MS) + max(CONNECT_MS, pace.answer_ms)
-    again = pace.lost_ms(CONNECT_MS) + CONNECT_MS + pace.answer_ms
-    assert SILENT_MS + first + again < TOLD_MS - 1_000
+    first = pace.retry_delay_ms(ACCEPTED_WATCH_MS) + max(
+        CONNECT_TIMEOUT_MS, pace.response_timeout_ms
+    )
+    again = pace.retry_delay_ms(CONNECT_TIMEOUT_MS) + CONNECT_TIMEOUT_MS + pace.response_timeout_ms
+    assert WATCH_SILENCE_TIMEOUT_MS + first + again < MISSED_CHANGES_DEADLINE_MS - 1_000
     for _ in range(40):
-        assert pace.lost_ms(CONNECT_MS) + pace.answer_ms <= BACKOFF_MOST_MS + ANSWER_MOST_MS
-    assert pace.answer_ms <= ANSWER_MOST_MS < 1_000, (
+        assert (
+            pace.retry_delay_ms(CONNECT_TIMEOUT_MS) + pace.response_timeout_ms
+            <= MAX_BACKOFF_MS + MAX_RESPONSE_TIMEOUT_MS
+        )
+    assert pace.response_timeout_ms <= MAX_RESPONSE_TIMEOUT_MS < 1_000, (
         "an agent that is back is asked within any drain's grace"
     )
--- a/tests/test_stream_migration.py
+++ b/tests/test_stream_migration.py
@@ -57,9 +57,9 @@
                 assert await offered(path, bad, one, two) == b"", bad
             good = json.dumps(OFFER).encode()
             assert await offered(path, good, one) == b"", "a connection is lacking"
-            for version in (stream_migration.OWN_CLOCK_VERSION, stream_migration.VERSION):
+            for version in (stream_migration.LOCAL_CLOCK_VERSION, stream_migration.VERSION):
                 good = json.dumps({**OFFER, "version": version}).encode()
-                assert await offered(path, good, one, two) == stream_migration.WILLING, (
+                assert await offered(path, good, one, two) == stream_migration.ACCEPTED, (
                     "the one before is known too"
                 )
             assert w.dispatcher.stream_receiver is not None
@@ -95,12 +95,12 @@
 
         async with world([Replica(READ)], [Replica(ends_with(hold))]) as w:
             unwilling = asyncio.create_task(turn_down())
-            heirs = stream_migration.StreamSender(tmp_path / "x.heir", w.dispatcher.core)
+            successor = stream_migration.StreamSender(tmp_path / "x.heir", w.dispatcher.core)
             served = asyncio.create_task(w.ask("a1"))
             await until(
                 lambda: any(actor.streams for actor in w.dispatcher.replicas.actors.values())
             )
-            w.dispatcher.replicas.migrate_streams(heirs)  # the stream waits for its next event
+            w.dispatcher.replicas.migrate_streams(successor)  # the stream waits for its next event
             await asked.wait()
             hold.set()
             assert (await served).endswith(b"0\r\n\r\n")
@@ -123,10 +123,10 @@
     assert isinstance(await incoming.next(), h11.Response)
     for part in parts:
         reader.feed_data(part)
-        await wire.fill()
+        await wire.read_more()
         event = wire.poll()
         if isinstance(event, h11.Data):
-            incoming._take(event)
+            incoming._add_data(event)
     return incoming
 
 
@@ -145,22 +145,22 @@
     ],
 )
 def test_a_stream_goes_over_between_whole_chunks_only(parts: list[bytes], between: bool) -> None:
-    assert asyncio.run(fed(*parts)).between is between
+    assert asyncio.run(fed(*parts)).at_chunk_boundary is between
 
 
 def test_two_h11_machines_are_brought_within_a_body() -> None:
     wire, client = HttpConnection(h11.CLIENT, None, None), HttpConnection(h11.SERVER, None, None)
-    stream_migration.replay(wire, client, keeps=True)
+    stream_migration.restore_http_state(wire, client, keep_alive=True)
     wire.h11.receive_data(b"2\r\nhi\r\n0\r\n\r\n")
     event = wire.poll()
     assert isinstance(event, h11.Data) and event.data == b"hi"
     assert client.h11.send(h11.Data(data=b"hi")) == b"2\r\nhi\r\n"
     assert client.h11.send(h11.EndOfMessage()) == b"0\r\n\r\n"
     client.h11.start_next_cycle()
-    stream_migration.replay(
+    stream_migration.restore_http_state(
         HttpConnection(h11.CLIENT, None, None),
         last := HttpConnection(h11.SERVER, None, None),
-        keeps=False,
+        keep_alive=False,
     )
     last.h11.send(h11.EndOfMessage())
     assert last.h11.our_state is h11.MUST_CLOSE
@@ -203,10 +203,10 @@
                 told = {**OFFER, "version": stream_migration.VERSION}
                 socket.send_fds(sock, [json.dumps(told).encode()], [ours.fileno(), wire.fileno()])
                 loop = asyncio.get_running_loop()
-                assert await loop.sock_recv(sock, 1) == stream_migration.WILLING
+                assert await loop.sock_recv(sock, 1) == stream_migration.ACCEPTED
                 replica.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
                 replica.close()
-                sock.send(stream_migration.GO)
+                sock.send(stream_migration.CONFIRMED)
                 ours.close()
                 wire.close()
                 client.setblocking(False)
