--- a/onyxpass/net/dialer.py
+++ b/onyxpass/net/dialer.py
@@ -68,5 +68,5 @@
     reader, writer = await asyncio.open_connection(host, port, limit=limit)
     if writer.get_extra_info("peername") is None:
         writer.transport.abort()
-        raise OSError(errno.EAGAIN, "the connection did not come up")
+        raise OSError(errno.EAGAIN, "the connection was not established")
     return reader, writer
--- a/onyxpass/net/endpoint_watcher.py
+++ b/onyxpass/net/endpoint_watcher.py
@@ -72,7 +72,7 @@
         )
         return contract.EndpointUpdate(form, tuple(servers), int(message["seq"])), addresses
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError, ConfigError) as error:
-        raise EndpointListError(f"not a list: {error!r}") from error
+        raise EndpointListError(f"invalid endpoint list: {error!r}") from error
 
 
 class JsonObjectSplitter:
@@ -97,16 +97,16 @@
         self.line_count += len(lines)
         found = [message for line in lines if (message := self._line(line.strip())) is not None]
         if self._size + len(self._partial_line) > self._max_bytes:
-            raise EndpointListError("a line without an end")
+            raise EndpointListError("an object or line exceeds the size limit")
         return found
 
     def _line(self, line: bytes) -> dict[str, Any] | None:
         if not line:
             if self._lines:
-                raise EndpointListError("an object that breaks off")
+                raise EndpointListError("an object is interrupted by an empty line")
             return None
         if not self._lines and not line.startswith(b"{"):
-            raise EndpointListError("not an object")
+            raise EndpointListError("not a JSON object")
         self._lines.append(line)
         self._size += len(line)
         self._depth += line.count(b"{") - line.count(b"}")
@@ -329,23 +329,23 @@
             async with self.core.wheel.limit(due_us - self.core.clock.now_us()):
                 event = await wire.next_event()
             if isinstance(event, h11.Response) and event.status_code != 200:
-                raise HttpError(f"discovery answers {event.status_code}")
+                raise HttpError(f"discovery answered with status {event.status_code}")
             if isinstance(event, h11.Data):
                 return bytes(event.data)
             if isinstance(event, h11.EndOfMessage):
                 return None
             if not isinstance(event, h11.Response | h11.InformationalResponse):
-                raise HttpError("closed")
+                raise HttpError("connection closed")
 
     async def _fetch_list(self, wire: HttpConnection) -> None:
         due_us, text = self._send_get(wire, ENDPOINTS_PATH), b""
         while (part := await self._next_body_part(wire, due_us)) is not None:
             text += part
             if len(text) > MAX_LIST_BYTES:
-                raise EndpointListError("a list too long")
+                raise EndpointListError("the endpoint list exceeds the size limit")
         message = json.loads(text)
         if not isinstance(message, dict):
-            raise EndpointListError("not an object")
+            raise EndpointListError("not a JSON object")
         self._handle(message)
         self._confirm_list()
 
--- a/onyxpass/net/http_client.py
+++ b/onyxpass/net/http_client.py
@@ -1,6 +1,4 @@
-"""One HTTP/1.1 call as a client: a connection of its own, one answer, and a plain word on what
-went wrong.
-"""
+"""HTTP/1.1 calls as a client, each on a connection of its own."""
 
 import asyncio
 import json
@@ -20,11 +18,11 @@
 
 
 class RequestNotSentError(Exception):
-    """Nothing of the call has left: it can't have had an effect."""
+    """No byte of the call was sent, so it had no effect."""
 
 
 class ResponseLostError(Exception):
-    """The call may have arrived; whether it had an effect is not known."""
+    """The call may have been received; whether it had an effect is unknown."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,7 +56,11 @@
     key: str = "",
     timeout_s: float = 2.0,
 ) -> ApiResponse:
-    """NotSent or NoAnswer where there is none within ``timeout_s``, or none that can be read."""
+    """Make one call with a JSON body and return the response.
+
+    Raises ``RequestNotSentError`` or ``ResponseLostError`` if there is no valid response within
+    ``timeout_s``.
+    """
     sent = False
     writer: asyncio.StreamWriter | None = None
     try:
@@ -78,7 +80,7 @@
                 wire.send(h11.Data(data=text)),
                 wire.send(h11.EndOfMessage()),
             ]
-            sent = True  # from here on it may have arrived
+            sent = True  # from here on the call may have been received
             writer.writelines([part for part in parts if part])
             return await _read_response(wire, reader)
     except TimeoutError as error:
@@ -106,11 +108,11 @@
         elif isinstance(event, h11.Data):
             text += bytes(event.data)
             if len(text) > MAX_RESPONSE_BYTES:
-                raise ValueError("an answer too long")
+                raise ValueError("the response exceeds the size limit")
         elif isinstance(event, h11.EndOfMessage):
             found = json.loads(text) if text.strip() else {}
             if not isinstance(found, dict):
-                raise ValueError("an answer that is no JSON object")
+                raise ValueError("the response is not a JSON object")
             return ApiResponse(status, found)
         elif isinstance(event, h11.ConnectionClosed):
-            raise ConnectionResetError("closed without an answer")
+            raise ConnectionResetError("connection closed without a response")
--- a/onyxpass/net/http_server.py
+++ b/onyxpass/net/http_server.py
@@ -1,6 +1,6 @@
-"""A server of short HTTP/1.1 calls: one call a connection, bounded in size, time and number.
+"""Server for short HTTP/1.1 API calls: one call per connection, limited in size, time and number.
 
-Its callers have places of their own, so that a crowd at the clients' address takes none of them.
+Its connections have slots of their own, which a crowd at the clients' address can't take.
 """
 
 import asyncio
@@ -16,22 +16,22 @@
 from onyxpass.net.http import HttpConnection, HttpError, drain_input, read_body
 from onyxpass.net.listen import Listener
 
-# from connecting to the end of the call; then its caller is told so, or closed on
+# from the connection to the last byte of a call; then 408, or a close if nothing was sent
 CALL_TIMEOUT_US = 800_000
-FLUSH_TIMEOUT_US = 300_000  # for a caller to take its answer
-DRAIN_TIMEOUT_US = 150_000  # for it to close once it has it
-# callers at once; a wait_readable takes the place of the one that has said nothing for longest
+FLUSH_TIMEOUT_US = 300_000  # for a caller to receive its response
+DRAIN_TIMEOUT_US = 150_000  # for a caller to close after its response
+# concurrent calls; a new one displaces the oldest whose request is incomplete
 MAX_CALLS = 16
 MAX_BODY_BYTES = 4096
 BACKLOG = 64
-LISTEN_RETRY_US = 200_000  # till the address, if it is in use, is tried again
+LISTEN_RETRY_US = 200_000  # before a retry to listen, if the address is in use
 TEXT, JSON = b"text/plain; charset=utf-8", b"application/json"
 Reply = tuple[int, bytes]
 log = structlog.get_logger("control")
 
 
 class ApiError(Exception):
-    """A call that is answered with this status and one line."""
+    """A call rejected with this status and a one-line reason."""
 
     def __init__(self, status: int, reason: str, **more: Any) -> None:
         super().__init__(reason)
@@ -39,7 +39,9 @@
 
 
 class CallServer:
-    """``answer`` is the server's own; ``kind`` the type of what it answers."""
+    """Base of the API servers: subclasses define ``answer``, and the media type in
+    ``content_type``.
+    """
 
     content_type = TEXT
     max_calls = MAX_CALLS
@@ -47,7 +49,7 @@
 
     def __init__(self, wheel: TimerWheel, address_text: str) -> None:
         self.wheel, self.address_text = wheel, address_text
-        self.calls: dict[asyncio.Task[None], bool] = {}  # and whether the call is whole
+        self.calls: dict[asyncio.Task[None], bool] = {}  # whether the call's request is complete
         self.listener: Listener | None = None
 
     def listen(self) -> Listener:
@@ -65,7 +67,7 @@
         while self.listener is None:
             try:
                 self.listener = self.listen()
-            # guards against clients left unserved for the operators' address
+            # an unavailable API address must not stop the service of clients
             except OSError as error:
                 log.error("listen_failed", address=self.address_text, why=str(error))
                 await self.wheel.sleep(LISTEN_RETRY_US)
@@ -89,7 +91,7 @@
             await asyncio.sleep(0)
 
     def _make_room(self) -> bool:
-        """Guards against callers that say nothing and stay: the eldest of them goes."""
+        """Displace the oldest call whose request is incomplete; False if there is none."""
         eldest = next((task for task, whole in self.calls.items() if not whole), None)
         if eldest is not None:
             del self.calls[eldest]
@@ -118,7 +120,7 @@
             async with self.wheel.limit(CALL_TIMEOUT_US):
                 await wire.read_more()
                 if not (began := wire.pending):
-                    return  # it left without a word
+                    return  # the caller closed without a request
                 head = await wire.next_event()
                 if not isinstance(head, h11.Request):
                     raise HttpError("not a call", 400)
@@ -139,13 +141,13 @@
                 reply = await self.answer(head, text)
             except ApiError as error:
                 reply = (error.status, self.error_body(str(error), **error.more))
-            except Exception:  # guards against a caller left without an answer by a fault here
+            except Exception:  # the caller gets a response even for an internal error
                 log.exception("call_crashed")
                 reply = (500, self.error_body("the program's own fault"))
         await self._write(wire, *reply)
 
     def error_body(self, reason: str, **more: Any) -> bytes:
-        """A refusal's one line, in the form of the server's answers."""
+        """Return the body of an error response in the server's content type."""
         if self.content_type is JSON:
             return json.dumps({"error": reason[:400], **more}).encode() + b"\n"
         return reason.encode("ascii", "replace")[:200] + b"\n"
@@ -163,7 +165,7 @@
 
 
 def parse_json_object(text: bytes) -> dict[str, Any]:
-    """The JSON object that a call's body holds; an empty body is an empty one."""
+    """Parse a call's body as a JSON object; an empty body is an empty object."""
     try:
         found = json.loads(text) if text.strip() else {}
     except (ValueError, RecursionError) as error:
@@ -176,7 +178,9 @@
 def integer_field(
     call: Mapping[str, Any], name: str, fallback: int, maximum: int, *, minimum: int = 0
 ) -> int:
-    """A whole number of a call's body; 400 if it is none, or out of its bounds."""
+    """Return an integer field of a call; ``ApiError`` 400 if it is not an integer within its
+    bounds.
+    """
     value = call.get(name, fallback)
     if type(value) is not int or not minimum <= value <= maximum:
         raise ApiError(400, f"{name} must be a whole number from {minimum} to {maximum}")
@@ -191,6 +195,6 @@
 
 
 def reject_unknown_fields(call: Mapping[str, Any], *names: str) -> None:
-    """Guards against a misspelt option that is passed over in silence."""
+    """Raise ``ApiError`` 400 for an unknown field, so that a misspelt option is not ignored."""
     if unknown := sorted(call.keys() - set(names)):
         raise ApiError(400, f"unknown: {', '.join(unknown)}")
--- a/onyxpass/net/listen.py
+++ b/onyxpass/net/listen.py
@@ -1,4 +1,4 @@
-"""A listening socket whose connections are never taken and then lost."""
+"""A listening socket whose connections are never accepted and then lost."""
 
 import asyncio
 import errno
@@ -11,9 +11,9 @@
 
 from onyxpass.core.event_loop import unseen_since_ns
 
-# Errors of ``accept`` that belong to the one connection that it was about to give: it is gone, and
-# the next
-# one is there to be taken (accept(2)). All others say that nothing can be taken at present.
+# Errors of ``accept`` that concern only the connection it was about to return: that one is gone,
+# and the next one can be accepted (accept(2)). With all other errors nothing can be accepted at
+# present.
 SINGLE_CONNECTION_ERRNOS = frozenset(
     (
         errno.ECONNABORTED,
@@ -29,42 +29,41 @@
         errno.ETIMEDOUT,
     )
 )
-MIN_BACKOFF_US = (
-    5_000  # till the next try to accept while that fails; each backoff is twice the last
-)
+MIN_BACKOFF_US = 5_000  # before the first retry of a failed accept; doubles with each retry
 MAX_BACKOFF_US = 200_000
-MAX_LOST_CONNECTIONS = 64  # connections lost in a row, till the failure counts as one that lasts
+MAX_LOST_CONNECTIONS = 64  # connections lost in a row until the failure counts as persistent
 
 
 log = structlog.get_logger("listen")
 
 
 class Backoff:
-    """Between tries at what fails for want of something here: short at first, as most lacks are."""
+    """Exponential backoff between retries; short at first, because most resource shortages are
+    short.
+    """
 
     def __init__(self) -> None:
         self._next_us = MIN_BACKOFF_US
 
     def next_us(self) -> int:
-        now_us, self._next_us = self._next_us, min(MAX_BACKOFF_US, 2 * self._next_us)
-        return now_us
+        delay_us, self._next_us = self._next_us, min(MAX_BACKOFF_US, 2 * self._next_us)
+        return delay_us
 
     def reset(self) -> None:
         self._next_us = MIN_BACKOFF_US
 
 
 class Listener:
-    """``accept`` may be cancelled at any moment, and the socket may be shared with another
-    process.
-    """
+    """A listening socket, which another process may share. ``accept`` may be cancelled at any time."""
 
     def __init__(self, sock: socket.socket, backlog: int = socket.SOMAXCONN) -> None:
-        """``backlog``: how many connections the kernel keeps waiting at most."""
+        """``backlog`` is the length of the kernel's accept queue."""
         self.sock = sock
-        self._queue_empty_ns = time.monotonic_ns()  # when the queue was last known to be empty
-        self._accepted_ns = deque[int](maxlen=backlog + 2)  # when the latest ones were taken
-        self._queue_drained = True  # whether all that was there has been taken
-        self.watched_descriptor = -1  # the descriptor that the loop watches for it at present
+        # time at which the accept queue was last known to be empty
+        self._queue_empty_ns = time.monotonic_ns()
+        self._accepted_ns = deque[int](maxlen=backlog + 2)  # times of the latest accepts
+        self._queue_drained = True  # whether the last accept found the queue empty
+        self.watched_descriptor = -1  # descriptor that the event loop watches; -1: none
         sock.setblocking(False)
 
     @classmethod
@@ -77,12 +76,11 @@
         return int(self.sock.getsockname()[1])
 
     async def accept(self) -> socket.socket:
-        """Guards against a connection that is taken while the task is cancelled: it would be
-        reset unread.
+        """Return the next connection.
 
-        So nothing is taken but by this very step. Where another process was quicker, it waits on.
-        What keeps it from accepting is waited out, too: a server that ends for a lack of
-        descriptors serves nobody.
+        The accept itself is one synchronous step, so that a cancelled task never loses an accepted
+        connection, which would be reset unread. If another process was faster, or accept fails, it
+        keeps trying: a server that ends for lack of descriptors serves nobody.
         """
         backoff = Backoff()
         while True:
@@ -97,9 +95,10 @@
             await self.wait_readable()
 
     def accept_nowait(self) -> socket.socket | None:
-        """The connection that has waited for longest, if there is one.
+        """Return the connection queued longest; None if there is none.
 
-        OSError where none can be taken at present, though some may wait; later it may go again.
+        Raises OSError if nothing can be accepted at present although connections may be queued; a
+        later call may succeed.
         """
         for _ in range(MAX_LOST_CONNECTIONS):
             try:
@@ -118,23 +117,23 @@
 
     @property
     def queued_since_ns(self) -> int:
-        """A lower bound of when the connection that was taken last can have come into the queue.
+        """Lower bound of when the connection accepted last entered the queue.
 
-        It came after the queue was last empty; and after that one was taken which would have filled
-        the queue together with all that have been taken since.
+        It entered after the queue was last empty. It also entered after the accept of an earlier
+        connection that, with all those accepted since, would have filled the queue.
         """
         full = len(self._accepted_ns) == self._accepted_ns.maxlen
         return max(self._queue_empty_ns, self._accepted_ns[0]) if full else self._queue_empty_ns
 
     @property
     def has_pending(self) -> bool:
-        """Whether the kernel holds a connection to be taken."""
+        """Whether a connection is queued."""
         asked = select.poll()
         asked.register(self.sock, select.POLLIN)
         return bool(asked.poll(0))
 
     async def wait_readable(self) -> None:
-        """Returns once a connection waits to be taken; another process may take it first."""
+        """Wait until a connection is queued; another process may accept it first."""
         ready = asyncio.Event()
         self.watched_descriptor = self.sock.fileno()
         asyncio.get_running_loop().add_reader(self.watched_descriptor, self._on_readable, ready)
@@ -144,7 +143,7 @@
             self._unwatch()
 
     def _on_readable(self, ready: asyncio.Event) -> None:
-        if self._queue_drained:  # till the look at the sockets before this one, nobody had come
+        if self._queue_drained:  # the queue was empty at the poll before this one
             self._queue_empty_ns, self._queue_drained = (
                 max(self._queue_empty_ns, unseen_since_ns()),
                 False,
@@ -152,8 +151,10 @@
         ready.set()
 
     def _unwatch(self) -> None:
-        """Guards against a later socket left unwatched: once this one is closed, its number is
-        another's.
+        """Stop watching the socket.
+
+        Once the socket is closed, its descriptor may be reused by another socket, which must stay
+        watched.
         """
         if self.watched_descriptor >= 0:
             asyncio.get_running_loop().remove_reader(self.watched_descriptor)
@@ -164,8 +165,8 @@
         return self.sock.fileno() < 0
 
     def close(self) -> None:
-        """This process's hold on it only: never ``shutdown``, which would end it for the other
-        one too.
+        """Close this process's descriptor only: ``shutdown`` would end the socket for the other
+        process.
         """
         self._unwatch()
         self.sock.close()
--- a/onyxpass/net/replica.py
+++ b/onyxpass/net/replica.py
@@ -1,6 +1,4 @@
-"""Replicas: an actor for each, which owns its idle connections, and the exchanges that it
-starts.
-"""
+"""Connections to replicas: one actor per replica, its idle connections and its exchanges."""
 
 import asyncio
 import json
@@ -35,34 +33,31 @@
     Idempotency,
 )
 
-# so long before the replica may close it, an idle connection is no longer used
+# an idle connection is not reused this long before the replica may close it
 IDLE_MARGIN_US = 1_500_000
-MAX_IDLE_CONNECTIONS = 24  # idle connections kept to one replica
-REUSE_DELAY_US = (
-    50_000  # after a stream, till its connection is used again: a second answer may come late
-)
+MAX_IDLE_CONNECTIONS = 24  # idle connections kept per replica
+# after a stream, until its connection may be reused: an unsolicited second response may come late
+REUSE_DELAY_US = 50_000
 HEALTH_CHECK_TIMEOUT_US = 250_000
-FIRST_EVENT_TIMEOUT_US = 2_000_000  # from the head of a stream to its first event
-# a begun stream that is silent for so long has stopped: good ones pause for 0.2 s
+FIRST_EVENT_TIMEOUT_US = 2_000_000  # from the response head of a stream to its first event
+# a stream without bytes for this long has stalled: healthy ones pause for 0.2 s
 STREAM_STALL_TIMEOUT_US = 4_600_000
-CLIENT_WRITE_TIMEOUT_US = 30_000_000  # so long a client may take nothing of what is passed on to it
-# a kept connection that is of no use breaks so soon after it was written to
+CLIENT_WRITE_TIMEOUT_US = 30_000_000  # maximum time for which a client may accept no forwarded data
+# a reused connection that the replica had closed breaks within this time of the write
 REUSED_BREAK_WINDOW_US = 250_000
 MAX_BREAK_RATE_NON_IDEMPOTENT, MAX_BREAK_RATE = (
     0.005,
     0.06,
-)  # shares past which requests go out on new connections
-CANCEL_SETTLE_US = (
-    25_000  # till a read that was just broken off has ended for sure at the replica's side
-)
-LEASE_RELEASE_TIMEOUT_US = 100_000  # one try at letting go
-RETRYABLE_STATUSES = (408, 425, 429)  # answers 4xx that say nothing against the request
+)  # break rates of reused connections above which requests use new connections
+CANCEL_SETTLE_US = 25_000  # until a prefill cancelled just now has ended at the replica
+LEASE_RELEASE_TIMEOUT_US = 100_000  # of one release request
+RETRYABLE_STATUSES = (408, 425, 429)  # 4xx responses that do not mean that the request is invalid
 log = structlog.get_logger("net")
 
 
 @dataclass(frozen=True, slots=True)
 class Payload:
-    """A client's request as it passes on to replicas."""
+    """A client's request as it is forwarded to replicas."""
 
     method: bytes
     target: bytes
@@ -88,14 +83,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AdoptedStream:
-    """A stream that the process before this one had begun to pass on."""
+    """A stream that the preceding process had begun to relay."""
 
     wire: HttpConnection
     events: EventSplitter
 
 
 class StreamMigrated(Exception):
-    """The process that comes after this one goes on with the stream."""
+    """The succeeding process has taken over the stream."""
 
 
 class StreamSuccessor(Protocol):
@@ -105,7 +100,7 @@
 
 
 class Replica(ServerActor):
-    """One replica as its own actor; exchanges run beside it, one for each connection in use."""
+    """The actor of one replica; each of its exchanges runs in a task of its own."""
 
     def __init__(
         self,
@@ -120,19 +115,17 @@
         self.address, self.budget = address, budget
         self.connect_us, self.max_idle_us = connect_us, max_idle_us(idle_us)
         self.idle: list[IdleConnection] = []
-        self.streams: set[ResponseReader] = set()  # those that wait for their next part
+        self.streams: set[ResponseReader] = set()  # streams that wait for their next part
         self.removed = False
-        self.successor: Callable[[], StreamSuccessor | None] = lambda: (
-            None
-        )  # who goes on with streams, once this process ends
-        self.answered_us = 0  # when it last answered anything
-        self.generation = (
-            0  # how often it was taken out or in: connections from before are not kept
-        )
+        # the succeeding process, which takes over streams during a hot restart
+        self.successor: Callable[[], StreamSuccessor | None] = lambda: None
+        self.answered_us = 0  # time of its latest response
+        # number of exclusions and inclusions: connections from before the last one are not kept
+        self.generation = 0
 
     @property
     def finished(self) -> bool:
-        """Whether it has removed the list and nothing of it is under way."""
+        """Whether the replica has left the endpoint list and has no task, connection or message."""
         return self.removed and not (
             self.tasks or self.background_tasks or self.idle or self.mailbox.qsize()
         )
@@ -168,8 +161,9 @@
         self.budget.open -= 1
 
     def _take_idle(self) -> HttpConnection | None:
-        """The connection used last. One that may be closed by the other side soon is not used
-        again.
+        """Return the idle connection used last; None if there is none.
+
+        Connections that the replica has closed or may close soon are discarded.
         """
         now_us = self.core.clock.now_us()
         for idle in reversed([idle for idle in self.idle if now_us >= idle.reusable_us]):
@@ -181,7 +175,7 @@
         return None
 
     def close_oldest_idle(self) -> None:
-        """Close the connection that is idle for longest, in favour of another replica."""
+        """Close the connection that has been idle longest, in favour of another replica."""
         self._discard(self.idle.pop(0).wire)
 
     async def _open(self, timeout_us: int | None = None) -> HttpConnection:
@@ -201,12 +195,13 @@
     def _return_connection(self, wire: HttpConnection, streamed: bool = False) -> None:
         """Keep the connection if both sides are ready for another request on it.
 
-        Guards against a second answer, some milliseconds behind a stream, that answers the next
-        request: what comes unasked while the connection rests is found on it, and it is closed.
+        After a stream it may be reused only after a delay: a second response some milliseconds
+        behind the stream would be taken for that of the next request. Bytes that arrive meanwhile
+        mark the connection as stale, and it is closed.
         """
         if wire.h11.our_state is h11.DONE and wire.h11.their_state is h11.DONE and not wire.stale:
             wire.h11.start_next_cycle()
-            # Guards against connections kept from before a drain or a ban: their other end has
+            # Connections from before a drain or an exclusion are not kept: their other end may be
             # gone.
             if (
                 len(self.idle) < MAX_IDLE_CONNECTIONS
@@ -221,8 +216,9 @@
     # Exchanges
 
     async def run_attempt(self, attempt: Attempt, resumed: AdoptedStream | None = None) -> None:
-        """One attempt from connection to end, or the rest of one; however it ends, the core is
-        told.
+        """Run an attempt from connection to end, or the rest of one that was adopted.
+
+        Reports the end to the core in every case.
         """
         wire: HttpConnection | None = resumed.wire if resumed else None
         status, note, reason, written, written_us = AttemptStatus.UNREACHABLE, 0, "", False, 0
@@ -237,17 +233,16 @@
                     self.core.preconditions.connect_timeout_us(attempt.request, self.connect_us)
                 )
             await self.wait_for_release(attempt)
-            if why := self.core.preconditions.check_first_byte(
-                attempt
-            ):  # what has changed since it was chosen
+            # the replica's state may have changed since it was selected
+            if why := self.core.preconditions.check_first_byte(attempt):
                 status, reason = AttemptStatus.NOT_SENT, why
             else:
                 self._write_head(wire, attempt)
-                if wire.writer.is_closing():  # the first write failed, so nothing has removed
-                    raise ConnectionResetError("closed before it was written")
-                # Guards against a refusal of what has run: while the rest is being flushed its last
-                # byte may
-                # leave at any moment, also in the turn of the loop that cancels this task.
+                if wire.writer.is_closing():  # the first write failed, so nothing was sent
+                    raise ConnectionResetError("connection closed before the request was written")
+                # Set before the flush, during which the last byte may leave at any moment, also in
+                # the turn of the loop that cancels this task: the request must not be reported as
+                # not sent then.
                 written, written_us = True, self.core.clock.now_us()
                 self.core.reservations.attempt_begun(attempt, wire.acknowledged)
                 await wire.flush()
@@ -255,14 +250,12 @@
                 status, note, reason = await self._receive_response(wire, attempt)
         except StreamMigrated:
             migrated = True
-        except (
-            ResourceShortageError
-        ) as error:  # guards against a replica blamed for what is lacking here
+        except ResourceShortageError as error:  # a local shortage is no failure of the replica
             status, reason = AttemptStatus.NOT_SENT, str(error)
         except CorruptResponseError as error:
             status, note, reason = AttemptStatus.RESET, STATE_LOST, f"spoilt: {error}"
         except (HttpError, OSError, TimeoutError) as error:
-            # Only what is proven never to have been sent may be called unreachable.
+            # UNREACHABLE only if it is certain that nothing was sent.
             status, reason = (
                 AttemptStatus.RESET if written else AttemptStatus.UNREACHABLE,
                 str(error) or "no connection",
@@ -283,7 +276,7 @@
             status = AttemptStatus.RESET if wire is not None else AttemptStatus.UNREACHABLE
         finally:
             if wire is not None:
-                # closed unless it is whole and clean
+                # kept only if the exchange is complete
                 self._return_connection(wire, status is AttemptStatus.COMPLETED)
                 if written and wire.idle_us >= 0:
                     self.budget.record_reuse(
@@ -298,15 +291,17 @@
                 self.core.outcomes.attempt_ended(attempt, status, note, reason)
 
     def _avoids_reuse(self, attempt: Attempt) -> bool:
-        """Guards against bookings lost and attempts spent where kept connections break when used
-        again.
+        """Return whether the attempt should use a new connection.
+
+        Prevents the loss of non-idempotent requests, and wasted attempts, while reused connections
+        often break.
         """
-        booking = (
+        non_idempotent = (
             attempt.may_generate
             and self.core.idempotency_of(attempt.request) is not Idempotency.IDEMPOTENT
         )
         return self.budget.break_rate_at(self.core.clock.now_us()) > (
-            MAX_BREAK_RATE_NON_IDEMPOTENT if booking else MAX_BREAK_RATE
+            MAX_BREAK_RATE_NON_IDEMPOTENT if non_idempotent else MAX_BREAK_RATE
         )
 
     def _write_head(self, wire: HttpConnection, attempt: Attempt) -> None:
@@ -344,8 +339,8 @@
         try:
             return await answer
         except HttpError as error:
-            # Noise, or a break within the answer, proves that the request has run; silence proves
-            # nothing.
+            # Invalid bytes, or an end within the response, prove that the request has run; silence
+            # proves nothing.
             if incoming.begun:
                 raise CorruptResponseError(str(error)) from error
             raise
@@ -359,7 +354,7 @@
         while isinstance(head, h11.InformationalResponse):
             head = await incoming.next()
         if not isinstance(head, h11.Response):
-            raise HttpError("closed without an answer")
+            raise HttpError("connection closed without a response")
         self.answered_us = self.core.clock.now_us()
         if head.status_code == 200:
             return await self._relay_stream(incoming, attempt, head)
@@ -369,7 +364,7 @@
             if len(text) > BODY_LIMIT:
                 raise HttpError("body too large")
         if not isinstance(part, h11.EndOfMessage):
-            raise HttpError("ended within a body")
+            raise HttpError("connection closed within a body")
         not_run = header(head, b"x-not-processed") is not None
         if head.status_code == 202:
             return AttemptStatus.PREFILLED, cached_tokens(text), ""
@@ -384,9 +379,9 @@
     async def _relay_stream(
         self, incoming: ResponseReader, attempt: Attempt, head: h11.Response
     ) -> tuple[AttemptStatus, int, str]:
-        """Pass whole events on as they come; served only if the stream is whole."""
+        """Relay complete events as they arrive; COMPLETED only if the whole stream has come."""
         if not (header(head, b"content-type") or b"").lower().startswith(b"text/event-stream"):
-            raise HttpError("not a stream of events")
+            raise HttpError("not an event stream")
         return await self._relay_events(incoming, attempt, EventSplitter(), is_framed(head))
 
     async def _relay_events(
@@ -410,12 +405,12 @@
             except WaitInterrupted:
                 continue
             if isinstance(part, bytes):
-                # Guards against noise that commits the request: only whole events reach the client.
+                # Only complete events reach the client: invalid bytes must not commit the request.
                 if not (whole := events.feed(part)):
                     continue
                 if not self.core.outcomes.stream_event_received(attempt):
-                    raise HttpError("nobody waits for this stream")
-                # a client that takes nothing holds no replica for ever
+                    raise HttpError("the request does not accept this stream any more")
+                # bounded, so that a client that reads nothing does not occupy the replica for ever
                 turn.begin_step()
                 async with self.wheel.limit(CLIENT_WRITE_TIMEOUT_US):
                     await client.forward(whole)
@@ -424,9 +419,9 @@
                 attempt.output_tokens = events.tokens()
                 if attempt.committed and whole_at_end and not events.has_partial_event:
                     return AttemptStatus.COMPLETED, 0, ""
-                raise HttpError("the stream was not whole")
+                raise HttpError("the stream ended incomplete")
             else:
-                raise HttpError("ended within the stream")
+                raise HttpError("connection closed within the stream")
 
     async def _next_part(self, incoming: ResponseReader, silence_us: int) -> Part:
         self.streams.add(incoming)
@@ -440,9 +435,8 @@
         try:
             async with self.wheel.limit(HEALTH_CHECK_TIMEOUT_US):
                 wire = self._take_idle() or await self._open()
-                if (
-                    self.name in self.core.endpoints.excluded
-                ):  # taken out while the connection was coming up
+                # excluded while the connection was being established
+                if self.name in self.core.endpoints.excluded:
                     return
                 wire.write(build_request(b"GET", b"/health/live"), h11.EndOfMessage())
                 head = await wire.next_event()
@@ -450,7 +444,7 @@
                     await read_body(wire)
                     ok = head.status_code == 200
                     self.answered_us = self.core.clock.now_us()
-        except ResourceShortageError:  # nothing was asked, so nothing can be told
+        except ResourceShortageError:  # no request was sent, so there is no result
             return
         except (HttpError, OSError, TimeoutError):
             ok = False
@@ -460,7 +454,7 @@
         self.core.tell(HealthCheckResult(self.name, ok, self.core.clock.now_us() - began_us))
 
     async def release_lease(self, request_id: str) -> bool:
-        """Ask this replica to release all that is held; True once it has answered."""
+        """Request the release of all state held for the request; True once the replica confirms."""
         wire: HttpConnection | None = None
         try:
             async with self.wheel.limit(LEASE_RELEASE_TIMEOUT_US):
@@ -481,7 +475,7 @@
 
 
 def max_idle_us(idle_us: int) -> int:
-    """How long an idle connection is used, where the replica closes it after ``idle_us``."""
+    """Return how long an idle connection is reusable if the replica closes it after ``idle_us``."""
     return max(0, idle_us - IDLE_MARGIN_US)
 
 
@@ -490,7 +484,7 @@
 
 
 def cached_tokens(text: bytes) -> int:
-    """What a reader tells of its kept text; what can't be read counts as nothing kept."""
+    """Return the number of cached tokens in a prefill response; 0 if it can't be read."""
     try:
         return max(0, int(json.loads(text)["cached_tokens"]))
     except (ValueError, KeyError, TypeError, OverflowError, RecursionError):
@@ -498,9 +492,7 @@
 
 
 def forwarded_headers(headers: Iterable[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
-    """The headers that go on to a replica: all but those of the one connection and the client's
-    deadline.
-    """
+    """Return the headers to forward: all but the hop-by-hop ones and the client's deadline."""
     return [
         (bytes(k), bytes(v)) for k, v in headers if k not in HOP_BY_HOP and k != b"x-timeout-ms"
     ]
--- a/onyxpass/net/replicas.py
+++ b/onyxpass/net/replicas.py
@@ -1,4 +1,4 @@
-"""All replicas of a dispatcher: their actors by name, and what concerns them together."""
+"""All replicas of a dispatcher: their actors by name and their shared connection budget."""
 
 from collections.abc import Container
 
@@ -22,7 +22,7 @@
 
 
 class Replicas(ActorFleet[Replica]):
-    """Finds the actor for an order; owns the budget that all connections to replicas share."""
+    """Dispatches to the replicas' actors, and owns the connection budget that they share."""
 
     def __init__(
         self, core: RequestDispatcher, max_connections: int, connect_us: int, idle_us: int
@@ -33,14 +33,14 @@
         self.budget = ConnectionBudget(max_connections, make_room=self._make_room)
 
     def set_address(self, name: str, address: Address, removed: bool) -> None:
-        """What the list says of where a replica listens."""
+        """Set a replica's address by the endpoint list; ``left``: it has left the list."""
         if (actor := self.actors.get(name)) is None:
             self._add_replica(name, address)
         else:
             actor.tell(AddressChanged(address, removed))
 
     def member(self, server: contract.Endpoint, address: Address, removed: bool) -> None:
-        """What a source of membership says of a server."""
+        """Add, update or remove a server by a source of membership."""
         self.set_address(server.id, address, removed)
 
     def _add_replica(self, name: str, address: Address) -> Replica:
@@ -50,21 +50,22 @@
         return actor
 
     def set_connection_timeouts(self, connect_us: int, idle_us: int) -> None:
-        """Other limits for connections, from the next one on."""
+        """Set the timeouts of connections opened or kept from now on."""
         self.connect_us, self.idle_us = connect_us, idle_us
         for actor in self.actors.values():
             actor.connect_us, actor.max_idle_us = connect_us, max_idle_us(idle_us)
 
     def migrate_streams(self, successor: StreamSuccessor) -> None:
-        """Streams go over from now on, also those that wait for their next event."""
+        """Migrate streams from now on, including those that wait for their next event."""
         self.successor = successor
         for actor in self.actors.values():
             for incoming in list(actor.streams):
                 incoming.interrupt_wait()
 
     def adopt(self, attempt: Attempt, resumed: AdoptedStream, address: Address) -> None:
-        """Go on with a stream; its replica may have removed the list, and is then forgotten with
-        it.
+        """Relay the rest of a migrated stream.
+
+        If its replica has left the endpoint list, the replica is removed when the stream ends.
         """
         actor = self.actors.get(attempt.server)
         if actor is None:
@@ -74,14 +75,17 @@
         actor.start_task(attempt, actor.run_attempt(attempt, resumed))
 
     def _make_room(self) -> bool:
-        """Guards against connections that idle while a request can't go out for want of one."""
+        """Close the idle connection unused for longest; False if there is none.
+
+        Prevents idle connections from blocking a request that needs a new one.
+        """
         idle = [actor for actor in self.actors.values() if actor.idle]
         if idle:
             min(idle, key=lambda actor: actor.idle[0].since_us).close_oldest_idle()
         return bool(idle)
 
     def retain_only(self, names: Container[str]) -> None:
-        """A whole list has come: what it does not name has removed."""
+        """Mark all replicas that a complete list does not name as removed."""
         for name, actor in self.actors.items():
             if name not in names:
                 actor.tell(AddressChanged(actor.address, True))
@@ -94,7 +98,8 @@
         self.track_release(request, self._release(request, settle))
 
     async def _release(self, request: Request, settle: bool) -> None:
-        if settle:  # guards against asking before a read that was just broken off has ended there
+        # a cancelled prefill must have ended at the replica before the release is requested
+        if settle:
             await self.core.wheel.sleep(CANCEL_SETTLE_US)
         await release(
             self.core,
@@ -114,5 +119,5 @@
         for actor in list(self.actors.values()):
             if actor.finished:
                 self.remove_actor(actor)
-            elif actor.idle:  # guards against waking a hundred actors each second for nothing
+            elif actor.idle:  # avoids waking a hundred actors every second for nothing
                 actor.tell(CloseIdle(everything))
--- a/onyxpass/net/request_parser.py
+++ b/onyxpass/net/request_parser.py
@@ -1,4 +1,4 @@
-"""A client's request in the module's words, and what of it is turned away before that."""
+"""Parses a client's request into an arrival for the router, and rejects invalid ones."""
 
 import json
 import re
@@ -10,7 +10,8 @@
 from onyxpass.scheduling import contract
 
 MAX_NUMBER = 2**53
-MAX_WAIT_MULTIPLE = 10  # times its class's usual time that a client may wait
+# maximum deadline of a request, in multiples of its class's default deadline
+MAX_WAIT_MULTIPLE = 10
 MAX_HINT_US = 3_600_000_000
 MAX_HEADER_BYTES = 512
 SINGLE_VALUE_HEADERS = (
@@ -25,7 +26,7 @@
 
 
 class BadRequest(ValueError):
-    """A request that lacks something or says it in a form that is not allowed."""
+    """A request that lacks a required value or has an invalid one."""
 
 
 def parse_integer(text: bytes | str | None, name: str, fallback: int | None = None) -> int:
@@ -39,7 +40,7 @@
 
 
 def read_attrs(text: bytes | None) -> dict[str, str]:
-    """``X-Attrs``: names and values, by commas."""
+    """Parse the ``X-Attrs`` header: comma-separated ``name=value`` pairs."""
     found: dict[str, str] = {}
     for part in (text or b"").decode("latin-1").split(","):
         name, equals, value = part.strip().partition("=")
@@ -51,22 +52,22 @@
 
 
 def check_framing(head: h11.Request) -> None:
-    """Turn away, by the head alone, what can't be told apart safely or is too large."""
+    """Reject, by the head alone, a request with ambiguous framing or a body that is too large."""
     length = header(head, b"content-length")
     if length is not None and header(head, b"transfer-encoding") is not None:
-        # Guards against request smuggling: another server may believe the other of the two.
+        # Prevents request smuggling: another server may use the other of the two.
         raise HttpError("both Content-Length and Transfer-Encoding", 400)
     if length is not None and (len(length) > 9 or int(length) > BODY_LIMIT):
-        raise HttpError("body too large", 413)  # before any of it is read
+        raise HttpError("body too large", 413)  # before any of the body is read
     if head.http_version != b"1.1" and head.method == b"POST":
-        # Guards against a stream that breaks and looks whole: to older clients it would have no
-        # last chunk.
+        # HTTP/1.0 has no chunks: an interrupted stream without a last chunk would look complete.
         raise HttpError("HTTP/1.1 only", 505)
 
 
 def check_body(text: bytes) -> None:
-    """Guards against passing on what no replica can use: its refusal would look like the
-    replica's fault.
+    """Reject a body that is not a JSON object.
+
+    No replica can use it, and its rejection there would look like a failure of the replica.
     """
     try:
         sound = isinstance(json.loads(text), dict)
@@ -79,16 +80,17 @@
 def read_arrival(
     head: h11.Request, core: RequestDispatcher, arrived_us: int, size: int = BODY_LIMIT
 ) -> tuple[str, contract.Arrival]:
-    """The request's headers in the module's words. ``size``: of its body, which bounds its
-    prompt.
+    """Return the request's ID and its headers as an arrival.
+
+    ``size`` is the length of the body in bytes and bounds the prompt's tokens.
     """
     headers = {bytes(k): bytes(v) for k, v in head.headers}
     for name in SINGLE_VALUE_HEADERS:
-        # guards against two readings of one request
+        # prevents two interpretations of one request
         if sum(k == name for k, _ in head.headers) > 1:
             raise BadRequest(f"{name.decode()} stands there twice")
     if any(len(headers.get(name, b"")) > MAX_HEADER_BYTES for name in SINGLE_VALUE_HEADERS):
-        # guards against names that fill the module's tables
+        # prevents long names from filling the router's tables
         raise BadRequest("a header is too long")
     request_id = headers.get(b"x-request-id", b"")
     if not REQUEST_ID_PATTERN.match(request_id):
@@ -110,8 +112,8 @@
         traffic_class=traffic_class,
         session=headers.get(b"x-route-key", b"").decode("latin-1") or text_id,
         deadline_us=arrived_us + wait_us - ANSWER_MARGIN_US,
-        # Guards against lengths that make the module believe that servers are full: a token has a
-        # character.
+        # Bounded by the body, at one character per token at least: larger values would make servers
+        # look full.
         prompt_tokens=min(size, parse_integer(attrs.get("prompt_len"), "prompt_len", 0)),
         max_tokens=min(BODY_LIMIT, parse_integer(attrs.get("max_out"), "max_out", 0)),
         prefix=attrs.get("prefix") or None,
--- a/onyxpass/net/response_reader.py
+++ b/onyxpass/net/response_reader.py
@@ -1,5 +1,6 @@
-"""What replicas send: heads, whole chunks, whole events. What does not fit is ``HttpError``, never
-passed on.
+"""Parses responses of replicas into heads, complete chunks and complete events.
+
+Invalid data raises ``HttpError`` and is never forwarded.
 """
 
 import json
@@ -10,45 +11,49 @@
 from onyxpass.core.timer_wheel import Limit, TimerWheel
 from onyxpass.net.http import BODY_LIMIT, HttpConnection, HttpError, header
 
-MAX_EVENT_BYTES = BODY_LIMIT  # of one event, and of one chunk
-TAIL_BYTES = 512  # bytes of the last events in which the usage may stand
+MAX_EVENT_BYTES = BODY_LIMIT  # maximum size of one event, and of one chunk
+TAIL_BYTES = 512  # last bytes of the stream that are searched for the usage
 USAGE_PATTERN = re.compile(rb'"completion_tokens"\s*:\s*([0-9]{1,9})')
-PART_TIMEOUT_US = 1_000_000  # from the first bytes of a head, chunk or small body to its last
+PART_TIMEOUT_US = 1_000_000  # from the first byte of a head, chunk or small body to its last
 EVENT_ENDS = (b"\n\n", b"\n\r\n", b"\r\r")
-Part = h11.Event | type[h11.PAUSED] | bytes  # of an answer: its head, a whole chunk, its end
-EVENT_FIELDS = (b"data", b"event", b"id", b"retry", b"")  # the last: a comment
+# part of a response: its head, a complete chunk, or its end
+Part = h11.Event | type[h11.PAUSED] | bytes
+EVENT_FIELDS = (b"data", b"event", b"id", b"retry", b"")  # the empty name marks a comment
 
 
 class CorruptResponseError(HttpError):
-    """An answer that had begun and is no use: its request has run, and the state that it needed
-    is gone.
+    """A response that became invalid after it had begun.
+
+    Its request has run, and the state that the request used is gone.
     """
 
 
 class WaitInterrupted(Exception):
-    """A wait between two chunks was ended from outside; nothing is lost."""
+    """A wait between two chunks was interrupted; no data is lost."""
 
 
 class ResponseReader:
-    """One answer from a replica. Gives heads, the end, and the body as bytes, each chunk whole."""
+    """Reads one response: returns its heads, its body in complete chunks, and its end."""
 
     def __init__(self, wire: HttpConnection, wheel: TimerWheel) -> None:
         self.wire, self.wheel = wire, wheel
-        self.begun = False  # whether anything of the answer has come
+        self.begun = False  # whether any byte of the response was received
         self.chunked = False
-        self._wait: Limit | None = None  # at present, with nothing of a next part there
+        # time limit of the present wait, if no byte of the next part is there
+        self._wait: Limit | None = None
         self._interrupted = False
         self._parts: list[bytes] = []
-        self._last_chunk_end = b""  # how the last whole chunk ended
+        self._last_chunk_end = b""  # last two bytes of the last complete chunk
         self._size = self._due_us = 0
         self._lookahead: h11.Event | type[h11.PAUSED] | None = None
 
     @property
     def at_chunk_boundary(self) -> bool:
-        """Whether all that has come are whole chunks, and the line's end of the last one with
-        them.
+        """Whether all bytes received form complete chunks.
+
+        The line end after the last chunk must have been received as well.
         """
-        # a chunk's own end that looks alike proves nothing
+        # not decidable if the chunk's own data ends in CRLF
         ended = self.wire.last_two_bytes == b"\r\n" != self._last_chunk_end
         return self.chunked and ended and not (self._parts or self._lookahead or self.wire.pending)
 
@@ -58,7 +63,11 @@
             self._wait.expire()
 
     async def next(self, silence_us: int | None = None) -> Part:
-        """``silence_us``: how long nothing at all may come; what has begun has its own time."""
+        """Return the next part.
+
+        ``silence_us`` limits a wait without any byte of the part; a part that has begun has a limit
+        of its own.
+        """
         while True:
             event, self._lookahead = self._lookahead, None
             if event is None:
@@ -77,12 +86,11 @@
     def _add_data(self, event: h11.Data) -> bytes | None:
         self._parts.append(bytes(event.data))
         self._size += len(event.data)
-        if self._size > MAX_EVENT_BYTES:  # guards against a chunk of gigabytes that keeps coming
-            raise HttpError("a chunk that does not end")
+        if self._size > MAX_EVENT_BYTES:  # prevents a chunk of gigabytes from filling the memory
+            raise HttpError("a chunk exceeds the size limit")
         if self.chunked and not event.chunk_end:
             return None
-        # Guards against a chunk whose size does not fit: what follows is looked at before it is
-        # passed on.
+        # Parses what follows before the chunk is forwarded, to detect a wrong chunk size.
         self._lookahead = self.wire.poll()
         part = b"".join(self._parts)
         self._parts, self._size, self._due_us = [], 0, 0
@@ -90,11 +98,9 @@
         return part
 
     async def _read_more(self, silence_us: int | None) -> None:
-        """Guards against a head or chunk that begins and goes no further, on a connection that
-        stays open.
-        """
+        """Read more bytes; HttpError if a head or chunk has begun and is not completed in time."""
         part = bool(self._parts) or self.wire.pending
-        if not part and silence_us is None:  # the attempt's own timer ends the wait
+        if not part and silence_us is None:  # the timer of the attempt ends the wait
             await self.wire.read_more()
         else:
             now_us = self.wheel.clock.now_us()
@@ -110,7 +116,9 @@
                     self._interrupted = False
                     raise WaitInterrupted from None
                 raise HttpError(
-                    "a head or chunk that does not end" if part else "silence"
+                    "incomplete head or chunk timed out"
+                    if part
+                    else "no data within the time limit"
                 ) from None
             finally:
                 self._wait = None
@@ -118,18 +126,21 @@
 
 
 class EventSplitter:
-    """Cuts a body into whole server-sent events, byte for byte; the first must be well formed."""
+    """Splits a body into complete server-sent events, unchanged; the first one is validated."""
 
     def __init__(self, partial: bytes | None = None) -> None:
-        """``rest``: of a stream whose first event has been seen elsewhere, what is there of the
-        next one.
+        """``partial`` holds the bytes received of the next event, if the first event was seen
+        elsewhere.
         """
         self._partial = bytearray(partial or b"")
         self._opened = partial is not None
-        self.tail = b""  # of what has been cut off so far
+        self.tail = b""  # last bytes of the events returned so far
 
     def feed(self, data: bytes) -> bytes:
-        """All events that are whole by now, once the first that carries data is among them."""
+        """Return the events completed by ``data``.
+
+        Nothing is returned until the first event with data is complete.
+        """
         looked = max(0, len(self._partial) - 2)
         self._partial += data
         end = max(
@@ -138,8 +149,9 @@
         if end and not self._opened:
             self._opened = has_data_event(bytes(self._partial[:end]))
         if not end or not self._opened:
-            if len(self._partial) > MAX_EVENT_BYTES:  # guards against an event without an end
-                raise HttpError("an event that does not end")
+            # prevents an event without an end from filling the memory
+            if len(self._partial) > MAX_EVENT_BYTES:
+                raise HttpError("an event exceeds the size limit")
             return b""
         whole = bytes(self._partial[:end])
         del self._partial[:end]
@@ -147,24 +159,27 @@
         return whole
 
     def tokens(self) -> int:
-        """Of the answer, as its last events tell; 0 if they do not."""
+        """Return the completion tokens of the response by its last events; 0 if they do not state
+        it.
+        """
         told = USAGE_PATTERN.findall(self.tail)
         return min(BODY_LIMIT, int(told[-1])) if told else 0
 
     @property
     def partial_event(self) -> bytes:
-        """The part of the next event that has come."""
+        """The bytes received of the next event."""
         return bytes(self._partial)
 
     @property
     def has_partial_event(self) -> bool:
-        """Whether an event has begun and not ended."""
+        """Whether an event is partly received."""
         return bool(self._partial)
 
 
 def has_data_event(text: bytes) -> bool:
-    """Whether these whole events hold one with data yet. HttpError: they are no events of an
-    answer.
+    """Return whether one of these complete events carries data.
+
+    Raises HttpError if they are not valid events of a response.
     """
     data: list[str] = []
     try:
@@ -174,7 +189,7 @@
         for line in lines.split("\n"):
             name, _, value = line.partition(":")
             if line and name.encode() not in EVENT_FIELDS:
-                raise HttpError("not an event")
+                raise HttpError("invalid server-sent event")
             if line and name == "data":
                 data.append(value.removeprefix(" "))
             elif not line and data:
@@ -183,9 +198,9 @@
             return False
         told = "\n".join(data)
         if told != "[DONE]" and not isinstance(json.loads(told), dict):
-            raise HttpError("an event without an object")
+            raise HttpError("event data is not a JSON object")
     except (ValueError, RecursionError) as error:
-        raise HttpError(f"not an event: {type(error).__name__}") from error
+        raise HttpError(f"invalid server-sent event: {type(error).__name__}") from error
     return True
 
 
@@ -194,5 +209,5 @@
 
 
 def is_framed(response: h11.Response) -> bool:
-    """Whether the end of the body can be told from a connection that broke."""
+    """Return whether the end of the body can be told from a broken connection."""
     return is_chunked(response) or header(response, b"content-length") is not None
--- a/onyxpass/net/stream_migration.py
+++ b/onyxpass/net/stream_migration.py
@@ -1,10 +1,10 @@
-"""Streams under way go over to the process that takes this one's place, with both of their
-connections.
+"""Migration of open streams to the process that replaces this one, with both connections.
 
-The old process offers a stream between two whole chunks, with nothing half read or half written and
-reading paused. The new one says that it could go on with it; only then is it fields to, and the old
-one lets go. Nothing goes out again to a replica, and whatever fails before that word leaves the
-stream where it was.
+The old process offers a stream between two complete chunks, with nothing partly read or written and
+reading paused. The new process accepts if it can continue the stream. Only when the old one
+confirms does the new one take over, and the old one closes its copies of the connections. No
+request is sent again to a replica, and a failure before the confirmation leaves the stream with the
+old process.
 """
 
 import asyncio
@@ -30,12 +30,13 @@
 from onyxpass.net.unix import short_socket_path
 from onyxpass.scheduling import contract
 
-VERSION = 2  # of the message; one that is not among those known is turned down
-LOCAL_CLOCK_VERSION = 1  # fields times on its process's own clock, which others need not share
+VERSION = 2  # version of the message; unknown ones are rejected
+# times were on the sender's own clock, which other processes need not share
+LOCAL_CLOCK_VERSION = 1
 MAX_MESSAGE_BYTES = 64 * 1024
-MAX_CONCURRENT_OFFERS = 4  # streams on their way at once
-MAX_FAILED_OFFERS = 8  # offers in vain, till no more are made
-OFFER_TIMEOUT_US = 300_000  # from the offer to the other process's word
+MAX_CONCURRENT_OFFERS = 4  # streams migrated concurrently
+MAX_FAILED_OFFERS = 8  # failed offers after which no more are made
+OFFER_TIMEOUT_US = 300_000  # from the offer to the other process's reply
 BACKLOG = 64
 TIME_FIELDS = ("deadline_us", "arrived_us", "sent_us")
 ACCEPTED, CONFIRMED = b"1", b"2"
@@ -43,9 +44,9 @@
 
 
 def encode_stream(attempt: Attempt, rest: bytes, keep_alive: bool, clock: Clock) -> bytes:
-    """What the other process needs to know of a stream besides its two connections.
+    """Encode what the other process needs to know of a stream besides its two connections.
 
-    Times are those of the monotonic clock, which all processes of a machine share and nobody sets.
+    Times are on the monotonic clock, which all processes of a machine share and nobody sets.
     """
     request = attempt.request
     arrival = request.arrival
@@ -71,7 +72,7 @@
 
 
 class StreamSender:
-    """The new process, as the old one sees it."""
+    """The old process's side: offers streams to the new one."""
 
     def __init__(self, path: Path, core: RequestDispatcher) -> None:
         self.path, self.core, self.wheel = path, core, core.wheel
@@ -81,15 +82,16 @@
     async def migrate(
         self, attempt: Attempt, incoming: ResponseReader, events: EventSplitter
     ) -> bool:
-        """True: the stream is the other process's, and nothing of it may be touched here any
-        more.
+        """Migrate a stream; True if it belongs to the other process now.
+
+        After that, nothing of the stream may be used here any more.
         """
         client = attempt.request.client
         if not isinstance(client, HttpClient) or not client.stream_begun:
             return False
         if (
             self.failures >= MAX_FAILED_OFFERS
-        ):  # guards against streams held up by offers that nobody takes
+        ):  # prevents delays of streams by offers that nobody accepts
             return False
         async with self.offer_slots:
             wires = (client.wire, incoming.wire)
@@ -105,15 +107,17 @@
             )
             if len(message) > MAX_MESSAGE_BYTES:
                 return False
-            for wire in wires:  # what comes from now on is for the one who goes on
+            for wire in wires:  # bytes from now on are for the process that continues the stream
                 wire.writer.transport.pause_reading()  # type: ignore[attr-defined]
             taken = False
             try:
-                held = [wire.writer.get_extra_info("socket").fileno() for wire in wires]
-                taken = await self._offer(message, held)
+                descriptors = [wire.writer.get_extra_info("socket").fileno() for wire in wires]
+                taken = await self._offer(message, descriptors)
             except (OSError, TimeoutError) as error:
                 log.warning(
-                    "stream_not_migrated", id=attempt.request.id, why=str(error) or "no answer"
+                    "stream_not_migrated",
+                    id=attempt.request.id,
+                    why=str(error) or "no reply in time",
                 )
             finally:
                 if taken:
@@ -139,16 +143,14 @@
 
 
 def is_quiescent(wire: HttpConnection) -> bool:
-    """Whether nothing is half done on it: all that was read is used, all that was written has
-    left.
-    """
+    """Return whether all bytes read were used and all bytes written have left."""
     reader = wire.reader
     ended = reader.at_eof() or reader.exception() is not None
     return not (ended or bool(getattr(reader, "_buffer", b"")) or wire.pending) and wire.written
 
 
 class StreamReceiver:
-    """The new process's side: takes over streams from the one before it."""
+    """The new process's side: takes over streams of the preceding one."""
 
     def __init__(
         self, path: Path, core: RequestDispatcher, front: Front, replicas: Replicas
@@ -163,7 +165,7 @@
             with short_socket_path(self.path) as path:
                 sock.bind(path)
             sock.listen(BACKLOG)
-        # guards against a start that fails for what is only needed at an upgrade
+        # the socket is only needed for an upgrade and must not prevent the start
         except OSError as error:
             log.error("stream_receiver_unavailable", why=str(error))
             sock.close()
@@ -180,36 +182,36 @@
             self.path.unlink(missing_ok=True)
 
     async def _handle_offer(self, offer: socket.socket) -> None:
-        loop, held = asyncio.get_running_loop(), list[socket.socket]()
+        loop, sockets = asyncio.get_running_loop(), list[socket.socket]()
         offer.setblocking(False)
         try:
             async with self.wheel.limit(OFFER_TIMEOUT_US):
                 message, descriptors = await receive_offer(offer)
-                held = [socket.socket(fileno=number) for number in descriptors]
-                stream = self._decode_stream(message, held)
+                sockets = [socket.socket(fileno=number) for number in descriptors]
+                stream = self._decode_stream(message, sockets)
                 offer.send(ACCEPTED)
                 if await loop.sock_recv(offer, 1) != CONFIRMED:
-                    raise ValueError("taken back")
-            client, replica = held
-            held = []
+                    raise ValueError("offer withdrawn")
+            client, replica = sockets
+            sockets = []
             await self._adopt(stream, client, replica)
         except (OSError, TimeoutError, ValueError, KeyError, TypeError, RecursionError) as error:
-            log.warning("stream_offer_rejected", why=str(error) or "no word")
+            log.warning("stream_offer_rejected", why=str(error) or "no reply in time")
         except Exception:
             log.exception("stream_migration_crashed")
         finally:
-            for sock in held:  # a copy: the other process's connection lives on
+            for sock in sockets:  # a duplicate: the other process's connection stays open
                 sock.close()
             offer.close()
 
-    def _decode_stream(self, message: bytes, held: list[socket.socket]) -> dict[str, Any]:
+    def _decode_stream(self, message: bytes, sockets: list[socket.socket]) -> dict[str, Any]:
         fields: Any = json.loads(message)
         known = isinstance(fields, dict) and fields["version"] in (VERSION, LOCAL_CLOCK_VERSION)
-        if not known or len(held) != 2:
-            raise ValueError("not a stream that this version knows")
+        if not known or len(sockets) != 2:
+            raise ValueError("unsupported message version, or not two connections")
         for name in ("id", "cls", "session", "server", "rest"):
             if not isinstance(fields[name], str):
-                raise ValueError(f"{name} is no text")
+                raise ValueError(f"{name} is not a string")
         for name in (
             "deadline_us",
             "prompt_tokens",
@@ -220,12 +222,12 @@
             "first_us",
         ):
             if type(fields[name]) is not int or fields[name] < 0:
-                raise ValueError(f"{name} is no number")
+                raise ValueError(f"{name} is not a non-negative integer")
         if fields["version"] != LOCAL_CLOCK_VERSION:
             for name in TIME_FIELDS:
                 fields[name] = self.core.clock.at_us(fields[name] * 1000)
         fields["rest"].encode("latin-1")
-        if fields["id"] in self.core.registry.by_id:  # guards against two answers under one id
+        if fields["id"] in self.core.registry.by_id:  # prevents two responses under one id
             raise ValueError("a request with this id is open")
         return cast("dict[str, Any]", fields)
 
@@ -235,7 +237,7 @@
         wire = await HttpConnection.from_socket(sock, h11.CLIENT)
         try:
             client_wire = await HttpConnection.from_socket(client_sock, h11.SERVER)
-        # guards against a replica kept at work for a client that can't be answered
+        # prevents a replica from working for a client that can't be answered
         except BaseException:
             wire.abort()
             raise
@@ -267,7 +269,7 @@
 
 
 async def receive_offer(sock: socket.socket) -> tuple[bytes, list[int]]:
-    """One message with the descriptors that came with it."""
+    """Receive one message with its descriptors."""
     loop, ready = asyncio.get_running_loop(), asyncio.Event()
     loop.add_reader(sock.fileno(), ready.set)
     try:
@@ -279,15 +281,13 @@
 
 
 def replica_address(wire: HttpConnection) -> Address:
-    """Where its other side listens; nowhere, if the connection has broken meanwhile."""
+    """Return the replica's address; ``NOWHERE`` if the connection has broken meanwhile."""
     name = wire.writer.get_extra_info("peername")
     return Address(str(name[0]), int(name[1])) if isinstance(name, tuple) else NOWHERE
 
 
 def restore_http_state(wire: HttpConnection, client_wire: HttpConnection, keep_alive: bool) -> None:
-    """Bring two fresh h11 machines to where those of the other process are: within a body in
-    chunks.
-    """
+    """Bring two new h11 state machines to the state of the other process's: within a chunked body."""
     wire.h11.send(h11.Request(method=b"GET", target=b"/", headers=[(b"host", b"x")]))
     wire.h11.send(h11.EndOfMessage())
     wire.h11.receive_data(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
--- a/onyxpass/net/tcp.py
+++ b/onyxpass/net/tcp.py
@@ -1,20 +1,19 @@
-"""What this kernel knows of bytes on their way over TCP."""
+"""The kernel's state of TCP connections: time since the last data, and acknowledgements."""
 
 import fcntl
 import socket
 import struct
 
-# bytes that the other side has not acknowledged, those not yet sent among them (tcp(7))
+# ioctl for the bytes not yet acknowledged, including those not yet sent (tcp(7))
 SIOCOUTQ = 0x5411
-TCP_INFO_SIZE = 56  # of struct tcp_info, up to the last field that is read here
-RTO_OFFSET, LAST_DATA_OFFSET = 8, 52  # its fields tcpi_rto and tcpi_last_data_recv
+TCP_INFO_SIZE = 56  # size of struct tcp_info up to the last field read here
+RTO_OFFSET, LAST_DATA_OFFSET = 8, 52  # offsets of tcpi_rto and tcpi_last_data_recv
 
 
 def tcp_info(sock: socket.socket) -> bytes | None:
-    """What the kernel tells of the connection; None where it tells nothing.
+    """Return struct tcp_info of a connection; None if the kernel does not provide it.
 
-    A kernel that keeps no retransmission time for the connection knows nothing of its other times
-    either.
+    A kernel that reports no retransmission timeout does not report the other times either.
     """
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_SIZE)
@@ -25,15 +24,16 @@
 
 
 def ms_since_last_data(sock: socket.socket) -> int | None:
-    """How long ago the last data came, or the connection, if none has; None where this can't be
-    told.
+    """Return the milliseconds since the last data arrived, or since the connection if none has.
+
+    None if unknown.
     """
     info = tcp_info(sock)
     return int(struct.unpack_from("=I", info, LAST_DATA_OFFSET)[0]) if info is not None else None
 
 
 def acknowledged(sock: socket.socket) -> bool | None:
-    """Whether the other side has acknowledged every byte; None where this can't be told."""
+    """Return whether the peer has acknowledged every byte; None if unknown."""
     if tcp_info(sock) is None:
         return None
     try:
--- a/onyxpass/net/unix.py
+++ b/onyxpass/net/unix.py
@@ -1,4 +1,4 @@
-"""Unix sockets, however deep the folder lies."""
+"""Unix sockets with paths of any length."""
 
 import os
 import socket
@@ -6,12 +6,15 @@
 from contextlib import contextmanager
 from pathlib import Path
 
-MAX_PATH_BYTES = 100  # bytes of a socket's path that every system takes
+MAX_PATH_BYTES = 100  # length of a socket path that every system accepts, in bytes
 
 
 @contextmanager
 def short_socket_path(path: Path) -> Iterator[str]:
-    """The path of a socket, in a form that is short enough however deep the folder lies."""
+    """Yield a path to the socket that is short enough for bind and connect.
+
+    A long path is replaced by one through a descriptor of its folder, valid within the block.
+    """
     if len(os.fsencode(path)) <= MAX_PATH_BYTES:
         yield str(path)
         return
@@ -23,8 +26,9 @@
 
 
 def listen_unix(path: Path, backlog: int) -> socket.socket:
-    """A listening stream socket that only this user may open; what a dead process left there is
-    replaced.
+    """Return a listening stream socket with access for this user only.
+
+    An existing file at the path is replaced.
     """
     path.unlink(missing_ok=True)
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
