--- a/onyxpass/hot_restart/__init__.py
+++ b/onyxpass/hot_restart/__init__.py
@@ -1,7 +1,7 @@
-"""Hot restart: what the processes of one dispatcher share while one replaces another.
+"""Hot restart: state that the processes of one dispatcher share while one replaces another.
 
-``process_registry`` owns this process's view of the others and is the only module that the rest of
-the program talks to, besides ``inherited_listener``. ``process_files``, ``shared_exclusions`` and
-``descriptor_limits`` hold one concern each. Streams in progress migrate by
-``onyxpass.net.stream_migration``.
+``process_registry`` owns this process's view of the others; besides ``inherited_listener`` it is
+the only module that the rest of the program uses. ``process_files``, ``shared_exclusions`` and
+``descriptor_limits`` each handle one concern. ``onyxpass.net.stream_migration`` migrates open
+streams.
 """
--- a/onyxpass/hot_restart/descriptor_limits.py
+++ b/onyxpass/hot_restart/descriptor_limits.py
@@ -1,7 +1,7 @@
-"""How the processes of one dispatcher share one limit of descriptors. Holds no state.
+"""Splits one limit of descriptors among the processes of a dispatcher. Holds no state.
 
-An older process yields what it does not hold; a younger one takes what the older ones publish that
-they have yielded. So at no moment may two processes hold much more than one alone.
+An older process yields the descriptors that it does not hold; a younger one uses what the older
+ones have published as yielded. So two processes never hold much more than one alone may.
 """
 
 from collections.abc import Sequence
@@ -9,8 +9,8 @@
 
 from onyxpass.hot_restart.process_files import OtherProcess
 
-MIN_SHARE_DIVISOR = 6  # a process may hold this part of the limit whatever the others hold
-OPEN_SOON = 4  # descriptors beyond those open now that an older process does not yield
+MIN_SHARE_DIVISOR = 6  # a process may always hold the total divided by this
+OPEN_SOON = 4  # descriptors that an older process keeps in reserve beyond those open now
 OWN_DESCRIPTORS = Path("/proc/self/fd")
 
 
@@ -19,7 +19,7 @@
 ) -> int:
     """Return how many descriptors this process may hold.
 
-    ``total`` is the limit of all processes together, ``current`` what this one may hold so far.
+    ``total`` is the limit of all processes together, ``current`` the present limit of this one.
     """
     if not others:
         return total
@@ -32,7 +32,7 @@
 
 
 def _limit_of(process: OtherProcess, total: int) -> int:
-    """Return what another process may hold: everything, until it has published a limit."""
+    """Return the limit of another process: the total until it has published one."""
     published = process.status.descriptor_limit
     return total if published is None else published
 
--- a/onyxpass/hot_restart/inherited_listener.py
+++ b/onyxpass/hot_restart/inherited_listener.py
@@ -1,4 +1,4 @@
-"""The clients' listening socket as a process inherits it from whoever started it."""
+"""The clients' listening socket, inherited from the parent process."""
 
 import socket
 
@@ -8,10 +8,10 @@
 
 
 def inherited_listener(descriptor: int | None) -> socket.socket | None:
-    """Return the listening socket behind ``descriptor``; None where there is none to be used.
+    """Return the listening socket behind ``descriptor``; None if there is none.
 
-    A descriptor that is no listening socket is left open: it belongs to somebody else. The socket
-    that is returned is closed on exec.
+    A descriptor that is not a listening socket is left open, because this process does not own it.
+    The returned socket is closed on exec.
     """
     if descriptor is None:
         return None
@@ -24,7 +24,7 @@
         _require_listening(sock)
         sock.set_inheritable(False)
     except OSError as error:
-        sock.detach()  # not ours to close, whatever it is
+        sock.detach()  # not owned by this process, so it stays open
         log.warning("inherited_socket_unusable", descriptor=descriptor, error=str(error))
         return None
     return sock
@@ -32,4 +32,4 @@
 
 def _require_listening(sock: socket.socket) -> None:
     if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-        raise OSError("it does not listen")
+        raise OSError("not a listening socket")
--- a/onyxpass/hot_restart/process_files.py
+++ b/onyxpass/hot_restart/process_files.py
@@ -1,8 +1,8 @@
-"""The files by which the processes of one dispatcher know of each other.
+"""Files through which the processes of one dispatcher find each other.
 
-Each process holds a lock on a file ``NUMBER-PID.process`` of its own for as long as it runs, and
-publishes its status there. Numbers grow, so names sort by the order of the starts. A file whose
-lock is free was left by a process that was killed, and whoever scans the folder removes it.
+Each process keeps a lock on its own file ``NUMBER-PID.process`` while it runs, and publishes its
+status there. Numbers increase, so names sort by start order. A file without a lock belonged to a
+process that was killed; a scan of the folder removes it.
 """
 
 import fcntl
@@ -14,15 +14,15 @@
 from pathlib import Path
 
 MAX_FILE_BYTES = 1024 * 1024
-STATUS_BYTES = 64  # padded, so that a shorter status leaves nothing of a longer one behind
+STATUS_BYTES = 64  # fixed size, so that a shorter status leaves no bytes of a longer one
 PROCESS_FILE = re.compile(r"(\d{20})-\d+\.process\Z")
 
 
 def next_process_name(folder: Path) -> str:
     """Return a name that sorts after those of all processes that have a file in the folder.
 
-    Prevents a stepped wall clock from changing the order of the starts: with names made of the
-    time, the old process took itself for the successor of the new one.
+    A number, unlike the time, keeps the start order after a step of the wall clock: with names made
+    of the time, the old process took itself for the successor of the new one.
     """
     matches = [PROCESS_FILE.match(path.name) for path in folder.glob("*.process")]
     number = 1 + max((int(match[1]) for match in matches if match), default=0)
@@ -31,33 +31,33 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessStatus:
-    """What a process publishes of itself; on disk ``{"seen": ..., "limit": ...}``."""
+    """Status that a process publishes; on disk ``{"seen": ..., "limit": ...}``."""
 
-    exclusions_version: int = -1  # version of the exclusions that it has in force
-    descriptor_limit: int | None = None  # descriptors that it may hold; None: not published yet
+    exclusions_version: int = -1  # version of the exclusions in force in it
+    descriptor_limit: int | None = None  # descriptors that it may hold; None: not yet published
 
     def to_json(self) -> bytes:
-        """Return the form on disk, padded to a fixed size."""
+        """Return the file format, padded to a fixed size."""
         fields = {"seen": self.exclusions_version, "limit": self.descriptor_limit}
         return json.dumps(fields).encode().ljust(STATUS_BYTES)
 
     @classmethod
     def from_json(cls, text: bytes) -> "ProcessStatus":
-        """Read the form on disk; ValueError, KeyError, TypeError or RecursionError if damaged."""
+        """Parse the file format; ValueError, KeyError, TypeError or RecursionError if damaged."""
         fields = json.loads(text)
         return cls(int(fields["seen"]), int(fields["limit"]))
 
 
 @dataclass(frozen=True, slots=True)
 class OtherProcess:
-    """Another process of this dispatcher that runs at present."""
+    """Another running process of this dispatcher."""
 
     name: str
     status: ProcessStatus
 
 
 class OwnProcessFile:
-    """This process's file. It is locked from ``create`` to ``remove``, or till the process ends."""
+    """This process's file, locked from ``create`` to ``remove`` or the end of the process."""
 
     def __init__(self, path: Path, descriptor: int) -> None:
         self.path = path
@@ -66,7 +66,7 @@
 
     @classmethod
     def create(cls, folder: Path) -> "OwnProcessFile":
-        """Create the folder if need be, and the file in it; OSError where that fails."""
+        """Create the file, and the folder if necessary; OSError on failure."""
         folder.mkdir(mode=0o700, parents=True, exist_ok=True)
         path = folder / next_process_name(folder)
         unlocked = path.with_suffix(".new")
@@ -80,14 +80,14 @@
         return cls(path, descriptor)
 
     def publish(self, status: ProcessStatus) -> None:
-        """Write the status if it has changed; OSError where that fails."""
+        """Write the status if it has changed; OSError on failure."""
         text = status.to_json()
         if text != self._published:
             os.pwrite(self._descriptor, text, 0)
             self._published = text
 
     def remove(self) -> None:
-        """Remove the file and release its lock. Nothing may be published afterwards."""
+        """Remove the file and release its lock; nothing may be published afterwards."""
         self.path.unlink(missing_ok=True)
         os.close(self._descriptor)
 
@@ -95,9 +95,9 @@
 def running_processes(
     folder: Path, own_name: str, known: Sequence[OtherProcess]
 ) -> list[OtherProcess]:
-    """Return the other processes in the order of their starts; remove what killed ones left.
+    """Return the other processes in start order; remove the files of killed ones.
 
-    A status that can't be read, because it is just being written, stays as in ``known``.
+    A status that can't be read, because it is being written, is taken from ``known``.
     """
     last_status = {process.name: process.status for process in known}
     running = []
@@ -109,7 +109,7 @@
 
 
 def _read_if_locked(path: Path) -> bytes | None:
-    """Return the file's text while its process runs; else remove the file and return None."""
+    """Return the file's text if its process runs; otherwise remove the file and return None."""
     try:
         descriptor = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
     except FileNotFoundError:
--- a/onyxpass/hot_restart/process_registry.py
+++ b/onyxpass/hot_restart/process_registry.py
@@ -1,8 +1,8 @@
-"""This process among the processes of its dispatcher, by a folder in ``$TMPDIR``.
+"""This process's view of all processes of its dispatcher, through a folder in ``$TMPDIR``.
 
 ``ProcessRegistry`` owns the view of the other processes, this process's file, its copy of the
-exclusions and its part of the descriptors, and refreshes them a few times a second. Without a
-folder there is no other process to know of, and everything is in memory.
+exclusions and its descriptor limit, and refreshes them 20 times a second. Without a folder no other
+process is visible, and all state is in memory.
 """
 
 import hashlib
@@ -22,19 +22,19 @@
 from onyxpass.hot_restart.shared_exclusions import SharedExclusions
 
 REFRESH_INTERVAL_US = 50_000
-MAX_SKIPPED_REFRESHES = 20  # in a row, while alone in a folder that has not changed
+MAX_SKIPPED_REFRESHES = 20  # consecutive, while alone and the folder is unchanged
 CONFIRMATION_INTERVAL_US = 5_000
-CONFIRMATION_TIMEOUT_US = 400_000  # an operator's call has 1 s in all
+CONFIRMATION_TIMEOUT_US = 400_000  # an operator's call must be answered within 1 s
 log = structlog.get_logger("hot_restart")
 
 
 class ProcessRegistry:
-    """This process's side. ``on_descriptor_limit`` is called with every new limit."""
+    """The registry of one process; calls ``on_descriptor_limit`` with each new limit."""
 
     def __init__(
         self, folder: Path | None, key: str, total_descriptors: int, wheel: TimerWheel
     ) -> None:
-        """Share with the processes of the same ``key``, in a folder of that key's own."""
+        """Share state with the processes of the same ``key``, in the folder of that key."""
         self.folder = _folder_of(key, folder) if folder is not None else None
         self.exclusions = SharedExclusions(self.folder, wheel)
         self.total_descriptors = total_descriptors
@@ -42,19 +42,19 @@
         self.on_descriptor_limit: Callable[[int], None] = lambda _: None
         self.others: list[OtherProcess] = []
         self.stopping = False
-        self.name = ""  # of this process's file; empty where it has none
+        self.name = ""  # name of this process's file; empty without one
         self._wheel = wheel
         self._own_file: OwnProcessFile | None = None
         self._folder_changed_ns = 0
         self._skipped_refreshes = 0
 
     def start(self) -> None:
-        """Register this process, apply what earlier ones saved, and refresh from now on."""
+        """Register this process, apply the saved state, and start periodic refreshes."""
         if self.folder is not None:
             try:
                 self._own_file = OwnProcessFile.create(self.folder)
                 self.name = self._own_file.path.name
-            except OSError as error:  # prevents a start that fails for want of a file
+            except OSError as error:  # an unusable folder must not prevent the start
                 log.error("process_folder_unusable", folder=str(self.folder), error=str(error))
                 self.folder = None
                 self.exclusions.folder = None
@@ -68,7 +68,7 @@
             self._own_file = None
 
     def resize(self, total_descriptors: int) -> None:
-        """Set another limit of descriptors for all processes of this dispatcher together."""
+        """Change the descriptor limit of all processes of this dispatcher together."""
         self.total_descriptors = total_descriptors
         self.refresh()
         if self.folder is None:
@@ -76,21 +76,20 @@
             self.on_descriptor_limit(total_descriptors)
 
     def migration_socket(self) -> Path | None:
-        """Return the path of the socket where this process accepts streams."""
+        """Return the path of the socket for streams migrated here; None without a folder."""
         return _migration_socket(self.folder, self.name) if self.folder is not None else None
 
     def successor_socket(self) -> Path | None:
-        """Return the path where the youngest process after this one accepts streams, if any."""
+        """Return the socket path of the youngest process after this one; None if there is none."""
         younger = [process.name for process in self.others if process.name > self.name]
         if self.folder is None or not younger:
             return None
         return _migration_socket(self.folder, max(younger))
 
     async def set_excluded(self, server: str, excluded: bool) -> bool:
-        """Exclude a server, or include it again.
+        """Exclude a server or include it again, in this process in any case.
 
-        True once that is saved and in force in every process. It is in force in this one in any
-        case.
+        True once that is saved and in force in every process.
         """
         if not await self.exclusions.change(server, excluded=excluded):
             return False
@@ -100,7 +99,7 @@
         return await self._confirmed(self.folder)
 
     def refresh(self) -> None:
-        """Look at what other processes have published, apply it, and publish this one's status."""
+        """Read what other processes have published, apply it, and publish this process's status."""
         self._skipped_refreshes = 0
         if self.folder is None:
             return
@@ -119,13 +118,13 @@
         try:
             if self._may_have_changed():
                 self.refresh()
-        finally:  # prevents one failed refresh from being the last
+        finally:  # one failed refresh must not stop the later ones
             self._schedule_refresh()
 
     def _may_have_changed(self) -> bool:
-        """Return False while this process is alone and its folder has not changed.
+        """Return False while this process is alone and its folder is unchanged.
 
-        Prevents listing and reading files twenty times a second all day for the sake of a restart.
+        Avoids listing and reading files 20 times a second all day only for the case of a restart.
         """
         self._skipped_refreshes += 1
         if self.folder is None or self.others or self.stopping:
@@ -165,7 +164,7 @@
             log.warning("process_status_not_published", error=str(error))
 
     async def _confirmed(self, folder: Path) -> bool:
-        """Wait until every other process has this version of the exclusions in force."""
+        """Wait until every other process has this version in force; False after a timeout."""
         deadline_us = self._wheel.clock.now_us() + CONFIRMATION_TIMEOUT_US
         version = self.exclusions.version
         while True:
--- a/onyxpass/hot_restart/shared_exclusions.py
+++ b/onyxpass/hot_restart/shared_exclusions.py
@@ -1,7 +1,7 @@
-"""The servers that operators have excluded, in force in all processes of one dispatcher.
+"""Servers excluded by operators, in force in all processes of one dispatcher.
 
-They are one file, ``excluded.json``, changed under a lock and renamed into place, with a version
-that grows by one at each change. ``SharedExclusions`` owns this process's copy.
+They are kept in one file, ``excluded.json``, which is changed under a lock and replaced by rename;
+its version increases by one with each change. ``SharedExclusions`` owns this process's copy.
 """
 
 import fcntl
@@ -30,30 +30,30 @@
     servers: frozenset[str] = frozenset()
 
     def to_json(self) -> str:
-        """Return the form on disk."""
+        """Return the file format."""
         return json.dumps({"version": self.version, "excluded": sorted(self.servers)})
 
     @classmethod
     def from_json(cls, text: bytes) -> "ExclusionList":
-        """Read the form on disk; ValueError, KeyError, TypeError or RecursionError if damaged."""
+        """Parse the file format; ValueError, KeyError, TypeError or RecursionError if damaged."""
         raw: Any = json.loads(text)
         version = int(raw["version"])
         names = raw["excluded"]
         if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
-            raise ValueError("not a list of names")
+            raise ValueError("excluded is not a list of names")
         return cls(version, frozenset(names))
 
     def changed(self, server: str, *, excluded: bool, version: int) -> "ExclusionList":
-        """Return the list of ``version`` with one server excluded or included again."""
+        """Return a list of ``version`` with one server excluded or included again."""
         servers = self.servers | {server} if excluded else self.servers - {server}
         return ExclusionList(version, servers)
 
 
 class SharedExclusions:
-    """This process's copy of the exclusions. ``on_change`` is called with every new set."""
+    """This process's copy of the exclusions; calls ``on_change`` with each new set."""
 
     def __init__(self, folder: Path | None, wheel: TimerWheel) -> None:
-        """Keep the file in ``folder``; with None the exclusions live in memory only."""
+        """Use the file in ``folder``; if None, keep the exclusions in memory only."""
         self.folder = folder
         self.current = ExclusionList()
         self.on_change: Callable[[frozenset[str]], None] = lambda _: None
@@ -62,7 +62,7 @@
 
     @property
     def version(self) -> int:
-        """The version that is in force in this process."""
+        """The version in force in this process."""
         return self.current.version
 
     @property
@@ -71,7 +71,7 @@
         return self.current.servers
 
     def refresh(self, folder: Path) -> None:
-        """Apply the file if it has changed since the last time; OSError where it can't be read."""
+        """Apply the file if it has changed since the last refresh; OSError if it can't be read."""
         path = _file_in(folder)
         try:
             stat = path.stat()
@@ -83,9 +83,9 @@
             self._apply(self._read(path))
 
     async def change(self, server: str, *, excluded: bool) -> bool:
-        """Exclude a server, or include it again, in this process at once. True once it is saved.
+        """Exclude a server or include it again, in this process at once; True once it is saved.
 
-        Where it can't be saved it is in force in this process all the same, under the old version.
+        If it can't be saved, it is in force in this process under the old version.
         """
         if self.folder is None:
             version = self.version + 1
@@ -108,7 +108,7 @@
             changed = saved.changed(server, excluded=excluded, version=saved.version + 1)
             temporary = path.with_suffix(".new")
             temporary.write_text(changed.to_json())
-            temporary.replace(path)  # prevents a reader from seeing half a file
+            temporary.replace(path)  # atomic: no reader sees a partial file
             self._apply(changed)
         finally:
             os.close(lock)
@@ -121,15 +121,15 @@
                 fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
             except BlockingIOError:
                 if self._wheel.clock.now_us() >= deadline_us:
-                    raise OSError("the other process holds the lock") from None
+                    raise OSError("another process holds the lock") from None
                 await self._wheel.sleep(LOCK_RETRY_US)
             else:
                 return
 
     def _read(self, path: Path) -> ExclusionList:
-        """Return what is saved; where there is nothing of use, what is in force in this process.
+        """Return the saved list; without a valid file, the one in force in this process.
 
-        Prevents a damaged file from failing a start.
+        A damaged file must not prevent the start.
         """
         try:
             with path.open("rb") as file:
--- a/onyxpass/net/connections.py
+++ b/onyxpass/net/connections.py
@@ -25,8 +25,8 @@
 
 MAX_EXAMINED = 16  # candidates examined in one search for a connection without unread bytes
 MIN_AGE_US = 150_000  # a request may still be in transit this long after the stage began
-# Stages whose connections may be closed for a new one, in this order, and the minimum time in the
-# stage.
+# Stages whose connections may be closed for a new one, the least valuable first, and the minimum
+# time in the stage.
 DISPLACEMENT_ORDER = (
     (Stage.LEAVING, 0),
     (Stage.NEW, MIN_AGE_US),
--- a/onyxpass/net/control.py
+++ b/onyxpass/net/control.py
@@ -56,12 +56,12 @@
             )
         return await self._set_excluded(query, path == b"/api/exclude")
 
-    async def _set_excluded(self, query: bytes, out: bool) -> Reply:
+    async def _set_excluded(self, query: bytes, excluded: bool) -> Reply:
         try:
-            named = parse_qs(query.decode("ascii"), True, strict_parsing=True, errors="strict")
+            parameters = parse_qs(query.decode("ascii"), True, strict_parsing=True, errors="strict")
         except ValueError:
             return 400, b"the query can't be read\n"
-        hosts = named.get("host", [])
+        hosts = parameters.get("host", [])
         if len(hosts) != 1 or not hosts[0]:
             return 400, b"one host is to be named: ?host=ID\n"
         # Prevents an exclusion that can't be undone because its replica has left the list.
@@ -70,8 +70,8 @@
             and hosts[0] not in self.core.endpoints.excluded
         ):
             return 404, b"no such replica\n"
-        done = await self.exclude(hosts[0], out)
-        log.info("exclude" if out else "include", server=hosts[0], done=done)
+        done = await self.exclude(hosts[0], excluded)
+        log.info("exclude" if excluded else "include", server=hosts[0], done=done)
         return (
             (200, b"done\n")
             if done
--- a/onyxpass/net/front.py
+++ b/onyxpass/net/front.py
@@ -488,9 +488,7 @@
             return b""
 
     async def stop(self) -> None:
-        """Shut down as planned: accept no new connections and return once all requests are
-        answered.
-        """
+        """Accept no new connections; return once all requests are answered."""
         began_us, self.closing = self.clock.now_us(), True
         longest_us = min(
             MAX_SHUTDOWN_DEADLINE_US,
--- a/onyxpass/net/http.py
+++ b/onyxpass/net/http.py
@@ -201,12 +201,13 @@
 
 
 def poll_socket(writer: asyncio.StreamWriter, events: int) -> int:
-    """Return those of ``events``, or an error or hang-up, that the kernel reports on an open
-    connection.
+    """Return the events that the kernel reports on a connection that is open here.
+
+    These are those of ``events``, an error, or a hang-up.
     """
-    asked = select.poll()
-    asked.register(writer.get_extra_info("socket"), events)
-    return sum(found for _, found in asked.poll(0))
+    poller = select.poll()
+    poller.register(writer.get_extra_info("socket"), events)
+    return sum(returned for _, returned in poller.poll(0))
 
 
 async def drain_input(
--- a/onyxpass/net/http_server.py
+++ b/onyxpass/net/http_server.py
@@ -39,8 +39,9 @@
 
 
 class CallServer:
-    """Base of the API servers: subclasses define ``answer``, and the media type in
-    ``content_type``.
+    """Base of the API servers.
+
+    A subclass defines ``answer``, and the media type of its responses in ``content_type``.
     """
 
     content_type = TEXT
@@ -92,11 +93,11 @@
 
     def _make_room(self) -> bool:
         """Displace the oldest call whose request is incomplete; False if there is none."""
-        eldest = next((task for task, whole in self.calls.items() if not whole), None)
-        if eldest is not None:
-            del self.calls[eldest]
-            eldest.cancel()
-        return eldest is not None
+        oldest = next((task for task, complete in self.calls.items() if not complete), None)
+        if oldest is not None:
+            del self.calls[oldest]
+            oldest.cancel()
+        return oldest is not None
 
     async def _serve_call(self, sock: socket.socket) -> None:
         wire: HttpConnection | None = None
@@ -178,9 +179,7 @@
 def integer_field(
     call: Mapping[str, Any], name: str, fallback: int, maximum: int, *, minimum: int = 0
 ) -> int:
-    """Return an integer field of a call; ``ApiError`` 400 if it is not an integer within its
-    bounds.
-    """
+    """Return an integer field of a call; ``ApiError`` 400 if invalid or out of its bounds."""
     value = call.get(name, fallback)
     if type(value) is not int or not minimum <= value <= maximum:
         raise ApiError(400, f"{name} must be a whole number from {minimum} to {maximum}")
--- a/onyxpass/net/listen.py
+++ b/onyxpass/net/listen.py
@@ -38,8 +38,9 @@
 
 
 class Backoff:
-    """Exponential backoff between retries; short at first, because most resource shortages are
-    short.
+    """Exponential backoff between retries.
+
+    It is short at first, because most resource shortages are short.
     """
 
     def __init__(self) -> None:
@@ -54,7 +55,10 @@
 
 
 class Listener:
-    """A listening socket, which another process may share. ``accept`` may be cancelled at any time."""
+    """A listening socket, which another process may share.
+
+    ``accept`` may be cancelled at any time.
+    """
 
     def __init__(self, sock: socket.socket, backlog: int = socket.SOMAXCONN) -> None:
         """``backlog`` is the length of the kernel's accept queue."""
@@ -128,9 +132,9 @@
     @property
     def has_pending(self) -> bool:
         """Whether a connection is queued."""
-        asked = select.poll()
-        asked.register(self.sock, select.POLLIN)
-        return bool(asked.poll(0))
+        poller = select.poll()
+        poller.register(self.sock, select.POLLIN)
+        return bool(poller.poll(0))
 
     async def wait_readable(self) -> None:
         """Wait until a connection is queued; another process may accept it first."""
@@ -165,8 +169,9 @@
         return self.sock.fileno() < 0
 
     def close(self) -> None:
-        """Close this process's descriptor only: ``shutdown`` would end the socket for the other
-        process.
+        """Close this process's descriptor.
+
+        ``shutdown`` would end the socket for the other process too.
         """
         self._unwatch()
         self.sock.close()
--- a/onyxpass/net/replicas.py
+++ b/onyxpass/net/replicas.py
@@ -32,16 +32,16 @@
         self.successor: StreamSuccessor | None = None
         self.budget = ConnectionBudget(max_connections, make_room=self._make_room)
 
-    def set_address(self, name: str, address: Address, removed: bool) -> None:
+    def set_address(self, name: str, address: Address, left: bool) -> None:
         """Set a replica's address by the endpoint list; ``left``: it has left the list."""
         if (actor := self.actors.get(name)) is None:
             self._add_replica(name, address)
         else:
-            actor.tell(AddressChanged(address, removed))
+            actor.tell(AddressChanged(address, left))
 
-    def member(self, server: contract.Endpoint, address: Address, removed: bool) -> None:
-        """Add, update or remove a server by a source of membership."""
-        self.set_address(server.id, address, removed)
+    def member(self, server: contract.Endpoint, address: Address, left: bool) -> None:
+        """Set a server's address by a source of membership; ``left``: it has left the source."""
+        self.set_address(server.id, address, left)
 
     def _add_replica(self, name: str, address: Address) -> Replica:
         actor = Replica(name, address, self.core, self.budget, self.connect_us, self.idle_us)
--- a/onyxpass/net/request_parser.py
+++ b/onyxpass/net/request_parser.py
@@ -70,10 +70,10 @@
     No replica can use it, and its rejection there would look like a failure of the replica.
     """
     try:
-        sound = isinstance(json.loads(text), dict)
+        is_object = isinstance(json.loads(text), dict)
     except (ValueError, RecursionError):
-        sound = False
-    if not sound:
+        is_object = False
+    if not is_object:
         raise BadRequest("the body is no JSON object")
 
 
--- a/onyxpass/net/response_reader.py
+++ b/onyxpass/net/response_reader.py
@@ -129,8 +129,9 @@
     """Splits a body into complete server-sent events, unchanged; the first one is validated."""
 
     def __init__(self, partial: bytes | None = None) -> None:
-        """``partial`` holds the bytes received of the next event, if the first event was seen
-        elsewhere.
+        """Start a stream, or continue one whose first event was seen elsewhere.
+
+        ``partial`` holds the bytes received of the next event in the second case.
         """
         self._partial = bytearray(partial or b"")
         self._opened = partial is not None
@@ -159,9 +160,7 @@
         return whole
 
     def tokens(self) -> int:
-        """Return the completion tokens of the response by its last events; 0 if they do not state
-        it.
-        """
+        """Return the completion tokens by the last events; 0 if they do not state them."""
         told = USAGE_PATTERN.findall(self.tail)
         return min(BODY_LIMIT, int(told[-1])) if told else 0
 
--- a/onyxpass/net/stream_migration.py
+++ b/onyxpass/net/stream_migration.py
@@ -34,7 +34,7 @@
 # times were on the sender's own clock, which other processes need not share
 LOCAL_CLOCK_VERSION = 1
 MAX_MESSAGE_BYTES = 64 * 1024
-MAX_CONCURRENT_OFFERS = 4  # streams migrated concurrently
+MAX_CONCURRENT_OFFERS = 4
 MAX_FAILED_OFFERS = 8  # failed offers after which no more are made
 OFFER_TIMEOUT_US = 300_000  # from the offer to the other process's reply
 BACKLOG = 64
@@ -43,7 +43,7 @@
 log = structlog.get_logger("succession")
 
 
-def encode_stream(attempt: Attempt, rest: bytes, keep_alive: bool, clock: Clock) -> bytes:
+def encode_stream(attempt: Attempt, partial_event: bytes, keep_alive: bool, clock: Clock) -> bytes:
     """Encode what the other process needs to know of a stream besides its two connections.
 
     Times are on the monotonic clock, which all processes of a machine share and nobody sets.
@@ -65,7 +65,7 @@
         "first_us": attempt.first_event_us,
         "parts": attempt.event_count,
         "gap_us": attempt.longest_gap_us,
-        "rest": rest.decode("latin-1"),
+        "rest": partial_event.decode("latin-1"),
         "keeps": keep_alive,
     }
     return json.dumps(fields).encode()
@@ -89,9 +89,8 @@
         client = attempt.request.client
         if not isinstance(client, HttpClient) or not client.stream_begun:
             return False
-        if (
-            self.failures >= MAX_FAILED_OFFERS
-        ):  # prevents delays of streams by offers that nobody accepts
+        # prevents delays of streams by offers that nobody accepts
+        if self.failures >= MAX_FAILED_OFFERS:
             return False
         async with self.offer_slots:
             wires = (client.wire, incoming.wire)
@@ -263,8 +262,8 @@
         )
         self.core.adopt_stream(request, attempt)
         self.front.adopt(client_wire, client, request)
-        rest = EventSplitter(fields["rest"].encode("latin-1"))
-        self.replicas.adopt(attempt, AdoptedStream(wire, rest), replica_address(wire))
+        events = EventSplitter(fields["rest"].encode("latin-1"))
+        self.replicas.adopt(attempt, AdoptedStream(wire, events), replica_address(wire))
         log.info("stream_adopted", id=request.id, server=attempt.server)
 
 
@@ -287,7 +286,7 @@
 
 
 def restore_http_state(wire: HttpConnection, client_wire: HttpConnection, keep_alive: bool) -> None:
-    """Bring two new h11 state machines to the state of the other process's: within a chunked body."""
+    """Bring two new h11 state machines to the state of the old process's: within a chunked body."""
     wire.h11.send(h11.Request(method=b"GET", target=b"/", headers=[(b"host", b"x")]))
     wire.h11.send(h11.EndOfMessage())
     wire.h11.receive_data(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
