--- a/tests/hot_restart/test_inherited_listener.py
+++ b/tests/hot_restart/test_inherited_listener.py
@@ -1,4 +1,4 @@
-"""What waits in the queue of a socket that a process inherits may be older than the process."""
+"""Connections queued at an inherited socket may be older than the process."""
 
 import asyncio
 import re
@@ -11,58 +11,63 @@
 
 WAITED_S = 1.5
 WAIT_MS = 5_000
-# A client that stops in the middle is owed its end 3 s after it did; its wait in the queue counts.
-ENDED_MOST_S = 2.2
+# A client that stops within its request must be ended 3 s after that; its time in the queue counts.
+MAX_END_S = 2.2
 SLACK_MS = 150
 
 
-async def start_on(path: Path, passed: socket.socket) -> Process:
-    """A dispatcher that inherits its clients' socket."""
-    descriptor = passed.fileno()
+async def start_with_socket(path: Path, inherited: socket.socket) -> Process:
+    """Start a dispatcher that inherits its clients' socket."""
+    descriptor = inherited.fileno()
     environment = {"ROUTER_PASSED_SOCKET": str(descriptor)}
     return await Process.start(
         "serve", "--config", str(path), environment=environment, pass_fds=(descriptor,)
     )
 
 
-def test_a_request_that_waited_for_the_next_process_tells_what_is_left(tmp_path: Path) -> None:
+def test_a_request_that_waited_for_the_next_process_tells_the_time_left(tmp_path: Path) -> None:
     async def go() -> None:
         reader, writer = Replica(READ), Replica(STREAM)
         async with parties(tmp_path, [reader], [writer]) as (path, _):
-            with socket.create_server(("127.0.0.1", 0)) as passed:
-                async with connection(passed.getsockname()[1]) as (source, sink):
+            with socket.create_server(("127.0.0.1", 0)) as inherited:
+                async with connection(inherited.getsockname()[1]) as (source, sink):
                     sink.write(ask("a1", "a", ms=WAIT_MS, close=True))
                     sent_s = time.monotonic()
                     await asyncio.sleep(WAITED_S)
-                    process = await start_on(path, passed)
+                    process = await start_with_socket(path, inherited)
                     assert (await source.read()).startswith(b"HTTP/1.1 200")
                     waited_ms = (time.monotonic() - sent_s) * 1000
                 for head in (*reader.heads, *writer.heads):
-                    (told,) = re.findall(rb"(?i)x-timeout-ms: (\d+)", head)
-                    assert int(told) <= WAIT_MS - 1000 * WAITED_S + SLACK_MS, (told, waited_ms)
+                    (timeout_ms,) = re.findall(rb"(?i)x-timeout-ms: (\d+)", head)
+                    assert int(timeout_ms) <= WAIT_MS - 1000 * WAITED_S + SLACK_MS, (
+                        timeout_ms,
+                        waited_ms,
+                    )
                 assert await process.end() == 0
 
     run(go())
 
 
-def test_a_client_that_stopped_in_the_middle_is_not_owed_its_time_anew_by_the_next_process(
+def test_the_time_in_the_queue_counts_for_a_client_that_stopped_within_its_request(
     tmp_path: Path,
 ) -> None:
-    """Found in a soak: half a request had waited for the next process for 1.4 s and was ended 4.1 s
-    after its client had stopped; the process gave it the whole time of a new connection.
+    """Guards against a new process that gives a queued client the whole time of a new connection.
+
+    In a soak, half a request had waited for the next process for 1.4 s and was ended 4.1 s after
+    its client had stopped.
     """
 
     async def go() -> None:
         async with parties(tmp_path, [Replica(READ)], [Replica(STREAM)]) as (path, _):
-            with socket.create_server(("127.0.0.1", 0)) as passed:
-                async with connection(passed.getsockname()[1]) as (source, sink):
+            with socket.create_server(("127.0.0.1", 0)) as inherited:
+                async with connection(inherited.getsockname()[1]) as (source, sink):
                     sink.write(ask("a1", "a", ms=WAIT_MS)[:-40])
                     await asyncio.sleep(WAITED_S)
-                    process = await start_on(path, passed)
+                    process = await start_with_socket(path, inherited)
                     await process.line("listening")
                     listening_s = time.monotonic()
                     await source.read()
-                    assert time.monotonic() - listening_s <= ENDED_MOST_S
+                    assert time.monotonic() - listening_s <= MAX_END_S
                 assert await process.end() == 0
 
     run(go())
--- a/tests/test_client_time.py
+++ b/tests/test_client_time.py
@@ -1,5 +1,6 @@
-"""What a client's time counts from, and that what was read of it is answered, on loopback
-sockets.
+"""The start of a client's time limit, and answers to all requests that were read.
+
+All over loopback sockets.
 """
 
 import asyncio
@@ -30,20 +31,20 @@
 
 
 def run(test: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """On the loop that a dispatcher has."""
+    """Run a test on the event loop of a dispatcher."""
     with asyncio.Runner(loop_factory=event_loop.make) as runner:
         runner.run(asyncio.wait_for(test(), 30))
 
 
 def deadlines(core: RequestDispatcher) -> list[int]:
-    """Fills with the deadline of each request that the core is given."""
+    """Return a list that receives the deadline of each request submitted to the core."""
     found, submit = list[int](), core.submit
 
-    def noted(request_id: str, arrival: contract.Arrival, *more: Any) -> Request:
+    def record(request_id: str, arrival: contract.Arrival, *more: Any) -> Request:
         found.append(arrival.deadline_us)
         return submit(request_id, arrival, *more)
 
-    core.submit = noted  # type: ignore[method-assign]
+    core.submit = record  # type: ignore[method-assign]
     return found
 
 
@@ -54,7 +55,10 @@
 
 @contextmanager
 def connected(w: World) -> Iterator[socket.socket]:
-    """Closed also where the test fails: the dispatcher's end waits for its clients."""
+    """Yield a client that is closed even if the test fails.
+
+    Otherwise the end of the dispatcher would wait for it.
+    """
     client = socket.create_connection(("127.0.0.1", w.port))
     try:
         yield client
@@ -62,21 +66,22 @@
         client.close()
 
 
-def test_the_wait_of_a_new_connection_counts_as_the_clients_time() -> None:
+def test_the_time_in_the_accept_queue_counts_as_the_clients_time() -> None:
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
             found, clock = deadlines(w.dispatcher.core), w.dispatcher.clock
             with connected(w) as client:
                 client.sendall(ask("a1", ms=WAIT_MS))
                 sent_us = clock.now_us()
-                time.sleep(STALL_S)  # the loop has no turn: the connection waits in the kernel
+                # the event loop has no turn: the connection waits in the kernel
+                time.sleep(STALL_S)
                 assert (await answer(client)).startswith(b"HTTP/1.1 200")
             assert found[0] <= sent_us + WAIT_MS * 1000
 
     run(go)
 
 
-def test_the_wait_of_a_kept_connection_counts_as_the_clients_time() -> None:
+def test_the_time_unread_on_an_open_connection_counts_as_the_clients_time() -> None:
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
             found, clock = deadlines(w.dispatcher.core), w.dispatcher.clock
@@ -97,7 +102,7 @@
     run(go)
 
 
-def test_a_quiet_time_before_a_request_is_not_counted() -> None:
+def test_idle_time_before_a_request_does_not_count() -> None:
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
             found, clock = deadlines(w.dispatcher.core), w.dispatcher.clock
@@ -112,7 +117,7 @@
     run(go)
 
 
-def test_the_wait_of_a_json_rpc_call_counts_as_the_clients_time() -> None:
+def test_the_time_unread_of_a_json_rpc_call_counts_as_the_clients_time() -> None:
     async def go() -> None:
         async with test_toolcalls.world() as w:
             service: Any = w.service
@@ -138,9 +143,10 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_the_bound_of_a_connections_wait_is_never_too_late(seed: int) -> None:
-    """Random connects and takes: the bound lies before the connect, and after an empty queue
-    behind that.
+def test_the_lower_bound_of_a_connections_queueing_is_never_too_late(seed: int) -> None:
+    """Random connects and accepts.
+
+    The bound lies before the connect, and after the last time the queue was empty.
     """
     chance = random.Random(seed)
     listener = Listener.at("127.0.0.1", 0, 16)
@@ -163,18 +169,18 @@
     listener.close()
 
 
-class Scripted:
-    """As much of a wire as a search for room looks at."""
+class StubConnection:
+    """The attributes of a connection that the search for a displaceable one uses."""
 
     def __init__(self, unread: bool) -> None:
         self.unread, self.hung_up, self.read_count = unread, False, 1
 
 
-def test_what_has_been_read_is_not_closed_for_a_newcomer_and_the_eldest_goes_first() -> None:
+def test_connections_with_unread_bytes_are_not_displaced_and_the_oldest_goes_first() -> None:
     async def go() -> None:
         held, made = ClientConnections(), []
         for n in range(6):
-            wire: Any = Scripted(unread=n == 0)
+            wire: Any = StubConnection(unread=n == 0)
             connection = ClientConnection(since_us=n, due_us=0, wire=wire)
             made.append(connection)
             held.add(asyncio.create_task(asyncio.sleep(0)), connection)
@@ -184,14 +190,14 @@
         while (found := held.take_displaceable(10**9)) is not None:
             order.append(made.index(found[1]))
         assert order == [3, 4, 5, 2], (
-            "new ones before idle ones; never what is unread or being served"
+            "new ones before idle ones; never one with unread bytes or an open request"
         )
         assert len(held) == 2 and held.count(Stage.OPEN, Stage.LEAVING) == 1
 
     asyncio.run(go())
 
 
-def test_a_request_that_comes_as_a_new_connection_is_given_up_is_answered() -> None:
+def test_a_request_that_arrives_as_its_connection_times_out_is_answered() -> None:
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
             opened = w.dispatcher.front.connections
@@ -200,13 +206,13 @@
                 (connection,) = opened.values()
                 client.sendall(ask("a1"))
                 assert connection.wait_limit is not None
-                connection.wait_limit.expire()  # before the loop has had a turn to read it
+                connection.wait_limit.expire()  # before the event loop has had a turn to read it
                 assert (await answer(client)).startswith(b"HTTP/1.1 200")
 
     run(go)
 
 
-def test_a_fault_of_our_own_still_gives_the_request_its_answer(
+def test_an_internal_error_still_answers_the_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def go() -> None:
@@ -223,10 +229,8 @@
     run(go)
 
 
-def test_a_crowd_frees_no_request_of_its_answer() -> None:
-    """Connections that ask nothing, or half of something, hold every place; each request still
-    ends.
-    """
+def test_a_crowd_of_connections_does_not_keep_requests_from_their_answers() -> None:
+    """Connections without a request, or with half of one, hold every slot; each request still ends."""
 
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
@@ -246,7 +250,7 @@
     run(go)
 
 
-def test_a_wire_tells_what_is_unread() -> None:
+def test_a_connection_reports_unread_bytes() -> None:
     async def go() -> None:
         ours, theirs = socket.socketpair()
         ours.setblocking(False)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,5 +1,6 @@
-"""Where two events cross, forced over loopback sockets: one test for each line of
-docs/CROSSINGS.md.
+"""Race conditions between two events, forced over loopback sockets.
+
+Each line of docs/CROSSINGS.md has a test here or in ``test_crossings_*``.
 """
 
 import socket
@@ -11,8 +12,8 @@
 from onyxpass.net.listen import Listener
 
 
-def held_back(wire: HttpConnection) -> bool:
-    """Whether the system may keep small writes till earlier ones are acknowledged."""
+def delays_small_writes(wire: HttpConnection) -> bool:
+    """Return whether the kernel may delay small writes until earlier ones are acknowledged."""
     return not wire.writer.get_extra_info("socket").getsockopt(
         socket.IPPROTO_TCP, socket.TCP_NODELAY
     )
@@ -21,7 +22,7 @@
 # Streams
 
 
-def test_no_write_is_held_back_by_the_system_on_either_side() -> None:
+def test_small_writes_are_not_delayed_by_the_kernel_on_either_side() -> None:
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
             reader, writer = await w.send(ask("a1"))
@@ -31,15 +32,17 @@
                 idle.wire for actor in w.dispatcher.replicas.actors.values() for idle in actor.idle
             ]
             assert len(clients) == 1 and len(kept) == 2
-            assert not [wire for wire in (*clients, *kept) if wire is None or held_back(wire)]
+            assert not [
+                wire for wire in (*clients, *kept) if wire is None or delays_small_writes(wire)
+            ]
             writer.close()
         with socket.create_server(("127.0.0.1", 0)) as bound:
-            # as a socket that is inherited arrives
-            passed = Listener(socket.socket(fileno=bound.detach()))
-            with socket.create_connection(("127.0.0.1", passed.port)):
-                adopted = await HttpConnection.from_socket(await passed.accept(), h11.SERVER)
-                assert not held_back(adopted)
+            # as an inherited socket arrives
+            inherited = Listener(socket.socket(fileno=bound.detach()))
+            with socket.create_connection(("127.0.0.1", inherited.port)):
+                adopted = await HttpConnection.from_socket(await inherited.accept(), h11.SERVER)
+                assert not delays_small_writes(adopted)
                 adopted.abort()
-            passed.close()
+            inherited.close()
 
     run(go)
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -1,6 +1,4 @@
-"""Crossings at clients' connections: leaving, shutdown and closing, forced over loopback
-sockets.
-"""
+"""Races at client connections: disconnects, shutdown and closing, over loopback sockets."""
 
 import asyncio
 import json
@@ -20,35 +18,41 @@
 from onyxpass.scheduling import contract
 
 
-def raw(w: World, text: bytes = b"") -> socket.socket:
-    """A client with no loop of its own: what it does is in the kernel before the dispatcher has
-    a turn.
+def raw_client(w: World, text: bytes = b"") -> socket.socket:
+    """Return a client socket outside the event loop.
+
+    What it does is in the kernel before the dispatcher has a turn.
     """
     sock = socket.create_connection(("127.0.0.1", w.port))
     sock.sendall(text)
     return sock
 
 
-async def received(sock: socket.socket, till: bytes = b"") -> bytes:
-    """What comes, up to the end or up to ``till``; a reset raises."""
+async def received(sock: socket.socket, until_bytes: bytes = b"") -> bytes:
+    """Return the bytes received up to the end of the stream or ``until_bytes``; a reset raises."""
     loop, found = asyncio.get_running_loop(), b""
     sock.setblocking(False)
-    while (till == b"" or till not in found) and (part := await loop.sock_recv(sock, 65536)):
+    while (until_bytes == b"" or until_bytes not in found) and (
+        part := await loop.sock_recv(sock, 65536)
+    ):
         found += part
     return found
 
 
-# Clients that leave
+# Disconnects
+
 
+def hold_connects(w: World, name: str) -> tuple[asyncio.Event, asyncio.Event]:
+    """Hold connections to a server after they are established.
 
-def held_dial(w: World, name: str) -> tuple[asyncio.Event, asyncio.Event]:
-    """Dials to that server are up at the first event and go on at the second."""
+    The first event tells that one is up, the second lets it go on.
+    """
     up, go_on = asyncio.Event(), asyncio.Event()
     actor = w.dispatcher.replicas.actors[name]
-    dial = actor._open
+    connect = actor._open
 
     async def held(timeout_us: int | None = None) -> Any:
-        wire = await dial(timeout_us)
+        wire = await connect(timeout_us)
         up.set()
         await go_on.wait()
         return wire
@@ -58,14 +62,14 @@
 
 
 @pytest.mark.parametrize("at", ["r0", "w0"])
-def test_nothing_goes_out_for_a_client_that_left_during_the_dial(at: str) -> None:
+def test_nothing_is_sent_for_a_client_that_left_during_the_connect(at: str) -> None:
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
-            up, go_on = held_dial(w, at)
-            client = raw(w, ask("a1"))
+            up, go_on = hold_connects(w, at)
+            client = raw_client(w, ask("a1"))
             await up.wait()
             client.close()
-            go_on.set()  # in the same step, so the loop has not heard of the close
+            go_on.set()  # in the same step, so the event loop has not seen the close
             await until(
                 lambda: w.dispatcher.core.metrics.taken and not w.dispatcher.core.registry.by_number
             )
@@ -76,13 +80,13 @@
     run(go)
 
 
-def test_nothing_goes_out_for_clients_that_send_and_go_at_once() -> None:
+def test_nothing_is_sent_for_clients_that_send_and_disconnect_at_once() -> None:
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
-            # connections are kept, so no dial gives the loop time
+            # connections are reused, so no connect gives the event loop time
             assert b" 200 " in await w.ask("warm")
             for n in range(200):
-                raw(w, ask(f"a{n}")).close()
+                raw_client(w, ask(f"a{n}")).close()
             assert b" 200 " in await w.ask("true")
             await until(
                 lambda: (
@@ -94,33 +98,33 @@
     run(go)
 
 
-def test_nothing_goes_out_for_a_client_that_left_while_it_waited_for_room() -> None:
+def test_nothing_is_sent_for_a_client_that_left_while_queued() -> None:
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
             core = w.dispatcher.core
             core.router._begin = lambda request: False  # type: ignore[method-assign]
-            client = raw(w, ask("a1"))
+            client = raw_client(w, ask("a1"))
             await until(lambda: core.router.requests)
             del core.router._begin
             client.close()
             core.receive(
                 contract.TimerFired(0)
-            )  # the tick comes before the loop has read the close
+            )  # the timer fires before the event loop has read the close
             await until(lambda: not core.registry.by_number)
             assert not w.readers[0].heads and not w.readers[0].connections
 
     run(go)
 
 
-def test_nothing_goes_out_for_a_json_rpc_client_that_left_during_the_dial() -> None:
+def test_nothing_is_sent_for_a_json_rpc_client_that_left_during_the_connect() -> None:
     async def go() -> None:
         async with test_toolcalls.world() as w:
             core = w.service.core  # type: ignore[attr-defined]
             up, go_on = asyncio.Event(), asyncio.Event()
             for peer in w.service.peers.actors.values():  # type: ignore[attr-defined]
 
-                async def held(timeout_us: int | None = None, dial: Any = peer._open) -> Any:
-                    streams = await dial(timeout_us)
+                async def held(timeout_us: int | None = None, connect: Any = peer._open) -> Any:
+                    streams = await connect(timeout_us)
                     up.set()
                     await go_on.wait()
                     return streams
@@ -142,22 +146,20 @@
 # Closing
 
 
-async def idle_limit(w: World) -> socket.socket:
-    """A client that has had its answer and keeps its connection."""
-    client = raw(w, ask("a1"))
+async def idle_client(w: World) -> socket.socket:
+    """Return a client that has received its answer and keeps its connection open."""
+    client = raw_client(w, ask("a1"))
     assert b"[DONE]" in await received(client, b"\r\n0\r\n\r\n")
     await until(lambda: all(p.stage is Stage.IDLE for p in w.dispatcher.front.connections.values()))
     return client
 
 
-def test_a_request_that_crosses_the_close_of_its_idle_connection_is_not_sent_on_and_resets_nothing() -> (
-    None
-):
+def test_a_request_that_crosses_the_close_of_its_idle_connection_is_not_forwarded() -> None:
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
-            client = await idle_limit(w)
+            client = await idle_client(w)
             w.dispatcher.front.close_idle()
-            assert await received(client) == b"", "its end is seen"
+            assert await received(client) == b"", "the close is seen"
             client.setblocking(True)
             client.sendall(ask("a2"))
             await until(lambda: not w.dispatcher.front.connections)
@@ -167,10 +169,10 @@
     run(go)
 
 
-def test_a_request_that_is_there_as_its_idle_connection_is_closed_is_answered() -> None:
+def test_a_request_that_has_arrived_when_its_idle_connection_is_closed_is_answered() -> None:
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
-            client = await idle_limit(w)
+            client = await idle_client(w)
             client.setblocking(True)
             client.sendall(ask("a2"))
             w.dispatcher.front.closing = True
@@ -182,11 +184,11 @@
     run(go)
 
 
-def test_a_next_request_that_came_as_the_answer_ended_is_answered_at_shutdown() -> None:
+def test_a_request_that_arrived_as_the_previous_answer_ended_is_answered_at_shutdown() -> None:
     async def go() -> None:
         hold, held, go_on = asyncio.Event(), asyncio.Event(), asyncio.Event()
         async with world([Replica(READ)], [Replica(ends_with(hold), STREAM)]) as w:
-            client = raw(w, ask("a1"))
+            client = raw_client(w, ask("a1"))
             await received(client, b"[DONE]")
             (peer,) = w.dispatcher.front.connections.values()
             assert peer.wire is not None
@@ -197,7 +199,7 @@
 
             peer.wire.writer.drain = drain  # type: ignore[method-assign]
             hold.set()
-            await held.wait()  # the answer is given, and its end is on its way
+            await held.wait()  # the answer was written, and its end is in transit
             w.dispatcher.front.closing = True
             client.setblocking(True)
             client.sendall(ask("a2"))
@@ -208,10 +210,8 @@
     run(go)
 
 
-def test_the_end_of_an_answer_outlives_bytes_that_nobody_reads() -> None:
-    """A close over unread bytes resets the connection, and takes with it what the client has not
-    had yet.
-    """
+def test_unread_bytes_do_not_discard_the_end_of_an_answer() -> None:
+    """A close with unread bytes resets the connection and discards data in transit to the client."""
 
     async def go() -> None:
         big = b'data: {"x":"%b"}\n\n' % (b"y" * 4000)
@@ -251,12 +251,12 @@
 # Shutdown
 
 
-def test_connections_that_wait_to_be_accepted_as_the_listener_closes_are_answered() -> None:
+def test_connections_queued_when_the_listener_closes_are_answered() -> None:
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
-            clients = [raw(w, ask(f"a{n}")) for n in range(30)]
+            clients = [raw_client(w, ask(f"a{n}")) for n in range(30)]
             w.dispatcher.front.closing = True
-            # before the loop has had a turn to accept one
+            # before the event loop has had a turn to accept one
             await w.dispatcher.front.finish_accepting()
             for client in clients:
                 answer = await received(client)
@@ -266,13 +266,11 @@
     run(go)
 
 
-def test_half_a_request_at_shutdown_is_answered_once_it_is_whole_and_what_comes_late_is_refused() -> (
-    None
-):
+def test_partial_requests_at_shutdown_are_answered_once_complete_and_refused_if_late() -> None:
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
             text = ask("a1", text=b'{"k": "%b"}' % (b"v" * 400))
-            halves = [(raw(w, text[:cut]), text[cut:]) for cut in (9, len(text) - 100)]
+            halves = [(raw_client(w, text[:cut]), text[cut:]) for cut in (9, len(text) - 100)]
             opened = w.dispatcher.front.connections
             await until(lambda: [p.stage for p in opened.values()] == [Stage.READING] * 2)
             stopping = asyncio.create_task(w.dispatcher.stop())
@@ -284,14 +282,14 @@
             halves[1][0].sendall(halves[1][1])
             assert (await received(halves[1][0])).startswith(b"HTTP/1.1 503")
             await stopping
-            assert len(w.readers[0].heads) == 1, "what is refused is not sent on"
+            assert len(w.readers[0].heads) == 1, "a rejected request is not sent"
             for client, _ in halves:
                 client.close()
 
     run(go)
 
 
-def test_signals_that_come_again_change_nothing_and_one_before_ready_ends_it(
+def test_repeated_signals_change_nothing_and_a_signal_before_ready_ends_the_process(
     tmp_path: Path,
 ) -> None:
     async def go() -> None:
@@ -343,36 +341,39 @@
     run(go)
 
 
-def test_a_shutdown_ends_though_servers_hang_and_every_request_has_its_answer() -> None:
+def test_a_shutdown_with_hanging_servers_ends_and_answers_every_request() -> None:
     async def go() -> None:
         async def hangs(self: Replica, reader: Any, writer: Any, _: bytes) -> None:
             await reader.read()
 
         async with world([Replica(hangs)], [Replica(STREAM)]) as w:
-            clients = [raw(w, ask(f"a{n}", ms=60_000)) for n in range(3)]
+            clients = [raw_client(w, ask(f"a{n}", ms=60_000)) for n in range(3)]
             await until(lambda: len(w.readers[0].heads) == 3)
             await w.dispatcher.stop()
             for client in clients:
                 answer = await received(client)
-                assert answer.split()[1] in (b"502", b"503", b"504"), "by us, and in time"
+                assert answer.split()[1] in (b"502", b"503", b"504"), (
+                    "by the dispatcher, and in time"
+                )
                 client.close()
             assert len(w.readers[0].heads) == 3 and not w.dispatcher.front.connections
 
     run(go)
 
 
-def test_the_json_rpc_front_answers_what_waits_as_it_closes_and_resets_nothing() -> None:
+def test_the_json_rpc_front_answers_queued_connections_as_it_closes() -> None:
     async def go() -> None:
         async with test_toolcalls.world(test_toolcalls.st.say("x")) as w:
             service = w.service  # type: ignore[attr-defined]
-            idle_limit = await w.client()
-            idle_limit.generate(1)
-            assert "result" in await idle_limit.response(1)
+            idle_client = await w.client()
+            idle_client.generate(1)
+            assert "result" in await idle_client.response(1)
             stopping = asyncio.create_task(service.front.stop())
             await until(lambda: service.front.closing)
             call = {"jsonrpc": "2.0", "id": 1, "method": "ping"}
             clients = []
-            for _ in range(20):  # none of them is accepted yet: the loop has no turn in between
+            # none of them is accepted yet, because the event loop has no turn in between
+            for _ in range(20):
                 clients.append(socket.create_connection(("127.0.0.1", service.front.port)))
                 clients[-1].sendall(json.dumps(call).encode() + b"\n")
             for client in clients:
@@ -380,11 +381,11 @@
             await until(lambda: all(c.ended for c in service.front.open.values()))
             for client in clients:
                 client.setblocking(True)
-                # crosses the end of our side
+                # crosses the close of the dispatcher's side
                 client.sendall(json.dumps(call).encode() * 20 + b"\n")
-                assert await received(client) == b"", "ended, and not reset"
+                assert await received(client) == b"", "closed, and not reset"
                 client.close()
-            await idle_limit.stop()
+            await idle_client.stop()
             await stopping
 
     run(go)
--- a/tests/test_crossings_list.py
+++ b/tests/test_crossings_list.py
@@ -1,5 +1,6 @@
-"""Crossings at the list of servers: silence, cuts, moves and late words, forced over loopback
-sockets.
+"""Races at the endpoint list: silence, cuts, address changes and late messages.
+
+All over loopback sockets.
 """
 
 import asyncio
@@ -26,19 +27,19 @@
 
 
 class Scripted(Discovery):
-    """Each watch is played by the next of ``plays``, the last one again and again."""
+    """A discovery whose watches are served by ``scripts`` in turn, the last one repeatedly."""
 
-    def __init__(self, *plays: Any) -> None:
+    def __init__(self, *scripts: Any) -> None:
         super().__init__()
-        self.plays = list(plays)
+        self.scripts = list(scripts)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             head, _ = await message(reader)
             self.asked.append(head.split()[1].decode())
             if "watch" in self.asked[-1]:
-                play = self.plays.pop(0) if len(self.plays) > 1 else self.plays[0]
-                await play(self, reader, writer)
+                script = self.scripts.pop(0) if len(self.scripts) > 1 else self.scripts[0]
+                await script(self, reader, writer)
                 return
             text = json.dumps(
                 {"seq": self.seq, "whole": True, "hosts": self.hosts}, indent=2
@@ -46,13 +47,17 @@
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(text), text))
 
 
-async def quiet(d: Scripted, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def stay_silent(
+    d: Scripted, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+) -> None:
     writer.write(WATCH + chunk(b"\n"))
     await reader.read()
 
 
-async def dribbles(d: Scripted, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Alive by its bytes, and never a whole line."""
+async def send_blanks(
+    d: Scripted, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+) -> None:
+    """Keep sending bytes, but never a complete line."""
     writer.write(WATCH + chunk(b"\n"))
     gone = asyncio.create_task(reader.read())
     while not gone.done():
@@ -64,29 +69,31 @@
     return json.dumps({"seq": seq, "whole": False, "hosts": hosts}, **how).encode() + b"\n"
 
 
-def cut_then(first: bytes) -> Any:
-    async def play(d: Scripted, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+def send_then_cut(first: bytes) -> Any:
+    async def script(
+        d: Scripted, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         writer.write(WATCH + chunk(first))
         await writer.drain()
         writer.close()
         raise ConnectionResetError
 
-    return play
+    return script
 
 
-@pytest.mark.parametrize("play", [dribbles, quiet])
-def test_a_watch_without_whole_lines_is_opened_anew_whatever_bytes_come(
-    play: Any, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("script", [send_blanks, stay_silent])
+def test_a_watch_without_complete_lines_is_reopened_whatever_bytes_come(
+    script: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def go() -> None:
         monkeypatch.setattr(endpoint_watcher, "WATCH_SILENCE_TIMEOUT_MS", 60.0)
-        async with world([Replica(READ)], [Replica(STREAM)], discovery=Scripted(play)) as w:
+        async with world([Replica(READ)], [Replica(STREAM)], discovery=Scripted(script)) as w:
             await until(lambda: len(w.discovery.asked) >= 4)
 
     run(go)
 
 
-def test_the_answer_to_a_question_has_its_time_whatever_bytes_come(
+def test_a_call_has_a_time_limit_whatever_bytes_come(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def go() -> None:
@@ -103,14 +110,14 @@
                 await asyncio.sleep(0.005)
 
         async with world(
-            [Replica(READ)], [Replica(STREAM)], discovery=Scripted(slow_head, quiet)
+            [Replica(READ)], [Replica(STREAM)], discovery=Scripted(slow_head, stay_silent)
         ) as w:
             await until(lambda: len(w.discovery.asked) >= 3)
 
     run(go)
 
 
-def test_a_change_cut_mid_line_is_had_by_the_next_watch_and_taken_once() -> None:
+def test_a_change_cut_mid_line_is_resent_by_the_next_watch_and_applied_once() -> None:
     async def go() -> None:
         d = Scripted()
         entry = d.entry("r9", "r", "127.0.0.1:9", "active")
@@ -122,7 +129,7 @@
             writer.write(WATCH + chunk(whole) + chunk(whole))
             await reader.read()
 
-        d.plays = [cut_then(b"\n" + whole[: len(whole) // 2]), rest]
+        d.scripts = [send_then_cut(b"\n" + whole[: len(whole) // 2]), rest]
         async with world([Replica(READ)], [Replica(STREAM)], discovery=d) as w:
             await until(lambda: "r9" in w.dispatcher.core.endpoints.by_id)
             assert w.dispatcher.list.seq == 42 and d.asked[-1].endswith("from=41")
@@ -143,18 +150,18 @@
             writer.write(WATCH + chunk(b"\n" + change(42, *leaving, indent=indent) + b"\n"))
             await reader.read()
 
-        d.plays = [at_once]
+        d.scripts = [at_once]
         async with world([Replica(READ), Replica(READ)], [Replica(STREAM)], discovery=d) as w:
             await until(lambda: w.dispatcher.list.seq == 42)
             assert not w.dispatcher.core.endpoints.accepts_new_work(
                 "r0"
             ) and w.dispatcher.core.endpoints.accepts_new_work("r1")
-            assert len(d.asked) == 2, "one list and one watch"
+            assert len(d.asked) == 2, "one call for the list and one watch"
 
     run(go)
 
 
-def test_objects_are_found_however_they_are_laid_out_and_what_breaks_off_is_an_error() -> None:
+def test_objects_are_split_in_any_layout_and_incomplete_ones_are_errors() -> None:
     made = [
         {"seq": n, "whole": False, "hosts": [{"host": f"a{{{n}", "k": {}}] * n} for n in range(4)
     ]
@@ -171,9 +178,7 @@
             JsonObjectSplitter(4000).feed(broken)
 
 
-def test_what_an_old_address_told_late_is_not_put_over_the_new_ones_list_but_a_drain_holds() -> (
-    None
-):
+def test_late_messages_of_an_old_address_do_not_replace_the_new_list_but_drains_apply() -> None:
     async def go() -> None:
         async with world([Replica(READ), Replica(READ)], [Replica(STREAM)]) as w:
             actor, d = w.dispatcher.list, w.discovery
@@ -189,9 +194,11 @@
                     DiscoveryUpdate({"seq": 90, "whole": False, "hosts": [old]}, actor.epoch - 1)
                 )
             assert not w.dispatcher.core.endpoints.accepts_new_work("r0"), (
-                "the new address knows better"
+                "the list of the new address is newer"
+            )
+            assert not w.dispatcher.core.endpoints.accepts_new_work("r1"), (
+                "a drain of the old address applies"
             )
-            assert not w.dispatcher.core.endpoints.accepts_new_work("r1"), "told is told"
             actor.receive(DiscoveryUpdate({"seq": 91, "whole": True, "hosts": []}, actor.epoch - 1))
             assert len(w.dispatcher.core.endpoints.by_id) == 3 and actor.seq == 7
             await new.stop()
@@ -199,7 +206,7 @@
     run(go)
 
 
-def test_a_move_while_a_whole_list_is_half_read_takes_nothing_of_it() -> None:
+def test_an_address_change_while_a_list_is_partly_read_discards_it() -> None:
     async def go() -> None:
         half, ready = Discovery(), asyncio.Event()
 
@@ -226,8 +233,8 @@
     run(go)
 
 
-def test_a_whole_list_counts_even_if_its_version_is_older() -> None:
-    """A discovery that has lost its memory answers with all that it has."""
+def test_a_complete_list_applies_even_if_its_version_is_lower() -> None:
+    """A discovery that has lost its state answers with its whole list."""
 
     async def go() -> None:
         d = Scripted()
@@ -241,7 +248,7 @@
             )
             await reader.read()
 
-        d.plays = [anew]
+        d.scripts = [anew]
         async with world([Replica(READ), Replica(READ)], [Replica(STREAM)], discovery=d) as w:
             await until(lambda: w.dispatcher.list.seq == 3)
             assert set(w.dispatcher.core.endpoints.by_id) == {
@@ -252,14 +259,14 @@
     run(go)
 
 
-def test_a_drain_told_between_the_choice_and_the_first_byte_stops_the_send() -> None:
+def test_a_drain_between_the_selection_and_the_first_byte_stops_the_send() -> None:
     async def go() -> None:
         async with world([Replica(READ), Replica(READ)], [Replica(STREAM)]) as w:
             core, chosen = w.dispatcher.core, []
-            dial = w.dispatcher.replicas.actors["r0"]._open.__func__  # type: ignore[attr-defined]
+            connect = w.dispatcher.replicas.actors["r0"]._open.__func__  # type: ignore[attr-defined]
 
-            async def drained_meanwhile(actor: Any, timeout_us: int | None = None) -> Any:
-                wire = await dial(actor, timeout_us)
+            async def drain_after_connect(actor: Any, timeout_us: int | None = None) -> Any:
+                wire = await connect(actor, timeout_us)
                 if not chosen:
                     chosen.append(actor.name)
                     port = w.readers[int(actor.name[1])].address
@@ -268,14 +275,16 @@
                 return wire
 
             for actor in w.dispatcher.replicas.actors.values():
-                actor._open = drained_meanwhile.__get__(actor)  # type: ignore[method-assign]
+                actor._open = drain_after_connect.__get__(actor)  # type: ignore[method-assign]
             assert b"HTTP/1.1 200" in await w.ask("a1")
-            assert not w.readers[int(chosen[0][1])].heads, "nothing after it was told"
+            assert not w.readers[int(chosen[0][1])].heads, (
+                "nothing is sent after the drain was announced"
+            )
 
     run(go)
 
 
-def test_a_known_list_alone_makes_nothing_ready_where_lists_are_pushed() -> None:
+def test_a_saved_list_alone_does_not_make_ready_where_lists_are_pushed() -> None:
     async def go() -> None:
         known = {"seq": 41, "whole": True, "hosts": [Discovery().entry("r0", "r", "127.0.0.1:9")]}
 
@@ -283,7 +292,7 @@
             d: Scripted, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
             await hold.wait()
-            await quiet(d, reader, writer)
+            await stay_silent(d, reader, writer)
 
         hold, d = asyncio.Event(), Scripted(later)
 
@@ -310,8 +319,10 @@
 
 
 def test_idle_clients_that_fill_the_descriptors_leave_one_for_discovery(tmp_path: Path) -> None:
-    """With a limit of the system's own: discovery goes away, clients take all they can, and it
-    comes back.
+    """Guards against clients that leave no descriptor to reconnect to discovery.
+
+    Under a descriptor limit of the system, discovery goes away, clients take all they can get, and
+    discovery comes back.
     """
 
     async def go() -> None:
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -1,4 +1,4 @@
-"""Crossings at servers' connections and answers: dials, reuse, repeats, what is held, streams."""
+"""Races at server connections: connects, reuse, repeats, state releases and streams."""
 
 import asyncio
 import re
@@ -10,7 +10,7 @@
 import test_toolcalls
 from helpers import MS, SETTINGS, S
 from standins import until
-from test_net import Waits
+from test_net import StubClient
 from world import CHUNKS, HEAD, READ, STREAM, Answer, Replica, ask, breaks, run, silence, world
 
 from onyxpass.core.requests import Attempt, Request
@@ -55,22 +55,22 @@
     ("traffic_class", "status", "sends"),
     [("all", b"503", 1), ("zone", b"502", 1), ("once", b"502", 1)],
 )
-def test_a_window_for_repeats_that_ends_during_the_dial_stops_the_send(
+def test_a_deduplication_window_that_ends_during_the_connect_stops_the_send(
     traffic_class: str, status: bytes, sends: int
 ) -> None:
     async def go() -> None:
         async with world(
             [Replica(READ)], [Replica(breaks()), Replica(breaks())], settings=KEYED
         ) as w:
-            core, dials = w.dispatcher.core, []
+            core, connects = w.dispatcher.core, []
             deduplication_window_us = KEYED.classes[0].deduplication_window_us
             for actor in (w.dispatcher.replicas.actors[name] for name in ("w0", "w1")):
 
-                async def slow(timeout_us: int | None = None, dial: Any = actor._open) -> Any:
-                    wire = await dial(None)
-                    dials.append(core.clock.now_us())
-                    # the repeat was chosen in time, and its connection comes up late
-                    if len(dials) == 2:
+                async def slow(timeout_us: int | None = None, connect: Any = actor._open) -> Any:
+                    wire = await connect(None)
+                    connects.append(core.clock.now_us())
+                    # the repeat was selected in time, and its connection is established late
+                    if len(connects) == 2:
                         (request,) = core.registry.by_number.values()
                         first = next(a for a in request.attempts if a.may_generate)
                         await until(
@@ -80,13 +80,13 @@
 
                 actor._open = slow  # type: ignore[method-assign]
             answer = await w.ask("a1", traffic_class)
-            assert answer.split()[1] == status, "refused only where no server runs it twice"
+            assert answer.split()[1] == status, "refused only where no server can run it twice"
             assert sum(len(x.heads) for x in w.writers) == sends
 
     run(go)
 
 
-def test_a_repeat_within_its_window_goes_out() -> None:
+def test_a_repeat_within_its_window_is_sent() -> None:
     async def go() -> None:
         wide = tuple(replace(c, deduplication_window_us=60 * S) for c in KEYED.classes)
         many = replace(KEYED, classes=wide)
@@ -102,16 +102,16 @@
 @pytest.mark.parametrize(
     ("traffic_class", "first", "then", "after_us", "goes"),
     [
-        ("keyed", "w0", "w2", 0, True),  # of the same zone
+        ("keyed", "w0", "w2", 0, True),  # in the same zone
         ("keyed", "w0", "w1", 0, False),
         ("keyed", "w0", "w2", 5 * S, False),
-        ("keyed", "r0", "w1", 6 * S, True),  # a read has had no effect
+        ("keyed", "r0", "w1", 6 * S, True),  # a prefill has no effect
         ("once", "w0", "w2", 0, False),
         ("once", "r0", "w1", 6 * S, True),
         ("light", "w0", "w1", 6 * S, True),
     ],
 )
-def test_what_may_be_sent_after_what_may_have_run(
+def test_a_repeat_after_a_possible_run_is_sent_only_where_idempotency_allows(
     traffic_class: str, first: str, then: str, after_us: int, goes: bool
 ) -> None:
     bed = Bed()
@@ -127,7 +127,7 @@
 
 
 @pytest.mark.parametrize("traffic_class", ["keyed", "once"])
-def test_what_may_have_run_in_one_place_is_failed_and_not_refused(traffic_class: str) -> None:
+def test_a_request_that_may_have_run_is_failed_and_not_refused(traffic_class: str) -> None:
     bed = Bed()
     bed.ask(contract.SendAttempt(7, "w0", 500_000), traffic_class=traffic_class)
     bed.core.outcomes.attempt_ended(bed.fleet.started[0], AttemptStatus.RESET)
@@ -138,7 +138,7 @@
 # Connections
 
 
-def test_a_second_answer_that_comes_late_never_answers_the_next_request(
+def test_a_late_second_response_never_answers_the_next_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(net_replica, "REUSE_DELAY_US", 60 * S)
@@ -147,10 +147,10 @@
         wrong = b'data: {"wrong":1}\n\n'
         late = HEAD + b"%x\r\n%b\r\n0\r\n\r\n" % (len(wrong), wrong)
 
-        async def twice(self: Replica, reader: Any, writer: asyncio.StreamWriter, _: bytes) -> None:
-            """The second answer is written once the next request is there, on this connection or
-            not.
-            """
+        async def respond_twice(
+            self: Replica, reader: Any, writer: asyncio.StreamWriter, _: bytes
+        ) -> None:
+            """Write the second response once the next request has arrived, on any connection."""
             writer.write(HEAD + CHUNKS + b"0\r\n\r\n")
             n = len(self.heads)
 
@@ -164,7 +164,7 @@
             await self.second  # type: ignore[attr-defined]
             writer.write(HEAD + CHUNKS + b"0\r\n\r\n")
 
-        async with world([Replica(READ)], [Replica(twice, slow)]) as w:
+        async with world([Replica(READ)], [Replica(respond_twice, slow)]) as w:
             assert b"wrong" not in await w.ask("a1")
             answer = await w.ask("a2")
             assert b"wrong" not in answer and answer.endswith(b"0\r\n\r\n")
@@ -176,7 +176,7 @@
     run(go)
 
 
-def test_a_connection_that_has_rested_is_used_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_connection_is_reused_after_the_reuse_delay(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(net_replica, "REUSE_DELAY_US", 1_000)
 
     async def go() -> None:
@@ -190,7 +190,9 @@
     run(go)
 
 
-def test_a_dial_that_succeeds_as_its_time_runs_out_sends_nothing_and_leaves_no_descriptor() -> None:
+def test_a_connect_that_succeeds_as_its_time_limit_expires_sends_nothing_and_leaks_no_descriptor() -> (
+    None
+):
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
             loop = asyncio.get_running_loop()
@@ -198,16 +200,16 @@
             limits: list[Any] = []
             limit = w.dispatcher.wheel.limit
 
-            def noted(delay_us: int) -> Any:
+            def record_limit(delay_us: int) -> Any:
                 limits.append(limit(delay_us))
                 return limits[-1]
 
-            async def at_the_last_moment(sock: socket.socket, address: Any) -> None:
+            async def expire_at_connect(sock: socket.socket, address: Any) -> None:
                 await connected(sock, address)
                 limits[-1].expire()  # in the same step as the success
 
-            actor.wheel = type("Noted", (), {"limit": staticmethod(noted)})()
-            loop.sock_connect = at_the_last_moment  # type: ignore[method-assign]
+            actor.wheel = type("Noted", (), {"limit": staticmethod(record_limit)})()
+            loop.sock_connect = expire_at_connect  # type: ignore[method-assign]
             try:
                 with pytest.raises(TimeoutError):
                     await actor._open()
@@ -220,10 +222,10 @@
     run(go)
 
 
-# What is held
+# State releases
 
 
-def test_what_is_held_is_let_go_though_nobody_can_be_asked_at_first() -> None:
+def test_state_is_released_even_if_no_server_can_be_asked_at_first() -> None:
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
             replicas, asked = w.dispatcher.replicas, asyncio.Event()
@@ -237,8 +239,8 @@
                 return await let_go(name, request_id)
 
             replicas._release_lease = counted  # type: ignore[method-assign]
-            request = Request("a1", 1, None, Waits(), None, state_holder="r0")  # type: ignore[arg-type]
-            # the time of the test is no matter here
+            request = Request("a1", 1, None, StubClient(), None, state_holder="r0")  # type: ignore[arg-type]
+            # keeps the duration of the test out of the release's time limit
             request.reserved_since_us = w.dispatcher.clock.now_us() + 60 * S
             replicas.release(request, False)
             await asked.wait()
@@ -252,15 +254,15 @@
 
 
 @pytest.mark.parametrize("front", ["http", "json-rpc"])
-def test_what_is_held_is_let_go_by_the_last_of_many_where_the_others_are_silent(front: str) -> None:
+def test_state_is_released_by_the_last_of_many_servers_if_the_others_are_silent(front: str) -> None:
     async def go() -> None:
         async with world([Replica(READ)], [Replica(silence) for _ in range(8)]) as w:
             for part in (*w.readers, *w.writers[:-1]):
                 part.lets_go = False
             replicas = w.dispatcher.replicas
             for n, name in enumerate(sorted(replicas.actors)):
-                replicas.actors[name].answered_us = 100 - n  # the one that answers comes last
-            request = Request("a1", 1, None, Waits(), None, state_holder="r0")  # type: ignore[arg-type]
+                replicas.actors[name].answered_us = 100 - n  # the one that answers is asked last
+            request = Request("a1", 1, None, StubClient(), None, state_holder="r0")  # type: ignore[arg-type]
             request.reserved_since_us = w.dispatcher.clock.now_us() + 60 * S
             replicas.release(request, False)
             await until(lambda: w.writers[-1].leases == ["/kv/leases/a1"])
@@ -271,7 +273,7 @@
             silent = [name for name in peers.actors if name != "writer-1"]
             for name in silent:
                 peers.actors[name].ask = lambda *_: asyncio.sleep(60, False)
-            request = Request("a1", 1, None, Waits(), None, state_holder="reader-0")  # type: ignore[arg-type]
+            request = Request("a1", 1, None, StubClient(), None, state_holder="reader-0")  # type: ignore[arg-type]
             request.reserved_since_us = w.service.core.clock.now_us() + 60 * S  # type: ignore[attr-defined]
             done: list[str] = []
 
@@ -286,23 +288,26 @@
     run(go if front == "http" else rpc)
 
 
-def test_a_release_has_one_budget_from_the_moment_nothing_was_out() -> None:
-    """Not one of its own for each question: what dials have used up is gone."""
+def test_a_release_has_one_time_limit_from_the_end_of_the_last_attempt() -> None:
+    """A release has one time limit, not one per request.
+
+    Time that connects have used up counts.
+    """
 
     async def go() -> None:
         async with world([Replica(READ)], [Replica(silence)]) as w:
             for part in (*w.readers, *w.writers):
                 part.lets_go = False
             core, replicas = w.dispatcher.core, w.dispatcher.replicas
-            for spent_us, most_us in ((0, 450_000), (300_000, 225_000)):
-                request = Request("a1", 1, None, Waits(), None, state_holder="r0")  # type: ignore[arg-type]
+            for spent_us, expected_us in ((0, 450_000), (300_000, 225_000)):
+                request = Request("a1", 1, None, StubClient(), None, state_holder="r0")  # type: ignore[arg-type]
                 began_us = core.clock.now_us()
                 request.reserved_since_us = began_us - spent_us
                 replicas.release(request, False)
                 assert request.release_task is not None
                 await request.release_task
                 took_us = core.clock.now_us() - began_us
-                assert took_us >= most_us, "it asks on to the end of the budget"
+                assert took_us >= expected_us, "it retries until the end of its time limit"
 
     run(go)
 
@@ -333,7 +338,7 @@
     ],
 )
 @pytest.mark.parametrize("traffic_class", ["light", "once"])
-def test_an_answer_that_never_ends_is_given_up_in_its_time_and_a_booking_is_not_sent_again(
+def test_an_endless_answer_is_given_up_in_time_and_a_non_idempotent_request_is_not_repeated(
     text: tuple[bytes, bytes], traffic_class: str
 ) -> None:
     async def go() -> None:
@@ -347,7 +352,7 @@
     run(go)
 
 
-def test_each_event_leaves_as_it_comes_however_it_is_cut_and_whoever_else_is_slow() -> None:
+def test_each_event_is_forwarded_as_it_arrives_in_any_segmentation_beside_a_slow_client() -> None:
     async def go() -> None:
         steps: asyncio.Queue[bytes] = asyncio.Queue()
 
@@ -358,7 +363,7 @@
             if b"slow" in head:
                 big = b'data: {"x":"%b"}\n\n' % (b"y" * 60_000)
                 gone = asyncio.create_task(reader.read())
-                # a client that takes nothing: its writer is held, and nobody else's
+                # a client that reads nothing: only its own stream is held back
                 while not gone.done():
                     writer.write(b"%x\r\n%b\r\n" % (len(big), big))
                     await asyncio.wait(
@@ -377,9 +382,9 @@
             reader, writer = await w.send(ask("a1", close=True))
             first, second, third = (b'data: {"n":%d}\n\n' % n for n in range(3))
             steps.put_nowait(b"%x\r\n%b\r\n%x\r\n%b\r\n" % (len(first), first, len(second), second))
-            await reader.readuntil(second)  # both, while the stream stays open
+            await reader.readuntil(second)  # both events, while the stream stays open
             whole = b"%x\r\n%b\r\n" % (len(third), third)
-            for n in range(len(whole)):  # one split over many segments
+            for n in range(len(whole)):  # one event split over many segments
                 steps.put_nowait(whole[n : n + 1])
             await reader.readuntil(third)
             steps.put_nowait(b"0\r\n\r\n")
@@ -390,7 +395,7 @@
     run(go)
 
 
-def test_a_read_that_ends_as_its_client_leaves_is_let_go() -> None:
+def test_state_of_a_prefill_that_ends_as_its_client_leaves_is_released() -> None:
     async def go() -> None:
         hold = asyncio.Event()
 
@@ -405,7 +410,7 @@
             _, writer = await w.send(ask("a1"))
             await until(lambda: w.readers[0].heads)
             writer.transport.abort()
-            hold.set()  # the 202 and the close are under way at once
+            hold.set()  # the 202 and the client's close are in transit at once
             await until(lambda: w.readers[0].leases or w.writers[0].leases)
             await until(lambda: not w.dispatcher.core.registry.by_number)
             assert not w.writers[0].heads
@@ -413,9 +418,10 @@
     run(go)
 
 
-def test_an_attempt_tells_what_is_left_as_its_bytes_go_and_not_as_it_was_chosen() -> None:
-    """Found by reading: a dial, or the release before a send, took its time out of what was
-    told.
+def test_an_attempt_tells_the_time_left_at_its_first_byte_and_not_at_its_selection() -> None:
+    """Guards against telling a server more time than is left.
+
+    The time of a connect, or of the release before a send, was not subtracted from the value.
     """
 
     async def go() -> None:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,4 +1,4 @@
-"""The HTTP front, the replicas and the watch over real loopback sockets."""
+"""The HTTP front end, connections to replicas and the discovery watch over loopback sockets."""
 
 import asyncio
 import errno
@@ -50,8 +50,8 @@
 from onyxpass.serve import DispatcherProcess
 
 
-class Waits(HttpClient):
-    """A client that stays, with no connection."""
+class StubClient(HttpClient):
+    """A client that never disconnects and has no connection."""
 
     def __init__(self) -> None:
         super().__init__(None, lambda: False)  # type: ignore[arg-type]
@@ -60,7 +60,7 @@
         return False
 
 
-def test_a_request_passes_unchanged_and_so_do_its_events() -> None:
+def test_requests_and_events_are_forwarded_unchanged() -> None:
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
             answer = await w.ask("abc1")
@@ -74,7 +74,7 @@
     run(go)
 
 
-def test_connections_are_used_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connections_are_reused(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(net_replica, "REUSE_DELAY_US", 0)
 
     async def go() -> None:
@@ -86,7 +86,9 @@
     run(go)
 
 
-def test_a_break_on_a_used_connection_is_a_reset_and_a_booking_is_not_sent_again() -> None:
+def test_a_break_on_a_reused_connection_is_a_reset_and_non_idempotent_requests_are_not_repeated() -> (
+    None
+):
     async def go() -> None:
         async with world(
             [Replica(READ)], [Replica(STREAM, breaks()), Replica(STREAM, breaks())]
@@ -95,13 +97,13 @@
                 await w.ask(f"a{i}", "once")
             lost = [i for i in range(4, 8) if b"HTTP/1.1 502" in await w.ask(f"a{i}", "once")]
             sent = sum(len(x.heads) for x in w.writers)
-            assert lost and sent == 8, "each was written once"
+            assert lost and sent == 8, "each was sent once"
             await until(lambda: w.readers[0].leases)
 
     run(go)
 
 
-def test_where_kept_connections_break_bookings_go_out_on_new_ones_and_nobody_is_blamed(
+def test_non_idempotent_requests_use_new_connections_while_reused_ones_break(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(net_replica, "REUSE_DELAY_US", 0)
@@ -110,18 +112,18 @@
         async with world([Replica(READ)], [Replica(STREAM, breaks(), STREAM)]) as w:
             core, writer = w.dispatcher.core, w.writers[0]
             assert b"HTTP/1.1 200" in await w.ask("a1", "once")
-            assert b"HTTP/1.1 502" in await w.ask("a2", "once"), "it may have run"
+            assert b"HTTP/1.1 502" in await w.ask("a2", "once"), "the request may have run"
             assert not core.router.servers["w0"].failure_rate and writer.connections == 1
             for i in range(3):
                 assert b"HTTP/1.1 200" in await w.ask(f"b{i}", "once")
             assert writer.connections == 4
             for i in range(3):
                 assert b"HTTP/1.1 200" in await w.ask(f"c{i}")
-            assert writer.connections == 4, "what may be repeated goes out on kept ones"
+            assert writer.connections == 4, "idempotent requests reuse connections"
             kept = connection_budget.ConnectionBudget(9, break_rate_us=10**9)
             for n in range(3):
                 assert (kept.break_rate_at(10**9) > net_replica.MAX_BREAK_RATE) == (n == 2), (
-                    "till they break often"
+                    "only above the limit"
                 )
                 kept.record_reuse(10**9, True)
             assert (
@@ -133,17 +135,17 @@
 
 
 @pytest.mark.parametrize("end", [b"", b"0\r\n", b"5\r\nhel"])
-def test_a_stream_that_breaks_is_cut_off_with_no_last_chunk(end: bytes) -> None:
+def test_a_broken_stream_ends_without_a_last_chunk(end: bytes) -> None:
     async def go() -> None:
         async with world([Replica(READ)], [Replica(breaks(HEAD + CHUNKS + end))]) as w:
             answer = await w.ask()
             assert not answer.endswith(b"0\r\n\r\n")
-            assert len(w.writers[0].heads) == 1, "nothing more goes out"
+            assert len(w.writers[0].heads) == 1, "nothing is sent again"
 
     run(go)
 
 
-def test_503_counts_as_full_only_with_proof() -> None:
+def test_503_means_overload_only_with_the_not_processed_header() -> None:
     async def go() -> None:
         async with world([Replica(READ)], [Replica(status(503)), Replica(status(503))]) as w:
             assert b"HTTP/1.1 502" in await w.ask("a1", "once")
@@ -157,8 +159,8 @@
     run(go)
 
 
-def test_an_attempt_called_off_while_its_last_bytes_leave_may_have_run() -> None:
-    """The transport is a stand-in, since a real one leaves this state within a turn of the loop."""
+def test_an_attempt_cancelled_during_its_last_write_may_have_run() -> None:
+    """The transport is a stub: a real one is in this state for less than one turn of the loop."""
 
     async def go(left: int) -> list[AttemptStatus]:
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
@@ -178,7 +180,7 @@
             payload = net_replica.Payload(b"POST", b"/", [(b"host", b"x")], b"{}")
             arrival = contract.Arrival(1, "light", "s", w.dispatcher.clock.now_us() + 10**7, 1, 1)
             w.dispatcher.core.invariants.taken("a1", "light", arrival.deadline_us)
-            attempt = Attempt(Request("a1", 1, arrival, Waits(), payload), 0, "w0", 10**6, 0)
+            attempt = Attempt(Request("a1", 1, arrival, StubClient(), payload), 0, "w0", 10**6, 0)
             task = asyncio.create_task(actor.run_attempt(attempt))
             await asyncio.sleep(0)
             task.cancel()
@@ -191,18 +193,18 @@
     run(both)
 
 
-def test_what_a_replica_turns_away_as_unusable_is_not_its_fault() -> None:
+def test_a_400_from_a_replica_does_not_count_as_its_failure() -> None:
     async def go() -> None:
         async with world([Replica(status(400))], [Replica(STREAM)]) as w:
             for i in range(4):
                 assert b"HTTP/1.1 502" in await w.ask(f"a{i}")
-            assert len(w.readers[0].heads) == 4, "tried once each"
+            assert len(w.readers[0].heads) == 4, "one attempt each"
             assert not w.dispatcher.core.router.servers["r0"].failure_rate
 
     run(go)
 
 
-def test_no_state_proves_that_nothing_ran() -> None:
+def test_a_410_proves_that_the_request_did_not_run() -> None:
     async def go() -> None:
         gone = status(410, "X-Not-Processed: 1")
         async with world([Replica(READ)], [Replica(gone, STREAM)]) as w:
@@ -221,7 +223,7 @@
     run(go)
 
 
-def test_silence_ends_at_the_deadline_with_the_connection_closed_and_all_let_go() -> None:
+def test_a_silent_replica_is_given_up_at_the_deadline_and_its_state_released() -> None:
     async def go() -> None:
         async with world([Replica(silence)], [Replica(STREAM)]) as w:
             answer = await w.ask("a1", ms=300)
@@ -231,13 +233,15 @@
     run(go)
 
 
-def test_a_lost_zones_replicas_are_asked_to_let_go_beside_each_other(
+def test_releases_are_requested_from_the_replicas_of_a_lost_zone_concurrently(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Seen on a split day: five replicas asked in turn, while those of the lost zone never
-    answered.
+    """Guards against releases requested one after the other.
+
+    In a run with a network partition, five replicas were asked in turn, and those of the lost zone
+    never answered.
     """
-    # one ask after the other would not end
+    # requests one after the other would not end
     monkeypatch.setattr(net_replica, "LEASE_RELEASE_TIMEOUT_US", 60_000_000)
 
     async def go() -> None:
@@ -248,7 +252,7 @@
                 part.lets_go = False
             replicas = w.dispatcher.replicas
             request = Request("a1", 1, None, None, None, state_holder="r0")  # type: ignore[arg-type]
-            for name in ("w0", "w1"):  # these come before the one that answers
+            for name in ("w0", "w1"):  # these are asked before the one that answers
                 replicas.actors[name].answered_us = 2
             replicas.release(request, False)
             await until(lambda: w.writers[2].leases == ["/kv/leases/a1"])
@@ -258,13 +262,13 @@
     run(go)
 
 
-def test_a_send_waits_for_the_release_before_it() -> None:
-    """Or the release takes the state of the read after it away."""
+def test_a_send_waits_for_a_release_in_progress() -> None:
+    """Otherwise the release would remove the state of the prefill that follows it."""
 
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
             let_go = asyncio.Event()
-            core, client = w.dispatcher.core, Waits()
+            core, client = w.dispatcher.core, StubClient()
             arrival = contract.Arrival(9, "light", "s", core.clock.now_us() + 10**7, 100, 100)
             request = Request(
                 "a1",
@@ -288,7 +292,7 @@
     run(go)
 
 
-def test_a_client_that_leaves_is_noticed() -> None:
+def test_a_client_disconnect_is_detected() -> None:
     async def go() -> None:
         async with world([Replica(silence)], [Replica(STREAM)]) as w:
             _, writer = await w.send(ask("a1"))
@@ -299,7 +303,7 @@
     run(go)
 
 
-def test_a_drain_is_heeded_and_a_lost_watch_resumes_from_its_version() -> None:
+def test_a_drain_is_applied_and_a_lost_watch_resumes_from_its_version() -> None:
     async def go() -> None:
         async with world([Replica(READ), Replica(READ)], [Replica(STREAM)]) as w:
             d = w.discovery
@@ -311,14 +315,14 @@
                 assert b"200" in await w.ask(f"a{i}")
             assert not w.readers[0].heads and len(w.readers[1].heads) == 6
             await d.stop()
-            assert b"200" in await w.ask("b"), "the old list holds"
+            assert b"200" in await w.ask("b"), "the old list stays in force"
             await d.start()
             await until(lambda: d.asked[-1].endswith("from=43"))
 
     run(go)
 
 
-def test_a_known_list_is_resumed_by_a_watch_and_an_empty_line_confirms_it() -> None:
+def test_a_saved_list_is_resumed_by_a_watch_and_confirmed_by_an_empty_line() -> None:
     async def go() -> None:
         replicas = [Replica(READ), Replica(STREAM)]
         for replica in replicas:
@@ -342,14 +346,14 @@
     run(go)
 
 
-def test_a_busy_discovery_gets_more_time_each_time_and_is_not_asked_in_step(
+def test_a_slow_discovery_gets_more_time_at_each_retry(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def go() -> None:
         monkeypatch.setattr(poll_schedule, "RESPONSE_TIMEOUT_MS", 20.0)
         monkeypatch.setattr(poll_schedule, "BACKOFF_MS", 1)
         slow = Discovery()
-        slow.delay_s = 0.1  # five times what it gets at first
+        slow.delay_s = 0.1  # five times the first time limit
         await slow.start()
         listen = Address("127.0.0.1", 0)
         config = Config("n0", listen, Address("127.0.0.1", slow.port), 1, SETTINGS, {})
@@ -364,17 +368,17 @@
     run(go)
 
 
-def test_a_discovery_that_moves_during_a_pause_is_asked_at_once(
+def test_a_new_discovery_address_is_called_at_once_during_a_retry_delay(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def go() -> None:
         paused = asyncio.Event()
 
-        def an_hour(pace: poll_schedule.PollSchedule, lasted_ms: float) -> float:
+        def one_hour(pace: poll_schedule.PollSchedule, lasted_ms: float) -> float:
             paused.set()
             return 3_600_000.0
 
-        monkeypatch.setattr(poll_schedule.PollSchedule, "retry_delay_ms", an_hour)
+        monkeypatch.setattr(poll_schedule.PollSchedule, "retry_delay_ms", one_hour)
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
             new = Discovery()
             await new.start()
@@ -388,7 +392,7 @@
     run(go)
 
 
-def test_discovery_moves_under_a_request_and_its_older_versions_count() -> None:
+def test_a_new_discovery_address_applies_during_a_request_with_its_lower_versions() -> None:
     async def go() -> None:
         hold = asyncio.Event()
         async with world([Replica(READ)], [Replica(ends_with(hold))]) as w:
@@ -404,9 +408,7 @@
             d.list.receive(
                 DiscoveryUpdate({"seq": 90, "whole": False, "hosts": []}, d.list.epoch - 1)
             )
-            assert d.list.seq == 7, (
-                "what the old address still had to say counts, its version does not"
-            )
+            assert d.list.seq == 7, "messages of the old address apply, their versions do not"
             new.change(new.entry("r0", "r", w.readers[0].address, "leaving"))
             await until(lambda: not d.core.endpoints.accepts_new_work("r0"))
             hold.set()
@@ -417,7 +419,7 @@
     run(go)
 
 
-def test_a_replica_that_left_is_forgotten_once_nothing_of_it_is_under_way() -> None:
+def test_a_removed_replica_is_forgotten_once_its_connections_are_closed() -> None:
     async def go() -> None:
         async with world([Replica(READ), Replica(READ)], [Replica(STREAM)]) as w:
             for i in range(8):
@@ -470,7 +472,7 @@
 def test_bad_input_gets_its_status(text: bytes, code: int) -> None:
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
-            # a body that is announced too large is not waited for
+            # the dispatcher does not wait for a body announced as too large
             reader, writer = await w.send(text)
             head = await reader.readuntil(b"\r\n")
             assert head.split()[1] == b"%d" % code, head
@@ -482,7 +484,7 @@
     run(go)
 
 
-def test_bytes_behind_an_open_request_end_it_with_an_error() -> None:
+def test_bytes_after_an_open_request_end_it_with_an_error() -> None:
     async def go() -> None:
         async with world([Replica(silence)], [Replica(STREAM)]) as w:
             reader, writer = await w.send(ask("a1"))
@@ -495,7 +497,7 @@
     run(go)
 
 
-def test_a_next_request_that_comes_with_the_answers_end_is_served(
+def test_a_request_that_arrives_with_the_end_of_an_answer_is_served(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     finish = HttpClient.complete
@@ -516,7 +518,7 @@
     run(go)
 
 
-def test_an_id_is_in_use_till_its_last_attempt_has_ended() -> None:
+def test_an_id_is_in_use_until_its_last_attempt_has_ended() -> None:
     async def go() -> None:
         async with world([Replica(silence)], [Replica(STREAM)]) as w:
             _, writer = await w.send(ask("a1"))
@@ -543,7 +545,7 @@
     run(go)
 
 
-def test_silent_connections_make_room_and_open_requests_do_not() -> None:
+def test_silent_connections_are_displaced_and_open_requests_are_not() -> None:
     async def go() -> None:
         async with world([Replica(READ), Replica(READ)], [Replica(silence)]) as w:
             w.dispatcher.front.max_connections = 2
@@ -553,7 +555,7 @@
             assert [await reader.read() for reader, _ in silent] == [b""] * 5
             third, writer = await w.send(ask("a3"))
             await asyncio.sleep(0.1)
-            assert len(w.writers[0].heads) == 2, "it waits"
+            assert len(w.writers[0].heads) == 2, "the new request waits"
             held[0][1].close()
             await until(lambda: len(w.writers[0].heads) == 3)
             for _, sink in (*silent, *held, (third, writer)):
@@ -562,7 +564,7 @@
     run(go)
 
 
-def test_a_crowd_of_half_requests_does_not_take_the_place_of_one_written_slowly(
+def test_incomplete_requests_do_not_displace_one_written_slowly(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def go() -> None:
@@ -582,7 +584,7 @@
                 )
 
             slow, writer = await w.send(b"")
-            for i in range(3):  # the eldest of all, but it keeps coming
+            for i in range(3):  # the oldest connection, but it keeps sending
                 writer.write(text[20 * i : 20 * (i + 1)])
                 await until(lambda i=i: read_counts() == [i + 1])
             held.max_connections = 4
@@ -599,7 +601,7 @@
     run(go)
 
 
-def test_complaints_are_paced_and_their_lines_counted() -> None:
+def test_error_responses_are_delayed_and_their_log_lines_limited() -> None:
     clock = Clock()
     made = bad_request_limiter.BadRequestLimiter(clock)
     waits = [made.delay_us() for _ in range(200)]
@@ -616,12 +618,12 @@
     assert [line["n"] for line in lines] == [1, 50]
 
 
-HUGE = b"C0000000\r\n" + EVENTS[0] * 20_000
-SPOILT = [
+HUGE_CHUNK = b"C0000000\r\n" + EVENTS[0] * 20_000
+CORRUPT_RESPONSES = [
     b"\x00\xff noise \r\n\r\n" * 9,
     b"HTTP/1.1 200 OK\r\nX: " + b"y" * 200,
     b"HTTP/1.1 200 OK\r\nX: " + b"y" * 100_000,
-    HEAD + HUGE,
+    HEAD + HUGE_CHUNK,
     HEAD + b"zz\r\n" + CHUNKS,
     HEAD + b"5\r\n" + CHUNKS,
     HEAD + b"%x\r\n" % (len(EVENTS[0]) - 3) + EVENTS[0] + b"\r\n",
@@ -633,8 +635,8 @@
 ]
 
 
-@pytest.mark.parametrize("text", SPOILT, ids=range(len(SPOILT)))
-def test_a_stream_spoilt_before_its_first_event_may_have_run(
+@pytest.mark.parametrize("text", CORRUPT_RESPONSES, ids=range(len(CORRUPT_RESPONSES)))
+def test_a_stream_corrupted_before_its_first_event_may_have_run(
     monkeypatch: pytest.MonkeyPatch, text: bytes
 ) -> None:
     monkeypatch.setattr(response_reader, "PART_TIMEOUT_US", 100_000)
@@ -644,16 +646,16 @@
             answer = await w.ask("a1")
             assert answer.startswith(b"HTTP/1.1 200") and answer.endswith(b"0\r\n\r\n")
             assert answer.count(EVENTS[0]) == 1 and answer.count(EVENTS[1]) == 1
-            assert len(w.readers[0].heads) == 2, "its state was fetched, so it is read anew"
+            assert len(w.readers[0].heads) == 2, "its state was used up, so it is prefilled again"
         async with world([Replica(READ)], [Replica(says(text), STREAM)]) as w:
             assert b"HTTP/1.1 502" in await w.ask("a1", "once")
-            assert len(w.writers[0].heads) == 1, "a booking is not sent again"
+            assert len(w.writers[0].heads) == 1, "a non-idempotent request is not sent again"
 
     run(go)
 
 
-@pytest.mark.parametrize("text", [b"zz\r\n", HUGE, b"ffff\r\ndata", b"5\r\n" + CHUNKS])
-def test_a_stream_spoilt_later_is_cut_off_soon(
+@pytest.mark.parametrize("text", [b"zz\r\n", HUGE_CHUNK, b"ffff\r\ndata", b"5\r\n" + CHUNKS])
+def test_a_stream_corrupted_later_is_aborted_soon(
     monkeypatch: pytest.MonkeyPatch, text: bytes
 ) -> None:
     monkeypatch.setattr(response_reader, "PART_TIMEOUT_US", 100_000)
@@ -675,10 +677,10 @@
         HEAD,
     ],
 )
-def test_more_than_belongs_to_a_good_stream_does_no_harm(
+def test_extra_bytes_around_a_valid_stream_do_no_harm(
     text: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # so that the looks at the connection are all there is
+    # without the delay, only the checks of the connection itself are tested
     monkeypatch.setattr(net_replica, "REUSE_DELAY_US", 0)
 
     async def go() -> None:
@@ -687,13 +689,13 @@
             for i in range(3):
                 answer = await w.ask(f"a{i}")
                 assert answer.startswith(b"HTTP/1.1 200") and answer.count(EVENTS[1]) == 1
-            assert w.writers[0].connections == 2, "not used again behind a second answer"
+            assert w.writers[0].connections == 2, "not reused after a second response"
 
     run(go)
 
 
 @pytest.mark.parametrize("begun", [b"", CHUNKS])
-def test_a_stream_that_stops_is_given_up_in_time(
+def test_a_stalled_stream_is_given_up_in_time(
     monkeypatch: pytest.MonkeyPatch, begun: bytes
 ) -> None:
     for name in ("FIRST_EVENT_TIMEOUT_US", "STREAM_STALL_TIMEOUT_US"):
@@ -708,7 +710,7 @@
     run(go)
 
 
-def test_a_connect_that_is_reset_is_tried_once_more(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_reset_connect_is_retried_once(monkeypatch: pytest.MonkeyPatch) -> None:
     tried: list[OSError] = []
 
     async def go(kind: type[OSError], most: int) -> None:
@@ -726,7 +728,7 @@
     run(lambda: go(ConnectionRefusedError, 1))
 
 
-def test_no_descriptors_left_for_a_connection_is_our_own_shortage(
+def test_a_lack_of_descriptors_is_a_local_shortage(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def none_left(*_: Any, **__: Any) -> None:
@@ -737,7 +739,7 @@
             monkeypatch.setattr(asyncio, "open_connection", none_left)
             with structlog.testing.capture_logs() as lines:
                 await w.dispatcher.replicas.actors["r0"].check_health()
-                core, client = w.dispatcher.core, Waits()
+                core, client = w.dispatcher.core, StubClient()
                 arrival = contract.Arrival(9, "light", "s", core.clock.now_us() + 10**6, 100, 100)
                 monkeypatch.setattr(client, "reject", lambda _: client.done.set())
                 core.submit("a1", arrival, client, None)
@@ -750,7 +752,7 @@
     run(go)
 
 
-def test_an_idle_connection_makes_room_and_a_shortage_blames_nobody() -> None:
+def test_idle_connections_are_closed_for_new_ones_and_a_shortage_is_no_server_failure() -> None:
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM), Replica(STREAM)]) as w:
             budget, core = w.dispatcher.replicas.budget, w.dispatcher.core
@@ -771,11 +773,12 @@
     run(go)
 
 
-def test_sigterm_finishes_what_was_taken_and_closes_idle_clients() -> None:
+def test_sigterm_finishes_open_requests_and_closes_idle_clients() -> None:
     async def go() -> None:
         hold = asyncio.Event()
         async with world([Replica(READ)], [Replica(ends_with(hold))]) as w:
-            reader, writer = await w.send(ask("a1"))  # the writers are kept: dropped ones close
+            # the writers are kept, because an unreferenced one closes its connection
+            reader, writer = await w.send(ask("a1"))
             await reader.readuntil(b"[DONE]")
             idle, other = await w.send(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
             assert b"200" in await idle.readuntil(b"\r\n")
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -1,6 +1,4 @@
-"""Forty dispatchers before one discovery that must be asked, in a model of its queue, without
-sockets.
-"""
+"""The poll schedule in a model of a shared discovery's queue, with 40 dispatchers and no sockets."""
 
 import heapq
 import random
@@ -20,31 +18,37 @@
     PollSchedule,
 )
 
-CALL_MS, PLACES, PATIENCE_MS = 170.0, 14, 2_000.0  # as the operators' days show it
-ROUTERS = 40
+SERVICE_TIME_MS, QUEUE_SLOTS, CALLER_TIMEOUT_MS = (
+    170.0,
+    14,
+    2_000.0,
+)  # as observed in the operators' runs
+DISPATCHERS = 40
 
 
-def told_within(
-    paces: list[PollSchedule],
+def accepted_times_ms(
+    schedules: list[PollSchedule],
     spread: bool,
     until_ms: float,
     lost: bool = False,
-    call_ms: float = CALL_MS,
+    call_ms: float = SERVICE_TIME_MS,
 ) -> list[float]:
-    """When each dispatcher's watch was taken on, if it was.
+    """Return when each accepted watch was accepted, in order.
 
-    One call at a time is worked on, in turn. A caller has left after ``PATIENCE_MS``, but its call
-    is worked on all the same: what is given up costs as much as what is answered.
+    Calls are worked on one at a time, in turn. A caller abandons its call after ``CALLER_TIMEOUT_MS``,
+    but the call is worked on all the same: an abandoned call costs as much as one that is answered.
     """
     order, events = count(), list[tuple[float, int, str, int]]()
     queue, busy, asked, taken = deque[tuple[int, float]](), False, 0, dict[int, float]()
-    began = dict.fromkeys(range(len(paces)), 0.0)
+    began = dict.fromkeys(range(len(schedules)), 0.0)
 
     def at(when_ms: float, what: str, who: int) -> None:
         heapq.heappush(events, (when_ms, next(order), what, who))
 
-    for who, pace in enumerate(paces):
-        first_ms = pace.retry_delay_ms(ACCEPTED_WATCH_MS) if lost else pace.initial_delay_ms()
+    for who, schedule in enumerate(schedules):
+        first_ms = (
+            schedule.retry_delay_ms(ACCEPTED_WATCH_MS) if lost else schedule.initial_delay_ms()
+        )
         at(first_ms if spread else 0.0, "ask", who)
     while events:
         now_ms, _, what, who = heapq.heappop(events)
@@ -52,17 +56,17 @@
             break
         if what == "ask":
             asked, began[who] = asked + 1, now_ms
-            paces[who].line_received()
-            if len(queue) >= PLACES:
-                at(now_ms + paces[who].retry_delay_ms(0.0), "ask", who)
+            schedules[who].line_received()
+            if len(queue) >= QUEUE_SLOTS:
+                at(now_ms + schedules[who].retry_delay_ms(0.0), "ask", who)
             else:
                 queue.append((who, now_ms))
-                at(now_ms + PATIENCE_MS, "leave", who)
-        elif what == "leave" and who not in taken and began[who] + PATIENCE_MS <= now_ms:
-            at(now_ms + paces[who].retry_delay_ms(PATIENCE_MS), "ask", who)
+                at(now_ms + CALLER_TIMEOUT_MS, "leave", who)
+        elif what == "leave" and who not in taken and began[who] + CALLER_TIMEOUT_MS <= now_ms:
+            at(now_ms + schedules[who].retry_delay_ms(CALLER_TIMEOUT_MS), "ask", who)
         elif what == "done":
             busy, (other, since_ms) = False, queue.popleft()
-            if now_ms - since_ms < PATIENCE_MS:
+            if now_ms - since_ms < CALLER_TIMEOUT_MS:
                 taken[other] = now_ms
         if queue and not busy:
             busy = True
@@ -70,88 +74,97 @@
     return sorted(taken.values())
 
 
-def paces(shared: bool, seed: int, routers: int = ROUTERS) -> list[PollSchedule]:
+def schedules(shared: bool, seed: int, routers: int = DISPATCHERS) -> list[PollSchedule]:
     return [PollSchedule(random.Random(seed * 1000 + i), shared, routers) for i in range(routers)]
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_all_are_told_where_discovery_is_one_for_all(seed: int) -> None:
-    told = told_within(paces(True, seed), True, 30_000.0)
-    assert len(told) == ROUTERS and told[ROUTERS // 2] < 6_000
+def test_all_dispatchers_are_served_by_a_shared_discovery(seed: int) -> None:
+    accepted_ms = accepted_times_ms(schedules(True, seed), True, 30_000.0)
+    assert len(accepted_ms) == DISPATCHERS and accepted_ms[DISPATCHERS // 2] < 6_000
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_all_are_told_also_after_all_asked_at_once(seed: int) -> None:
-    assert len(told_within(paces(True, seed), False, 60_000.0)) == ROUTERS
+def test_all_dispatchers_are_served_after_calling_at_once(seed: int) -> None:
+    assert len(accepted_times_ms(schedules(True, seed), False, 60_000.0)) == DISPATCHERS
+
 
+def test_a_schedule_for_an_agent_starves_most_dispatchers_of_a_shared_discovery() -> None:
+    """The model shows the fault that the schedule prevents.
 
-def test_a_pace_made_for_an_agent_leaves_most_untold_for_good() -> None:
-    """The model shows the fault that the pace is for: short pauses keep the queue full of
-    abandoned calls.
+    Short delays keep the queue full of abandoned calls.
     """
-    told = told_within(paces(False, 1), False, 60_000.0)
-    assert len(told) < ROUTERS / 2 and told[-1] < 5_000
+    accepted_ms = accepted_times_ms(schedules(False, 1), False, 60_000.0)
+    assert len(accepted_ms) < DISPATCHERS / 2 and accepted_ms[-1] < 5_000
 
 
-def test_an_agent_is_asked_at_once_and_again_soon() -> None:
-    pace = PollSchedule(random.Random(1), False, ROUTERS)
-    assert pace.initial_delay_ms() == 0
+def test_an_agent_is_called_at_once_and_retried_soon() -> None:
+    schedule = PollSchedule(random.Random(1), False, DISPATCHERS)
+    assert schedule.initial_delay_ms() == 0
     rows = [
         [one.retry_delay_ms(0.0) for _ in range(30)]
-        for one in (pace, PollSchedule(random.Random(2), False, ROUTERS))
+        for one in (schedule, PollSchedule(random.Random(2), False, DISPATCHERS))
     ]
     assert all(0 <= p <= MAX_BACKOFF_MS for row in rows for p in row)
     assert rows[0] != rows[1] and max(rows[0]) > MAX_BACKOFF_MS / 2 > min(rows[0][6:])
-    pace.line_received()
-    assert pace.failures == 0 and pace.retry_delay_ms(0.0) <= 50
+    schedule.line_received()
+    assert schedule.failures == 0 and schedule.retry_delay_ms(0.0) <= 50
 
 
-def test_pauses_stay_within_what_the_drain_rule_leaves_after_a_failed_call() -> None:
-    pace = PollSchedule(random.Random(3), True, 10_000, 10_000.0)
-    assert max(pace.initial_delay_ms() for _ in range(200)) <= 8_000
-    assert max(pace.retry_delay_ms(0.0) for _ in range(200)) < 4 * 10_000
-    assert pace.retry_delay_ms(ACCEPTED_WATCH_MS) <= 8_000, (
-        "a watch that was taken on starts the count anew"
+def test_delays_stay_within_the_time_that_a_drain_leaves_after_a_failed_call() -> None:
+    schedule = PollSchedule(random.Random(3), True, 10_000, 10_000.0)
+    assert max(schedule.initial_delay_ms() for _ in range(200)) <= 8_000
+    assert max(schedule.retry_delay_ms(0.0) for _ in range(200)) < 4 * 10_000
+    assert schedule.retry_delay_ms(ACCEPTED_WATCH_MS) <= 8_000, (
+        "an accepted watch resets the number of failures"
     )
 
 
 @pytest.mark.parametrize("routers", [4, 30, 200])
 @pytest.mark.parametrize("seed", range(3))
-def test_after_a_silence_all_are_told_in_time_where_discovery_has_the_room(
+def test_after_a_silence_all_are_served_in_time_by_a_discovery_with_capacity(
     routers: int, seed: int
 ) -> None:
-    """All of them lose their watches together, and what they miss counts as told soon after."""
+    """All lose their watches together, and missed changes count as known soon after."""
     call_ms = 2_000 / routers
-    told = told_within(paces(True, seed, routers), True, 60_000.0, lost=True, call_ms=call_ms)
+    accepted_ms = accepted_times_ms(
+        schedules(True, seed, routers), True, 60_000.0, lost=True, call_ms=call_ms
+    )
     assert (
-        len(told) == routers and told[-1] <= MISSED_CHANGES_DEADLINE_MS - WATCH_SILENCE_TIMEOUT_MS
+        len(accepted_ms) == routers
+        and accepted_ms[-1] <= MISSED_CHANGES_DEADLINE_MS - WATCH_SILENCE_TIMEOUT_MS
     )
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_discovery_without_the_room_still_gets_round_to_all(seed: int) -> None:
-    """A bound on every pause would keep its queue full of abandoned calls: then most are never
-    told.
+def test_a_discovery_without_capacity_still_serves_almost_all(seed: int) -> None:
+    """A bound on every delay would keep the queue full of abandoned calls.
+
+    Most dispatchers would then never be served.
     """
-    told = told_within(paces(True, seed), True, 60_000.0, lost=True)
-    assert len(told) == ROUTERS
-    told = told_within(paces(True, seed, 200), True, 300_000.0, lost=True)
-    assert len(told) > 180
+    accepted_ms = accepted_times_ms(schedules(True, seed), True, 60_000.0, lost=True)
+    assert len(accepted_ms) == DISPATCHERS
+    accepted_ms = accepted_times_ms(schedules(True, seed, 200), True, 300_000.0, lost=True)
+    assert len(accepted_ms) > 180
 
 
-def test_a_silence_a_failed_call_and_a_good_one_fit_into_the_time_at_an_agent() -> None:
+def test_a_silence_a_failed_call_and_a_good_one_fit_into_the_deadline_at_an_agent() -> None:
     assert WATCH_SILENCE_TIMEOUT_MS > HEARTBEAT_INTERVAL_MS
-    pace = PollSchedule(random.Random(4), False, 200)
-    first = pace.retry_delay_ms(ACCEPTED_WATCH_MS) + max(
-        CONNECT_TIMEOUT_MS, pace.response_timeout_ms
+    schedule = PollSchedule(random.Random(4), False, 200)
+    first = schedule.retry_delay_ms(ACCEPTED_WATCH_MS) + max(
+        CONNECT_TIMEOUT_MS, schedule.response_timeout_ms
+    )
+    again = (
+        schedule.retry_delay_ms(CONNECT_TIMEOUT_MS)
+        + CONNECT_TIMEOUT_MS
+        + schedule.response_timeout_ms
     )
-    again = pace.retry_delay_ms(CONNECT_TIMEOUT_MS) + CONNECT_TIMEOUT_MS + pace.response_timeout_ms
     assert WATCH_SILENCE_TIMEOUT_MS + first + again < MISSED_CHANGES_DEADLINE_MS - 1_000
     for _ in range(40):
         assert (
-            pace.retry_delay_ms(CONNECT_TIMEOUT_MS) + pace.response_timeout_ms
+            schedule.retry_delay_ms(CONNECT_TIMEOUT_MS) + schedule.response_timeout_ms
             <= MAX_BACKOFF_MS + MAX_RESPONSE_TIMEOUT_MS
         )
-    assert pace.response_timeout_ms <= MAX_RESPONSE_TIMEOUT_MS < 1_000, (
-        "an agent that is back is asked within any drain's grace"
+    assert schedule.response_timeout_ms <= MAX_RESPONSE_TIMEOUT_MS < 1_000, (
+        "an agent that is back is called within the grace time of any drain"
     )
--- a/tests/test_state_behind_silent_send.py
+++ b/tests/test_state_behind_silent_send.py
@@ -1,12 +1,11 @@
-"""State that stays reserved behind a send which its server never took.
-
-Seen: in two runs ten requests were prefilled and sent on at once, and none of these sends was
-taken; the state stayed with its prefill server until the records ended. How it came about: a
-decode server, or the way to it, had fallen silent, while the connection to it took every byte.
-Cause: an attempt counted as in flight from its last byte on, and only a kernel that had not
-acknowledged the bytes was taken for a sign that they had not arrived; a relay or the kernel of a
-process that hangs acknowledges them. What proved it: the first test of each front, with a server
-that reads and never answers and with one whose process never accepts.
+"""State that stays reserved behind a send which its server never processed.
+
+In two runs ten requests were prefilled and sent at once, and none of these sends was processed; the
+state stayed with its prefill server until the end of the records. A decode server, or the route to
+it, had fallen silent while the connection to it accepted every byte. An attempt counted as in
+flight from its last byte on, and only unacknowledged bytes were taken as a sign that they had not
+arrived; but a relay, or the kernel of a hanging process, acknowledges them. The tests use a server
+that reads and never answers, and one whose process never accepts.
 """
 
 import asyncio
@@ -24,16 +23,17 @@
 
 from tests.support.simulator_settings import CONF
 
-# Of the 0.6 s that are allowed, for a busy machine; the wait for an answer takes 4 s here.
-RELEASE_MOST_S = 2.0
-SLOW_S = 1.0  # a decode server's first token, well past the time in which state must be used
+# 0.6 s are allowed; the rest is for a busy machine. The wait for an answer takes 4 s here.
+MAX_RELEASE_S = 2.0
+# delay of a decode server's first token, well past the time in which state must be used
+SLOW_S = 1.0
 OBJECTIVE_US = 5_000_000
 DEADLINE_MS = 6_000
 CLASSES = ("read_like", "non_idempotent")
 
 
 class StoppedProcess(Replica):
-    """Its kernel accepts connections and acknowledges what comes; the process does not run."""
+    """A stopped process: its kernel accepts connections and acknowledges bytes."""
 
     async def start(self) -> "StoppedProcess":
         self.socket = socket.create_server(("127.0.0.1", 0), backlog=16)
@@ -47,7 +47,7 @@
 async def slow(
     self: Replica, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, _: bytes
 ) -> None:
-    """Take the request at once, and stream the answer late."""
+    """Read the request at once, and stream the answer late."""
     await asyncio.sleep(SLOW_S)
     writer.write(HEAD + CHUNKS + b"0\r\n\r\n")
 
@@ -59,27 +59,30 @@
 
 
 @dataclass(frozen=True)
-class Silent:
-    """Servers that are silent: decode servers to the send, and maybe prefill servers to calls."""
+class SilentServers:
+    """Decode servers that are silent to a send.
+
+    Prefill servers may be silent too, to requests to release state.
+    """
 
     writers: Callable[[], Replica]
     idempotency: str
-    holders_too: bool = False  # then another server has to pass the release on
+    prefill_servers_too: bool = False  # then another server has to forward the release
 
 
 CASES = (
-    *(Silent(lambda: Replica(silence), idempotency) for idempotency in CLASSES),
-    *(Silent(lambda: StoppedProcess(READ), idempotency) for idempotency in CLASSES),
-    Silent(lambda: Replica(silence), "read_like", holders_too=True),
+    *(SilentServers(lambda: Replica(silence), idempotency) for idempotency in CLASSES),
+    *(SilentServers(lambda: StoppedProcess(READ), idempotency) for idempotency in CLASSES),
+    SilentServers(lambda: Replica(silence), "read_like", prefill_servers_too=True),
 )
 
 
-def test_state_is_released_while_a_send_was_acknowledged_and_not_taken(tmp_path: Path) -> None:
-    async def go(case: Silent) -> None:
+def test_state_is_released_while_a_send_was_acknowledged_and_not_processed(tmp_path: Path) -> None:
+    async def go(case: SilentServers) -> None:
         readers, writers = [Replica(READ), Replica(READ)], [case.writers(), case.writers()]
         for reader in readers:
-            reader.lets_go = not case.holders_too
-        asked = writers if case.holders_too else readers
+            reader.lets_go = not case.prefill_servers_too
+        asked = writers if case.prefill_servers_too else readers
         async with parties(tmp_path, readers, writers, settings=settings(case.idempotency)) as made:
             process = await Process.start("serve", "--config", str(made[0]))
             async with connection(await process.port()) as (_, client):
@@ -87,9 +90,9 @@
                 client.write(ask("a1", "a", ms=DEADLINE_MS))
                 while not (released := [lease for server in asked for lease in server.leases]):
                     await asyncio.sleep(0.005)
-                assert time.monotonic() - sent_s <= RELEASE_MOST_S, case
+                assert time.monotonic() - sent_s <= MAX_RELEASE_S, case
                 assert released[0].endswith("a1")
-                assert not process.of("attempt"), "the send may still come through"
+                assert not process.of("attempt"), "the send may still be processed"
             assert await process.end() == 0
 
     for case in CASES:
@@ -97,7 +100,7 @@
 
 
 @pytest.mark.parametrize("idempotency", CLASSES)
-def test_a_send_that_was_taken_is_not_given_up_nor_sent_again(
+def test_a_send_that_was_processed_is_not_given_up_nor_repeated(
     tmp_path: Path, idempotency: str
 ) -> None:
     async def go() -> None:
@@ -122,8 +125,8 @@
             await st.until(lambda: w.writes)
             sent_s = time.monotonic()
             await st.until(lambda: any(reader.released for reader in w.readers))
-            assert time.monotonic() - sent_s <= RELEASE_MOST_S
-            assert w.writes == 1 and not client.responses, "the send may still come through"
+            assert time.monotonic() - sent_s <= MAX_RELEASE_S
+            assert w.writes == 1 and not client.responses, "the send may still be processed"
 
     calls.run(go)
 
--- a/tests/test_stream_migration.py
+++ b/tests/test_stream_migration.py
@@ -1,6 +1,4 @@
-"""Streams that go over to the next process of an upgrade: what is offered, taken, and left where
-it was.
-"""
+"""Migration of streams to the next process of an upgrade: offers, acceptance and failures."""
 
 import asyncio
 import contextlib
@@ -30,8 +28,8 @@
 }  # fmt: skip
 
 
-async def offered(path: Path, message: bytes, *sockets: socket.socket) -> bytes:
-    """The new process's word on an offer; it is never told to go on."""
+async def send_offer(path: Path, message: bytes, *sockets: socket.socket) -> bytes:
+    """Return the new process's reply to an offer that is never confirmed."""
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
         sock.setblocking(False)
         with stream_migration.short_socket_path(path) as short:
@@ -40,7 +38,7 @@
         return await asyncio.get_running_loop().sock_recv(sock, 1)
 
 
-def test_only_what_is_a_stream_is_taken_over_and_an_offer_taken_back_changes_nothing(
+def test_only_valid_offers_are_accepted_and_a_withdrawn_offer_changes_nothing(
     tmp_path: Path,
 ) -> None:
     async def go() -> None:
@@ -54,19 +52,19 @@
                 json.dumps({**OFFER, "n": "1"}).encode(), json.dumps({**OFFER, "rest": "\u20ac"}).encode(),
                 json.dumps({k: v for k, v in OFFER.items() if k != "server"}).encode(),
             ):  # fmt: skip
-                assert await offered(path, bad, one, two) == b"", bad
+                assert await send_offer(path, bad, one, two) == b"", bad
             good = json.dumps(OFFER).encode()
-            assert await offered(path, good, one) == b"", "a connection is lacking"
+            assert await send_offer(path, good, one) == b"", "a connection is missing"
             for version in (stream_migration.LOCAL_CLOCK_VERSION, stream_migration.VERSION):
                 good = json.dumps({**OFFER, "version": version}).encode()
-                assert await offered(path, good, one, two) == stream_migration.ACCEPTED, (
-                    "the one before is known too"
+                assert await send_offer(path, good, one, two) == stream_migration.ACCEPTED, (
+                    "the previous version is accepted too"
                 )
             assert w.dispatcher.stream_receiver is not None
             await until(lambda: not w.dispatcher.stream_receiver.tasks)
             assert not w.dispatcher.core.registry.by_number and not w.dispatcher.front.connections
             one.send(b"x")
-            assert two.recv(1) == b"x", "what was only offered is left as it was"
+            assert two.recv(1) == b"x", "connections that were only offered are unchanged"
             one.close()
             two.close()
 
@@ -74,7 +72,7 @@
 
 
 @pytest.mark.parametrize("answer", [b"", b"0"])
-def test_a_stream_that_nobody_takes_stays_and_is_served(tmp_path: Path, answer: bytes) -> None:
+def test_a_stream_whose_offer_is_rejected_is_still_served(tmp_path: Path, answer: bytes) -> None:
     async def go() -> None:
         hold, asked = asyncio.Event(), asyncio.Event()
         listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
@@ -83,7 +81,7 @@
         listener.listen()
         listener.setblocking(False)
 
-        async def turn_down() -> None:
+        async def reject_offers() -> None:
             loop = asyncio.get_running_loop()
             while True:
                 sock, _ = await loop.sock_accept(listener)
@@ -94,25 +92,29 @@
                         await loop.sock_sendall(sock, answer)
 
         async with world([Replica(READ)], [Replica(ends_with(hold))]) as w:
-            unwilling = asyncio.create_task(turn_down())
-            successor = stream_migration.StreamSender(tmp_path / "x.heir", w.dispatcher.core)
+            rejecting = asyncio.create_task(reject_offers())
+            sender = stream_migration.StreamSender(tmp_path / "x.heir", w.dispatcher.core)
             served = asyncio.create_task(w.ask("a1"))
             await until(
                 lambda: any(actor.streams for actor in w.dispatcher.replicas.actors.values())
             )
-            w.dispatcher.replicas.migrate_streams(successor)  # the stream waits for its next event
+            # the stream is waiting for its next event
+            w.dispatcher.replicas.migrate_streams(sender)
             await asked.wait()
             hold.set()
             assert (await served).endswith(b"0\r\n\r\n")
             assert w.dispatcher.core.metrics.downstream["light"].completed == 1
-            unwilling.cancel()
+            rejecting.cancel()
             listener.close()
 
     run(go)
 
 
-async def fed(*parts: bytes) -> ResponseReader:
-    """An answer in chunks of which these parts have come, with all whole chunks taken out."""
+async def reader_after(*parts: bytes) -> ResponseReader:
+    """Return a reader of a chunked response that has received ``parts``.
+
+    All complete chunks have been taken out.
+    """
     wheel = TimerWheel(HandClock())
     reader = asyncio.StreamReader()
     wire = HttpConnection(h11.CLIENT, reader, None)
@@ -134,21 +136,21 @@
     ("parts", "between"),
     [
         ([b"3\r\nab\n\r\n"], True),
-        ([b"3\r\nab\n"], False),  # the line's end of the chunk is still to come
+        ([b"3\r\nab\n"], False),  # the line end after the chunk is missing
         ([b"3\r\nab\n\r"], False),
         ([b"3\r\nab\n", b"\r\n"], True),
         ([b"3\r\nab\n\r\n5"], False),
         ([b"3\r\nab\n\r\n5\r\nx"], False),
-        ([b"4\r\na\n\r\n"], False),  # ends as a chunk does, but is none yet
-        ([b"4\r\na\n\r\n\r\n"], False),  # whole, but it can't be told from the one above
+        ([b"4\r\na\n\r\n"], False),  # the data ends like a chunk, but is incomplete
+        ([b"4\r\na\n\r\n\r\n"], False),  # complete, but indistinguishable from the one above
         ([b"3\r\nab\n\r\n0\r\n\r\n"], False),
     ],
 )
-def test_a_stream_goes_over_between_whole_chunks_only(parts: list[bytes], between: bool) -> None:
-    assert asyncio.run(fed(*parts)).at_chunk_boundary is between
+def test_a_stream_migrates_only_between_complete_chunks(parts: list[bytes], between: bool) -> None:
+    assert asyncio.run(reader_after(*parts)).at_chunk_boundary is between
 
 
-def test_two_h11_machines_are_brought_within_a_body() -> None:
+def test_two_h11_state_machines_are_restored_within_a_body() -> None:
     wire, client = HttpConnection(h11.CLIENT, None, None), HttpConnection(h11.SERVER, None, None)
     stream_migration.restore_http_state(wire, client, keep_alive=True)
     wire.h11.receive_data(b"2\r\nhi\r\n0\r\n\r\n")
@@ -166,7 +168,7 @@
     assert last.h11.our_state is h11.MUST_CLOSE
 
 
-def test_the_module_counts_what_a_stream_that_it_took_over_holds() -> None:
+def test_the_router_counts_the_tokens_of_an_adopted_stream() -> None:
     d = Drive(fleet(2, 2))
     d.give(contract.StreamAdopted(77, "w0", 100_000))
     assert d.router.servers["w0"].streams[77][1] == 100_000
@@ -176,17 +178,17 @@
     assert not d.router.servers["w0"].streams
 
 
-RESET_AT_CLOSE = struct.pack("ii", 1, 0)  # of SO_LINGER
+RESET_AT_CLOSE = struct.pack("ii", 1, 0)  # value of SO_LINGER: reset on close
 
 
 def pair() -> tuple[socket.socket, socket.socket]:
-    """Both ends of a TCP connection."""
+    """Return both ends of a TCP connection."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         one = socket.create_connection(listener.getsockname())
         return one, listener.accept()[0]
 
 
-def test_a_stream_whose_replica_broke_during_the_hand_over_is_cut_and_not_left_open(
+def test_a_stream_whose_replica_broke_during_the_migration_is_aborted(
     tmp_path: Path,
 ) -> None:
     async def go() -> None:
@@ -210,7 +212,8 @@
                 ours.close()
                 wire.close()
                 client.setblocking(False)
-                with contextlib.suppress(ConnectionResetError):  # or reset: it must not look whole
+                # a reset is fine too; the stream must not look complete
+                with contextlib.suppress(ConnectionResetError):
                     assert await asyncio.wait_for(loop.sock_recv(client, 100), 10) == b""
             await until(
                 lambda: (
