--- a/onyxpass/core/outcomes.py
+++ b/onyxpass/core/outcomes.py
@@ -72,7 +72,7 @@
         request = attempt.request
         status = self._close(attempt, status)
         if status in INTERRUPTED and not attempt.delivered and not note:
-            note = contract.NOT_ARRIVED
+            note = contract.DELIVERY_UNCONFIRMED
         held_us = self._reservations.reserved_for_us(request) if request.has_reserved_state else 0
         self._reservations.attempt_ended(attempt, status, note)
         self._log_end(attempt, status, reason, held_us)
@@ -102,7 +102,7 @@
         attempt.status = AttemptStatus.CANCELLED
         request.in_flight = None
         self._context.registry.finish(request)
-        self._context.metrics.taken -= 1
+        self._context.metrics.received -= 1
         log.info("stream_migrated", id=request.id, server=attempt.server)
         self._context.notify_router(
             contract.AttemptOutcome(
@@ -113,14 +113,14 @@
     def _commit(self, request: Request, attempt: Attempt) -> bool:
         """Commit the request to the attempt, if the invariants allow it."""
         context = self._context
-        verdict = context.invariants.committing(request.id, attempt.number)
+        verdict = context.invariants.check_commit(request.id, attempt.number)
         if not enforce(verdict, request, attempt):
             return False
         request.committed = attempt
         self._reservations.stream_committed(attempt)
         for timer in (attempt.timer, request.deadline_timer):
             if timer is not None:
-                timer.drop()
+                timer.cancel()
         attempt.first_event_us = self._clock.now_us() - attempt.sent_us
         context.notify_router(
             contract.StreamStarted(
@@ -136,9 +136,9 @@
         if status is AttemptStatus.CANCELLED and attempt.stop_status is not None:
             status = attempt.stop_status
         attempt.status = status
-        self._context.invariants.ended(request.id, attempt.number, status)
+        self._context.invariants.record_attempt_end(request.id, attempt.number, status)
         if attempt.timer is not None:
-            attempt.timer.drop()
+            attempt.timer.cancel()
         if request.in_flight is attempt:
             request.in_flight = None
         attempt.duration_us = self._clock.now_us() - attempt.sent_us
@@ -171,5 +171,5 @@
         traffic_class = self._context.traffic_class_of(attempt.request)
         timing = measure_answer(attempt, traffic_class)
         if traffic_class is not None and timing.assessment is not None:
-            self._context.metrics.timed(traffic_class.name, timing.assessment.timing)
+            self._context.metrics.count_timeliness(traffic_class.name, timing.assessment.timeliness)
         return timing.log_fields()
--- a/onyxpass/net/connections.py
+++ b/onyxpass/net/connections.py
@@ -9,7 +9,7 @@
 
 from onyxpass.core.reasons import CloseReason
 from onyxpass.core.requests import Request
-from onyxpass.core.timer_wheel import Limit
+from onyxpass.core.timer_wheel import Timeout
 from onyxpass.net.http import HttpConnection
 
 
@@ -43,7 +43,7 @@
     due_us: int  # when the request being read must be complete
     wire: HttpConnection | None = None
     stage: Stage = Stage.NEW
-    wait_limit: Limit | None = None  # time limit of the present wait for bytes
+    wait_timeout: Timeout | None = None  # time limit of the present wait for bytes
     queued_since_us: int = 0  # lower bound of when it entered the accept queue
     watched_since_us: int = 0  # when the event loop began to watch it
     request: Request | None = None  # the last request submitted from it
--- a/onyxpass/net/endpoint_watcher.py
+++ b/onyxpass/net/endpoint_watcher.py
@@ -293,12 +293,12 @@
         """Sleep, but end early if the discovery address changes."""
         if wait_ms > 0:
             with contextlib.suppress(TimeoutError):
-                async with self.core.wheel.limit(round(wait_ms * 1000)):
+                async with self.core.wheel.timeout(round(wait_ms * 1000)):
                     await self._address_changed.wait()
 
     async def _watch_once(self) -> None:
         wheel = self.core.wheel
-        async with wheel.limit(round(CONNECT_TIMEOUT_MS * 1000)):
+        async with wheel.timeout(round(CONNECT_TIMEOUT_MS * 1000)):
             streams = await asyncio.open_connection(self.discovery.host, self.discovery.port)
         wire = HttpConnection(h11.CLIENT, *streams)
         try:
@@ -326,7 +326,7 @@
         ``due_us`` bounds the wait; bytes that complete no event do not extend it.
         """
         while True:
-            async with self.core.wheel.limit(due_us - self.core.clock.now_us()):
+            async with self.core.wheel.timeout(due_us - self.core.clock.now_us()):
                 event = await wire.next_event()
             if isinstance(event, h11.Response) and event.status_code != 200:
                 raise HttpError(f"discovery answered with status {event.status_code}")
--- a/onyxpass/net/front.py
+++ b/onyxpass/net/front.py
@@ -127,8 +127,8 @@
         because a close would reset the request in transit.
         """
         for connection in list(self.connections.values()):
-            if connection.wait_limit is not None and connection.stage is Stage.IDLE:
-                connection.wait_limit.expire()
+            if connection.wait_timeout is not None and connection.stage is Stage.IDLE:
+                connection.wait_timeout.expire()
 
     @property
     def port(self) -> int:
@@ -201,7 +201,7 @@
 
     def _start_connection(self, sock: socket.socket, queued_since_ns: int) -> None:
         now_us = self.clock.now_us()
-        queued_since_us = self.clock.at_us(queued_since_ns)
+        queued_since_us = self.clock.from_monotonic_ns(queued_since_ns)
         if self.shared and (silence_ms := ms_since_last_data(sock)) is not None:
             # The connection may have been queued before this process started.
             queued_since_us = min(queued_since_us, now_us - silence_ms * 1000)
@@ -278,7 +278,7 @@
         client. Time limits prevent a client that never reads the end of its response from holding a
         descriptor.
         """
-        self.core.connection_closing(
+        self.core.check_connection_close(
             connection.request, not connection.answered and not wire.hung_up
         )
         silent_us = self.clock.now_us() - connection.since_us
@@ -291,11 +291,11 @@
             # that is read and not answered is lost, while one that meets a closed connection is
             # sent again.
             if not silent and not wire.writer.is_closing():
-                async with self.wheel.limit(FLUSH_TIMEOUT_US):
+                async with self.wheel.timeout(FLUSH_TIMEOUT_US):
                     await wire.flush()
                 await drain_input(wire, self.wheel, CLIENT_CLOSE_TIMEOUT_US)
             wire.close()
-            async with self.wheel.limit(FLUSH_TIMEOUT_US):
+            async with self.wheel.timeout(FLUSH_TIMEOUT_US):
                 await wire.writer.wait_closed()
         except (OSError, TimeoutError, asyncio.CancelledError):
             wire.abort()
@@ -349,7 +349,7 @@
                     CloseReason.STREAM_CUT if client.stream_aborted else CloseReason.CLIENT_LEFT
                 )
                 return
-            async with self.wheel.limit(FLUSH_TIMEOUT_US):
+            async with self.wheel.timeout(FLUSH_TIMEOUT_US):
                 await wire.writer.drain()
             if wire.h11.our_state is not h11.DONE or wire.h11.their_state is not h11.DONE:
                 return
@@ -368,10 +368,10 @@
             if connection.stage is Stage.IDLE
             else connection.due_us - self.clock.now_us()
         )
-        limit = self.wheel.limit(limit_us)
-        connection.wait_limit = limit
+        timeout = self.wheel.timeout(limit_us)
+        connection.wait_timeout = timeout
         try:
-            async with limit:
+            async with timeout:
                 await wire.read_more()
         except TimeoutError:
             # A request may have arrived just as the time limit expired.
@@ -379,7 +379,7 @@
                 raise
             await wire.read_more()
         finally:
-            connection.wait_limit = None
+            connection.wait_timeout = None
 
     def _answer_error(self, wire: HttpConnection, status: int, why: str) -> None:
         text = why.encode("ascii", "replace")[:200] + b"\n"
@@ -400,7 +400,7 @@
         connection may be as old as the connection.
         """
         since_us = (
-            self.clock.at_us(wire.received_since_ns)
+            self.clock.from_monotonic_ns(wire.received_since_ns)
             if wire.received_since_ns is not None
             else self.clock.now_us()
         )
@@ -414,7 +414,7 @@
         self, connection: ClientConnection, wire: HttpConnection, client: HttpClient
     ) -> None:
         arrived_us, now_us = self._arrived_us(connection, wire), self.clock.now_us()
-        async with self.wheel.limit(min(connection.due_us - now_us, REQUEST_TIMEOUT_US)):
+        async with self.wheel.timeout(min(connection.due_us - now_us, REQUEST_TIMEOUT_US)):
             head = await wire.next_event()
             if not isinstance(head, h11.Request):
                 raise HttpError("closed")
--- a/onyxpass/net/http.py
+++ b/onyxpass/net/http.py
@@ -220,7 +220,7 @@
     if wire.writer.can_write_eof() and not wire.writer.is_closing():
         wire.writer.write_eof()
     try:
-        async with wheel.limit(timeout_us):
+        async with wheel.timeout(timeout_us):
             for _ in range(MAX_DRAIN_READS):
                 if not await wire.reader.read(READ_BYTES):
                     return
--- a/onyxpass/net/http_server.py
+++ b/onyxpass/net/http_server.py
@@ -105,7 +105,7 @@
             wire = await HttpConnection.from_socket(sock, h11.SERVER)
             await self._handle_call(wire)
             wire.close()
-            async with self.wheel.limit(FLUSH_TIMEOUT_US):
+            async with self.wheel.timeout(FLUSH_TIMEOUT_US):
                 await wire.writer.wait_closed()
         except (HttpError, OSError, TimeoutError, asyncio.CancelledError) as error:
             log.debug("call_ended", why=str(error))
@@ -118,7 +118,7 @@
     async def _handle_call(self, wire: HttpConnection) -> None:
         began = False
         try:
-            async with self.wheel.limit(CALL_TIMEOUT_US):
+            async with self.wheel.timeout(CALL_TIMEOUT_US):
                 await wire.read_more()
                 if not (began := wire.pending):
                     return  # the caller closed without a request
--- a/onyxpass/net/replica.py
+++ b/onyxpass/net/replica.py
@@ -26,7 +26,7 @@
     is_framed,
 )
 from onyxpass.scheduling.contract import (
-    IDLE_CONNECTION_BROKE,
+    STALE_CONNECTION,
     STATE_LOST,
     AttemptStatus,
     HealthCheckResult,
@@ -183,7 +183,7 @@
             raise ResourceShortageError("no descriptors left for replicas")
         self.budget.open += 1
         try:
-            async with self.wheel.limit(self.connect_us if timeout_us is None else timeout_us):
+            async with self.wheel.timeout(self.connect_us if timeout_us is None else timeout_us):
                 streams = await connect(self.address.host, self.address.port)
         except BaseException:
             self.budget.open -= 1
@@ -267,7 +267,7 @@
                 and wire.idle_us >= 0
                 and now_us - written_us < REUSED_BREAK_WINDOW_US
             ):
-                note = IDLE_CONNECTION_BROKE
+                note = STALE_CONNECTION
         except asyncio.CancelledError:
             proven = not written or (wire is not None and wire.unsent)
             status = AttemptStatus.NOT_SENT if proven else AttemptStatus.CANCELLED
@@ -281,7 +281,7 @@
                 if written and wire.idle_us >= 0:
                     self.budget.record_reuse(
                         self.core.clock.now_us(),
-                        note == IDLE_CONNECTION_BROKE and status is AttemptStatus.RESET,
+                        note == STALE_CONNECTION and status is AttemptStatus.RESET,
                     )
                 if reason and wire.idle_us >= 0:
                     reason += f" (kept for {wire.idle_us // 1000} ms)"
@@ -412,7 +412,7 @@
                     raise HttpError("the request does not accept this stream any more")
                 # bounded, so that a client that reads nothing does not occupy the replica for ever
                 turn.begin_step()
-                async with self.wheel.limit(CLIENT_WRITE_TIMEOUT_US):
+                async with self.wheel.timeout(CLIENT_WRITE_TIMEOUT_US):
                     await client.forward(whole)
                 await turn.end_step()
             elif isinstance(part, h11.EndOfMessage):
@@ -433,7 +433,7 @@
     async def check_health(self) -> None:
         began_us, ok, wire = self.core.clock.now_us(), False, None
         try:
-            async with self.wheel.limit(HEALTH_CHECK_TIMEOUT_US):
+            async with self.wheel.timeout(HEALTH_CHECK_TIMEOUT_US):
                 wire = self._take_idle() or await self._open()
                 # excluded while the connection was being established
                 if self.name in self.core.endpoints.excluded:
@@ -457,7 +457,7 @@
         """Request the release of all state held for the request; True once the replica confirms."""
         wire: HttpConnection | None = None
         try:
-            async with self.wheel.limit(LEASE_RELEASE_TIMEOUT_US):
+            async with self.wheel.timeout(LEASE_RELEASE_TIMEOUT_US):
                 wire = self._take_idle() or await self._open()
                 target = b"/kv/leases/" + request_id.encode("ascii")
                 wire.write(build_request(b"DELETE", target), h11.EndOfMessage())
--- a/onyxpass/net/replicas.py
+++ b/onyxpass/net/replicas.py
@@ -94,12 +94,12 @@
         if actor := self.actors.get(server):
             actor.tell(DropConnections())
 
-    def release(self, request: Request, settle: bool) -> None:
-        self.track_release(request, self._release(request, settle))
+    def release(self, request: Request, prefill_interrupted: bool) -> None:
+        self.track_release(request, self._release(request, prefill_interrupted))
 
-    async def _release(self, request: Request, settle: bool) -> None:
+    async def _release(self, request: Request, prefill_interrupted: bool) -> None:
         # a cancelled prefill must have ended at the replica before the release is requested
-        if settle:
+        if prefill_interrupted:
             await self.core.wheel.sleep(CANCEL_SETTLE_US)
         await release(
             self.core,
--- a/onyxpass/net/request_parser.py
+++ b/onyxpass/net/request_parser.py
@@ -119,7 +119,7 @@
         prefix=attrs.get("prefix") or None,
         prefix_tokens=min(size, parse_integer(attrs.get("prefix_len"), "prefix_len", 0)),
         tenant=headers.get(b"x-tenant-id", b"").decode("latin-1") or None,
-        hint_us=min(MAX_HINT_US, parse_integer(hint, "X-Cost")) if hint else None,
+        expected_stream_us=min(MAX_HINT_US, parse_integer(hint, "X-Cost")) if hint else None,
         is_retry=retried == b"1",
         resumed=retried == b"again",
     )
--- a/onyxpass/net/response_reader.py
+++ b/onyxpass/net/response_reader.py
@@ -8,7 +8,7 @@
 
 import h11
 
-from onyxpass.core.timer_wheel import Limit, TimerWheel
+from onyxpass.core.timer_wheel import Timeout, TimerWheel
 from onyxpass.net.http import BODY_LIMIT, HttpConnection, HttpError, header
 
 MAX_EVENT_BYTES = BODY_LIMIT  # maximum size of one event, and of one chunk
@@ -40,7 +40,7 @@
         self.begun = False  # whether any byte of the response was received
         self.chunked = False
         # time limit of the present wait, if no byte of the next part is there
-        self._wait: Limit | None = None
+        self._wait: Timeout | None = None
         self._interrupted = False
         self._parts: list[bytes] = []
         self._last_chunk_end = b""  # last two bytes of the last complete chunk
@@ -106,10 +106,10 @@
             now_us = self.wheel.clock.now_us()
             if part and not self._due_us:
                 self._due_us = now_us + PART_TIMEOUT_US
-            limit = self.wheel.limit(self._due_us - now_us if part else silence_us or 0)
+            timeout = self.wheel.timeout(self._due_us - now_us if part else silence_us or 0)
             try:
-                async with limit:
-                    self._wait = None if part else limit
+                async with timeout:
+                    self._wait = None if part else timeout
                     await self.wire.read_more()
             except TimeoutError:
                 if self._interrupted:
--- a/onyxpass/net/stream_migration.py
+++ b/onyxpass/net/stream_migration.py
@@ -16,7 +16,7 @@
 import h11
 import structlog
 
-from onyxpass.config.platform_file import NOWHERE, Address
+from onyxpass.config.platform_file import NO_ADDRESS, Address
 from onyxpass.core.clock import Clock
 from onyxpass.core.dispatcher import RequestDispatcher
 from onyxpass.core.requests import Attempt, Request
@@ -55,13 +55,13 @@
         "id": request.id,
         "cls": arrival.traffic_class,
         "session": arrival.session,
-        "deadline_us": clock.monotonic_us(arrival.deadline_us),
+        "deadline_us": clock.to_monotonic_us(arrival.deadline_us),
         "prompt_tokens": arrival.prompt_tokens,
         "max_tokens": arrival.max_tokens,
-        "arrived_us": clock.monotonic_us(request.arrived_us),
+        "arrived_us": clock.to_monotonic_us(request.arrived_us),
         "n": attempt.number,
         "server": attempt.server,
-        "sent_us": clock.monotonic_us(attempt.sent_us),
+        "sent_us": clock.to_monotonic_us(attempt.sent_us),
         "first_us": attempt.first_event_us,
         "parts": attempt.event_count,
         "gap_us": attempt.longest_gap_us,
@@ -133,7 +133,7 @@
             with short_socket_path(self.path) as path:
                 sock.connect(path)
             socket.send_fds(sock, [message], descriptors)
-            async with self.wheel.limit(OFFER_TIMEOUT_US):
+            async with self.wheel.timeout(OFFER_TIMEOUT_US):
                 answer = await asyncio.get_running_loop().sock_recv(sock, 1)
             if answer != ACCEPTED:
                 return False
@@ -184,7 +184,7 @@
         loop, sockets = asyncio.get_running_loop(), list[socket.socket]()
         offer.setblocking(False)
         try:
-            async with self.wheel.limit(OFFER_TIMEOUT_US):
+            async with self.wheel.timeout(OFFER_TIMEOUT_US):
                 message, descriptors = await receive_offer(offer)
                 sockets = [socket.socket(fileno=number) for number in descriptors]
                 stream = self._decode_stream(message, sockets)
@@ -224,7 +224,7 @@
                 raise ValueError(f"{name} is not a non-negative integer")
         if fields["version"] != LOCAL_CLOCK_VERSION:
             for name in TIME_FIELDS:
-                fields[name] = self.core.clock.at_us(fields[name] * 1000)
+                fields[name] = self.core.clock.from_monotonic_ns(fields[name] * 1000)
         fields["rest"].encode("latin-1")
         if fields["id"] in self.core.registry.by_id:  # prevents two responses under one id
             raise ValueError("a request with this id is open")
@@ -280,9 +280,9 @@
 
 
 def replica_address(wire: HttpConnection) -> Address:
-    """Return the replica's address; ``NOWHERE`` if the connection has broken meanwhile."""
+    """Return the replica's address; ``NO_ADDRESS`` if the connection has broken meanwhile."""
     name = wire.writer.get_extra_info("peername")
-    return Address(str(name[0]), int(name[1])) if isinstance(name, tuple) else NOWHERE
+    return Address(str(name[0]), int(name[1])) if isinstance(name, tuple) else NO_ADDRESS
 
 
 def restore_http_state(wire: HttpConnection, client_wire: HttpConnection, keep_alive: bool) -> None:
--- a/tests/test_client_time.py
+++ b/tests/test_client_time.py
@@ -202,11 +202,11 @@
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
             opened = w.dispatcher.front.connections
             with connected(w) as client:
-                await until(lambda: [c.wait_limit is not None for c in opened.values()] == [True])
+                await until(lambda: [c.wait_timeout is not None for c in opened.values()] == [True])
                 (connection,) = opened.values()
                 client.sendall(ask("a1"))
-                assert connection.wait_limit is not None
-                connection.wait_limit.expire()  # before the event loop has had a turn to read it
+                assert connection.wait_timeout is not None
+                connection.wait_timeout.expire()  # before the event loop has had a turn to read it
                 assert (await answer(client)).startswith(b"HTTP/1.1 200")
 
     run(go)
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -198,17 +198,17 @@
             loop = asyncio.get_running_loop()
             actor, connected = w.dispatcher.replicas.actors["r0"], loop.sock_connect
             limits: list[Any] = []
-            limit = w.dispatcher.wheel.limit
+            timeout = w.dispatcher.wheel.timeout
 
             def record_limit(delay_us: int) -> Any:
-                limits.append(limit(delay_us))
+                limits.append(timeout(delay_us))
                 return limits[-1]
 
             async def expire_at_connect(sock: socket.socket, address: Any) -> None:
                 await connected(sock, address)
                 limits[-1].expire()  # in the same step as the success
 
-            actor.wheel = type("Noted", (), {"limit": staticmethod(record_limit)})()
+            actor.wheel = type("Noted", (), {"timeout": staticmethod(record_limit)})()
             loop.sock_connect = expire_at_connect  # type: ignore[method-assign]
             try:
                 with pytest.raises(TimeoutError):
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -259,7 +259,11 @@
 
     assert parse(RAW, {}).control is None and parse(RAW, {}).folder is None
     told = parse({**RAW, "control": "127.0.0.1:5"}, {"ROUTER_PASSED_SOCKET": "4", "TMPDIR": "/tmp"})
-    assert (str(told.control), told.passed, str(told.folder)) == ("127.0.0.1:5", 4, "/tmp")
+    assert (str(told.control), told.listen_descriptor, str(told.folder)) == (
+        "127.0.0.1:5",
+        4,
+        "/tmp",
+    )
     assert (
         str(parse({**RAW, "control": "x:y"}, {"ROUTER_CONTROL": "127.0.0.1:6"}).control)
         == "127.0.0.1:6"
@@ -304,7 +308,9 @@
         passed = socket.create_server(("127.0.0.1", 0))
         monkeypatch.setattr(front, "REJECT_NEW_DELAY_US", 0)
         monkeypatch.setattr(front, "SHUTDOWN_MARGIN_US", -2_900_000)  # all is answered soon
-        async with world([Replica(hold)], [Replica(STREAM)], passed=passed.detach()) as w:
+        async with world(
+            [Replica(hold)], [Replica(STREAM)], listen_descriptor=passed.detach()
+        ) as w:
             open_one, stays = await w.send(ask("a1", ms=9000))
             await hold.there.wait()
             fresh, late = await asyncio.open_connection("127.0.0.1", w.port)
@@ -362,11 +368,13 @@
     assert fresh.expected_prefill_us(3_000, d.now) == 0.0, "by its own answers nothing is known"
     guessed = fresh.expected_prefill_us(3_000, d.now, known.us_per_token)
     assert guessed == pytest.approx(
-        known.us_per_token / SETTINGS.slow_start_initial_factor * (server_state.BASE_TOKENS + 6_000)
+        known.us_per_token
+        / SETTINGS.slow_start_initial_factor
+        * (server_state.PREFILL_OVERHEAD_TOKENS + 6_000)
     )
     fresh.record_success(known.us_per_token * 2, d.now)
     assert fresh.expected_prefill_us(3_000, d.now, known.us_per_token) == pytest.approx(
-        fresh.us_per_token * (server_state.BASE_TOKENS + 6_000)
+        fresh.us_per_token * (server_state.PREFILL_OVERHEAD_TOKENS + 6_000)
     )
     d.router.candidates.sample_warming = lambda request, servers, now_us, holder: servers  # type: ignore
     sent = []
