--- a/onyxpass/net/connection_budget.py
+++ b/onyxpass/net/connection_budget.py
@@ -5,10 +5,8 @@
 
 from onyxpass.net.http import HttpConnection
 
-BREAK_RATE_WEIGHT, BREAK_RATE_HALF_LIFE_US = (
-    0.05,
-    20_000_000,
-)  # moving average of broken reuses: weight of the latest one, and half-life without any
+# of the moving average of broken reuses: the weight of the latest reuse, and the half-life
+BREAK_RATE_WEIGHT, BREAK_RATE_HALF_LIFE_US = 0.05, 20_000_000
 
 
 @dataclass(slots=True)
--- a/onyxpass/net/endpoint_watcher.py
+++ b/onyxpass/net/endpoint_watcher.py
@@ -26,13 +26,8 @@
     "leaving": contract.EndpointCondition.DRAINING,
     "left": contract.EndpointCondition.REMOVED,
 }
-WATCH_ERRORS = (
-    HttpError,
-    OSError,
-    TimeoutError,
-    ValueError,
-    RecursionError,
-)  # errors that end a watch in normal operation
+# errors that are expected to end a watch
+WATCH_ERRORS = (HttpError, OSError, TimeoutError, ValueError, RecursionError)
 log = structlog.get_logger("list")
 
 
@@ -153,12 +148,10 @@
         self.ready = False
         self.confirmed_us: int | None = None  # when discovery last confirmed the list
         self._watch_task: asyncio.Task[None] | None = None
-        self.overlay: Callable[[contract.EndpointUpdate], contract.EndpointUpdate] | None = (
-            None  # merges another source into each update
-        )
-        self.discovered: dict[
-            str, contract.Endpoint
-        ] = {}  # with an overlay: the endpoints as discovery sent them
+        # merges another source into each update
+        self.overlay: Callable[[contract.EndpointUpdate], contract.EndpointUpdate] | None = None
+        # with an overlay: the endpoints as discovery sent them
+        self.discovered: dict[str, contract.Endpoint] = {}
         self.on_ready: Callable[[], None] | None = None
 
     def load_saved(self, known: Mapping[str, Any]) -> None:
@@ -379,9 +372,8 @@
         )
 
     def _handle(self, message: dict[str, Any]) -> None:
-        parse_endpoint_list(
-            message
-        )  # a malformed message ends this watch instead of reaching the mailbox
+        # a malformed message ends this watch instead of reaching the mailbox
+        parse_endpoint_list(message)
         update = DiscoveryUpdate(message, self.epoch, self.confirmed_us)
         if self.seq is None:
             self.receive(update)  # the watch starts from the version of the first list
--- a/onyxpass/net/front.py
+++ b/onyxpass/net/front.py
@@ -50,10 +50,8 @@
 ACCEPT_AFTER_SIGTERM_US = 450_000
 # after SIGTERM; a request that arrives later may not be finished in time and is rejected
 REJECT_NEW_DELAY_US = 650_000
-SHUTDOWN_MARGIN_US, MAX_SHUTDOWN_DEADLINE_US = (
-    450_000,
-    3_000_000,
-)  # SIGTERM plus the longest deadline, up to this maximum, plus the margin: all requests are answered
+# All requests are answered by SIGTERM plus the longest deadline, up to this maximum, plus the margin.
+SHUTDOWN_MARGIN_US, MAX_SHUTDOWN_DEADLINE_US = 450_000, 3_000_000
 log = structlog.get_logger("front")
 
 
--- a/onyxpass/net/http.py
+++ b/onyxpass/net/http.py
@@ -25,7 +25,7 @@
 
 
 class HttpError(Exception):
-    """The peer closed the connection or broke the protocol, or a limit was exceeded.
+    """The peer closed the connection or broke the protocol, or a message can't be accepted.
 
     ``status`` is the status code that a server may answer with; 0: no answer.
     """
--- a/onyxpass/net/poll_schedule.py
+++ b/onyxpass/net/poll_schedule.py
@@ -17,9 +17,8 @@
 # after the start of a silence; changes missed meanwhile then count as known
 MISSED_CHANGES_DEADLINE_MS = 6_000.0
 HEARTBEAT_INTERVAL_MS = 2_000.0  # maximum time between two lines of a healthy watch
-WATCH_SILENCE_TIMEOUT_MS = (
-    HEARTBEAT_INTERVAL_MS + 400
-)  # since the last complete line, until a watch counts as broken
+# since the last complete line, until a watch counts as broken
+WATCH_SILENCE_TIMEOUT_MS = HEARTBEAT_INTERVAL_MS + 400
 CONNECT_TIMEOUT_MS = 500.0  # to establish a connection
 # first and largest upper bound of the random delay before a retry at an agent
 BACKOFF_MS, MAX_BACKOFF_MS = 50, 150
@@ -27,19 +26,18 @@
 # retry costs nothing: an agent that was silent while discovery was down must be called again within
 # the grace time of a drain once it is back.
 RESPONSE_TIMEOUT_MS, MAX_RESPONSE_TIMEOUT_MS = 250.0, 500.0
-SHARED_RESPONSE_TIMEOUT_MS = (
-    3_000.0  # a shared discovery rejects within 2 s a call that it can't serve in turn
-)
+# a shared discovery rejects within 2 s a call that it can't serve in turn
+SHARED_RESPONSE_TIMEOUT_MS = 3_000.0
 # time of one call at a shared discovery, rounded up: 5 to 8 calls per second were observed
 SHARED_CALL_MS = 200
 # share of ``first_call_within_ms`` over which the first calls are spread at most
 FIRST_CALL_SHARE = 0.8
 # a shared watch that lasted this long had been accepted: a rejection comes within 2 s
 ACCEPTED_WATCH_MS = 3_000
-# Maximum delay of the first retry after a lost watch, by which all dispatchers have called: a later
-# call can't be answered in time any more. Later retries are not bounded like this: in the model,
-# with 200 dispatchers at a discovery that can't serve them all, that kept the queue full of
-# abandoned calls, and all but the first 12 were never told.
+# Maximum delay of the first retry after a lost watch: a later call can't be answered in time any
+# more. Later retries are not bounded like this: with a bound on every retry, a discovery that can't
+# serve all kept a queue full of abandoned calls, and in the model with 200 dispatchers all but the
+# first 12 were never served.
 MAX_FIRST_RETRY_MS = MISSED_CHANGES_DEADLINE_MS - WATCH_SILENCE_TIMEOUT_MS - 600
 # of the retry delay after consecutive failures: with more, the list would get too old
 MAX_DOUBLINGS = 1
--- a/onyxpass/net/replica.py
+++ b/onyxpass/net/replica.py
@@ -45,10 +45,8 @@
 CLIENT_WRITE_TIMEOUT_US = 30_000_000  # maximum time for which a client may accept no forwarded data
 # a reused connection that the replica had closed breaks within this time of the write
 REUSED_BREAK_WINDOW_US = 250_000
-MAX_BREAK_RATE_NON_IDEMPOTENT, MAX_BREAK_RATE = (
-    0.005,
-    0.06,
-)  # break rates of reused connections above which requests use new connections
+# break rates of reused connections above which requests use new connections
+MAX_BREAK_RATE_NON_IDEMPOTENT, MAX_BREAK_RATE = 0.005, 0.06
 CANCEL_SETTLE_US = 25_000  # until a prefill cancelled just now has ended at the replica
 LEASE_RELEASE_TIMEOUT_US = 100_000  # of one release request
 RETRYABLE_STATUSES = (408, 425, 429)  # 4xx responses that do not mean that the request is invalid
@@ -406,14 +404,14 @@
                 continue
             if isinstance(part, bytes):
                 # Only complete events reach the client: invalid bytes must not commit the request.
-                if not (whole := events.feed(part)):
+                if not (complete := events.feed(part)):
                     continue
                 if not self.core.outcomes.stream_event_received(attempt):
                     raise HttpError("the request does not accept this stream any more")
                 # bounded, so that a client that reads nothing does not occupy the replica for ever
                 turn.begin_step()
                 async with self.wheel.timeout(CLIENT_WRITE_TIMEOUT_US):
-                    await client.forward(whole)
+                    await client.forward(complete)
                 await turn.end_step()
             elif isinstance(part, h11.EndOfMessage):
                 attempt.output_tokens = events.tokens()
--- a/onyxpass/net/response_reader.py
+++ b/onyxpass/net/response_reader.py
@@ -142,10 +142,11 @@
 
         Nothing is returned until the first event with data is complete.
         """
-        looked = max(0, len(self._partial) - 2)
+        search_from = max(0, len(self._partial) - 2)
         self._partial += data
         end = max(
-            at + len(b) if (at := self._partial.rfind(b, looked)) >= 0 else 0 for b in EVENT_ENDS
+            at + len(b) if (at := self._partial.rfind(b, search_from)) >= 0 else 0
+            for b in EVENT_ENDS
         )
         if end and not self._opened:
             self._opened = has_data_event(bytes(self._partial[:end]))
@@ -154,15 +155,17 @@
             if len(self._partial) > MAX_EVENT_BYTES:
                 raise HttpError("an event exceeds the size limit")
             return b""
-        whole = bytes(self._partial[:end])
+        complete = bytes(self._partial[:end])
         del self._partial[:end]
-        self.tail = whole if len(whole) >= TAIL_BYTES else (self.tail + whole)[-TAIL_BYTES:]
-        return whole
+        self.tail = (
+            complete if len(complete) >= TAIL_BYTES else (self.tail + complete)[-TAIL_BYTES:]
+        )
+        return complete
 
     def tokens(self) -> int:
         """Return the completion tokens by the last events; 0 if they do not state them."""
-        told = USAGE_PATTERN.findall(self.tail)
-        return min(BODY_LIMIT, int(told[-1])) if told else 0
+        counts = USAGE_PATTERN.findall(self.tail)
+        return min(BODY_LIMIT, int(counts[-1])) if counts else 0
 
     @property
     def partial_event(self) -> bytes:
@@ -195,8 +198,8 @@
                 break
         else:
             return False
-        told = "\n".join(data)
-        if told != "[DONE]" and not isinstance(json.loads(told), dict):
+        event_data = "\n".join(data)
+        if event_data != "[DONE]" and not isinstance(json.loads(event_data), dict):
             raise HttpError("event data is not a JSON object")
     except (ValueError, RecursionError) as error:
         raise HttpError(f"invalid server-sent event: {type(error).__name__}") from error
@@ -208,5 +211,5 @@
 
 
 def is_framed(response: h11.Response) -> bool:
-    """Return whether the end of the body can be told from a broken connection."""
+    """Return whether the end of the body can be event_data from a broken connection."""
     return is_chunked(response) or header(response, b"content-length") is not None
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -109,9 +109,8 @@
             await until(lambda: core.router.requests)
             del core.router._begin
             client.close()
-            core.receive(
-                contract.TimerFired(0)
-            )  # the timer fires before the event loop has read the close
+            # the timer fires before the event loop has read the close
+            core.receive(contract.TimerFired(0))
             await until(lambda: not core.registry.by_number)
             assert not w.readers[0].heads and not w.readers[0].connections
 
@@ -334,9 +333,9 @@
                 hold.set()
                 assert (await streams[0].read()).endswith(b"0\r\n\r\n")
                 streams[1].close()
-            told, errors = await asyncio.wait_for(process.communicate(), 15)
-            assert process.returncode == 0 and not errors and b"Traceback" not in told
-            assert b'"stopped"' in told
+            output, errors = await asyncio.wait_for(process.communicate(), 15)
+            assert process.returncode == 0 and not errors and b"Traceback" not in output
+            assert b'"stopped"' in output
         for part in (d, reader, writer):
             await part.stop()
 
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -440,8 +440,8 @@
 
             actor._open, actor.run_attempt = slowly, carried  # type: ignore[method-assign]
             assert b" 200 " in await w.ask("a1")
-        told = re.search(rb"x-timeout-ms: (\d+)", reader.heads[0])
-        assert told is not None and attempts[0].timeout_us > 2 * waited_us
-        assert 1 < int(told[1]) <= (attempts[0].timeout_us - waited_us) // 1000
+        timeout_ms = re.search(rb"x-timeout-ms: (\d+)", reader.heads[0])
+        assert timeout_ms is not None and attempts[0].timeout_us > 2 * waited_us
+        assert 1 < int(timeout_ms[1]) <= (attempts[0].timeout_us - waited_us) // 1000
 
     run(go)
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -18,11 +18,8 @@
     PollSchedule,
 )
 
-SERVICE_TIME_MS, QUEUE_SLOTS, CALLER_TIMEOUT_MS = (
-    170.0,
-    14,
-    2_000.0,
-)  # as observed in the operators' runs
+# as observed in the operators' runs
+SERVICE_TIME_MS, QUEUE_SLOTS, CALLER_TIMEOUT_MS = 170.0, 14, 2_000.0
 DISPATCHERS = 40
 
 
@@ -39,7 +36,7 @@
     but the call is worked on all the same: an abandoned call costs as much as one that is answered.
     """
     order, events = count(), list[tuple[float, int, str, int]]()
-    queue, busy, asked, taken = deque[tuple[int, float]](), False, 0, dict[int, float]()
+    queue, busy, asked, accepted = deque[tuple[int, float]](), False, 0, dict[int, float]()
     began = dict.fromkeys(range(len(schedules)), 0.0)
 
     def at(when_ms: float, what: str, who: int) -> None:
@@ -62,16 +59,16 @@
             else:
                 queue.append((who, now_ms))
                 at(now_ms + CALLER_TIMEOUT_MS, "leave", who)
-        elif what == "leave" and who not in taken and began[who] + CALLER_TIMEOUT_MS <= now_ms:
+        elif what == "leave" and who not in accepted and began[who] + CALLER_TIMEOUT_MS <= now_ms:
             at(now_ms + schedules[who].retry_delay_ms(CALLER_TIMEOUT_MS), "ask", who)
         elif what == "done":
             busy, (other, since_ms) = False, queue.popleft()
             if now_ms - since_ms < CALLER_TIMEOUT_MS:
-                taken[other] = now_ms
+                accepted[other] = now_ms
         if queue and not busy:
             busy = True
             at(now_ms + call_ms, "done", -1)
-    return sorted(taken.values())
+    return sorted(accepted.values())
 
 
 def schedules(shared: bool, seed: int, routers: int = DISPATCHERS) -> list[PollSchedule]:
--- a/tests/test_stream_migration.py
+++ b/tests/test_stream_migration.py
@@ -202,8 +202,8 @@
                 sock.setblocking(False)
                 with stream_migration.short_socket_path(path) as short:
                     sock.connect(short)
-                told = {**OFFER, "version": stream_migration.VERSION}
-                socket.send_fds(sock, [json.dumps(told).encode()], [ours.fileno(), wire.fileno()])
+                offer = {**OFFER, "version": stream_migration.VERSION}
+                socket.send_fds(sock, [json.dumps(offer).encode()], [ours.fileno(), wire.fileno()])
                 loop = asyncio.get_running_loop()
                 assert await loop.sock_recv(sock, 1) == stream_migration.ACCEPTED
                 replica.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
