--- a/onyxpass/net/bad_request_limiter.py
+++ b/onyxpass/net/bad_request_limiter.py
@@ -20,7 +20,7 @@
     def delay_us(self) -> int:
         """Return how long to delay the next error response.
 
-        Prevents a client that repeats a bad request at once from speeding up.
+        The delay slows down clients that repeat a bad request at once.
         """
         now_us = self.clock.now_us()
         self._next_response_us = (
--- a/onyxpass/net/connections.py
+++ b/onyxpass/net/connections.py
@@ -130,7 +130,7 @@
         return None
 
     def _displaceable(self, stage: Stage, before_us: int) -> ClientConnection | None:
-        """Return a candidate that entered the stage at or before ``before_us``, the oldest first."""
+        """Return a displaceable connection that entered the stage by ``before_us``; None if none."""
         if stage is Stage.READING:
             old = [
                 connection
--- a/onyxpass/net/endpoint_watcher.py
+++ b/onyxpass/net/endpoint_watcher.py
@@ -316,7 +316,7 @@
     async def _next_body_part(self, wire: HttpConnection, due_us: int) -> bytes | None:
         """Return the next part of a response body; None at its end.
 
-        ``due_us`` bounds the wait; bytes that complete no event do not extend it.
+        ``due_us`` bounds the wait, whatever other bytes arrive.
         """
         while True:
             async with self.core.wheel.timeout(due_us - self.core.clock.now_us()):
--- a/tests/test_state_behind_silent_send.py
+++ b/tests/test_state_behind_silent_send.py
@@ -47,7 +47,7 @@
 async def slow(
     self: Replica, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, _: bytes
 ) -> None:
-    """Read the request at once, and stream the answer late."""
+    """Accept the request at once, and stream the answer late."""
     await asyncio.sleep(SLOW_S)
     writer.write(HEAD + CHUNKS + b"0\r\n\r\n")
 
