--- a/onyxpass/hot_restart/descriptor_limits.py
+++ b/onyxpass/hot_restart/descriptor_limits.py
@@ -10,7 +10,7 @@
 from onyxpass.hot_restart.process_files import OtherProcess
 
 MIN_SHARE_DIVISOR = 6  # a process may always hold the total divided by this
-OPEN_SOON = 4  # descriptors that an older process keeps in reserve beyond those open now
+RESERVED_DESCRIPTORS = 4  # kept by an older process beyond those that are open now
 OWN_DESCRIPTORS = Path("/proc/self/fd")
 
 
@@ -39,6 +39,6 @@
 
 def _open_descriptors(default: int) -> int:
     try:
-        return len(list(OWN_DESCRIPTORS.iterdir())) + OPEN_SOON
+        return len(list(OWN_DESCRIPTORS.iterdir())) + RESERVED_DESCRIPTORS
     except OSError:
         return default
--- a/onyxpass/net/front.py
+++ b/onyxpass/net/front.py
@@ -35,7 +35,7 @@
 REQUEST_TIMEOUT_US = 2_500_000
 # minimum of that after the accept, however long the connection was queued
 MIN_REQUEST_TIMEOUT_US = 1_000_000
-IDLE_TIMEOUT_US = 8_000_000  # wait for the next request on a connection
+IDLE_TIMEOUT_US = 8_000_000  # maximum time between two requests on a connection
 FLUSH_TIMEOUT_US = 2_000_000  # for a client to receive the rest of a response
 # connections over the limit, accepted from the queue before the listener closes
 MAX_EXTRA_ACCEPTS = 16
--- a/onyxpass/net/http.py
+++ b/onyxpass/net/http.py
@@ -57,9 +57,10 @@
         self.reader: asyncio.StreamReader = reader
         self.writer: asyncio.StreamWriter = writer
         self.h11 = h11.Connection(role, max_incomplete_event_size=HEAD_LIMIT)
-        self.generation = 0  # generation of the server's connections that this one belongs to
-        self.read_count = 0  # number of reads so far
-        self.last_two_bytes = b""  # last two bytes received
+        # number of the server's exclusions and inclusions when this connection was opened
+        self.generation = 0
+        self.read_count = 0
+        self.last_two_bytes = b""
         self.timed_protocol: TimedProtocol | None = None  # set if arrival times are recorded
         # lower bound of when the bytes of the last read arrived
         self.received_since_ns: int | None = None
