--- a/onyxpass/net/http_client.py
+++ b/onyxpass/net/http_client.py
@@ -1,6 +1,4 @@
-"""One HTTP/1.1 call as a client: a connection of its own, one answer, and a plain word on what
-went wrong.
-"""
+"""HTTP/1.1 calls as a client, each on a connection of its own."""
 
 import asyncio
 import json
@@ -14,17 +12,17 @@
 from onyxpass.config.platform_file import Address
 from onyxpass.net.unix import short_socket_path
 
-ANSWER_MOST = 8 * 1024 * 1024
+MAX_RESPONSE_BYTES = 8 * 1024 * 1024
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 Opener = Callable[[], Awaitable[Streams]]
 
 
 class RequestNotSentError(Exception):
-    """Nothing of the call has left: it can't have had an effect."""
+    """No byte of the call was sent, so it had no effect."""
 
 
 class ResponseLostError(Exception):
-    """The call may have arrived; whether it had an effect is not known."""
+    """The call may have been received; whether it had an effect is unknown."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,11 +40,11 @@
 
 
 def unix_opener(path: Path) -> Opener:
-    async def opened() -> Streams:
+    async def open_streams() -> Streams:
         with short_socket_path(path) as name:
             return await asyncio.open_unix_connection(name)
 
-    return opened
+    return open_streams
 
 
 async def call_api(
@@ -58,7 +56,11 @@
     key: str = "",
     timeout_s: float = 2.0,
 ) -> ApiResponse:
-    """NotSent or NoAnswer where there is none within ``timeout_s``, or none that can be read."""
+    """Make one call with a JSON body and return the response.
+
+    Raises ``RequestNotSentError`` or ``ResponseLostError`` if there is no valid response within
+    ``timeout_s``.
+    """
     sent = False
     writer: asyncio.StreamWriter | None = None
     try:
@@ -78,24 +80,24 @@
                 wire.send(h11.Data(data=text)),
                 wire.send(h11.EndOfMessage()),
             ]
-            sent = True  # from here on it may have arrived
+            sent = True  # from here on the call may have been received
             writer.writelines([part for part in parts if part])
-            return await _answer(wire, reader)
-    except TimeoutError as problem:
+            return await _read_response(wire, reader)
+    except TimeoutError as error:
         if sent:
-            raise ResponseLostError(f"no answer within {timeout_s:g} s") from problem
-        raise RequestNotSentError(f"no connection within {timeout_s:g} s") from problem
-    except (OSError, h11.ProtocolError, ValueError, RecursionError) as problem:
-        reason = (problem.strerror if isinstance(problem, OSError) else None) or str(problem)
+            raise ResponseLostError(f"no answer within {timeout_s:g} s") from error
+        raise RequestNotSentError(f"no connection within {timeout_s:g} s") from error
+    except (OSError, h11.ProtocolError, ValueError, RecursionError) as error:
+        reason = (error.strerror if isinstance(error, OSError) else None) or str(error)
         raise (ResponseLostError if sent else RequestNotSentError)(
-            reason or type(problem).__name__
-        ) from problem
+            reason or type(error).__name__
+        ) from error
     finally:
         if writer is not None:
             writer.transport.abort()
 
 
-async def _answer(wire: h11.Connection, reader: asyncio.StreamReader) -> ApiResponse:
+async def _read_response(wire: h11.Connection, reader: asyncio.StreamReader) -> ApiResponse:
     status, text = 0, b""
     while True:
         event = wire.next_event()
@@ -105,12 +107,12 @@
             status = event.status_code
         elif isinstance(event, h11.Data):
             text += bytes(event.data)
-            if len(text) > ANSWER_MOST:
-                raise ValueError("an answer too long")
+            if len(text) > MAX_RESPONSE_BYTES:
+                raise ValueError("the response exceeds the size limit")
         elif isinstance(event, h11.EndOfMessage):
             found = json.loads(text) if text.strip() else {}
             if not isinstance(found, dict):
-                raise ValueError("an answer that is no JSON object")
+                raise ValueError("the response is not a JSON object")
             return ApiResponse(status, found)
         elif isinstance(event, h11.ConnectionClosed):
-            raise ConnectionResetError("closed without an answer")
+            raise ConnectionResetError("connection closed without a response")
