--- a/onyxpass/agent/api.py
+++ b/onyxpass/agent/api.py
@@ -1,18 +1,19 @@
-"""The agent's address: HTTP/1.1 with JSON on the loopback, for callers who show the key.
+"""The agent's API: HTTP/1.1 with JSON on a loopback address, for callers that present the key.
 
 | call | answer |
 | --- | --- |
-| ``GET /v1/agent`` | the agent, its rollout lock, its version |
-| ``GET /v1/instances`` | all instances, each with its own status; a silent one delays nobody |
-| ``GET /v1/instances/NAME`` | one instance, with its last exits |
+| ``GET /v1/agent`` | the agent, its version, its rollout lock and its fences |
+| ``GET /v1/instances`` | all instances with their live status, queried concurrently |
+| ``GET /v1/instances/NAME`` | one instance, with its latest exits |
 | ``POST /v1/instances/NAME/KIND`` | begins an operation under the caller's id: 202; 409 if busy |
-| ``GET /v1/operations/ID?wait_ms=N`` | how it stands, once it has ended or the time is over |
-| ``GET /v1/events?since=N`` | what has happened after event N |
-| ``POST /v1/hold``, ``POST /v1/release`` | a rollout takes the agent's lock, or frees it |
-
-An order, or a lock, may show its lease: ``{"lease": {"name": N, "token": T, "holder": H}}``. It is
-rejected, 409 with ``stale``, where a higher token of that lease has been seen here, or the same one
-of another holder, or with ``under_way``, for as long as what an older token began has not ended.
+| ``GET /v1/operations/ID?wait_ms=N`` | the operation, once it has ended or N ms have passed |
+| ``GET /v1/events?since=N`` | the events after number N |
+| ``POST /v1/hold``, ``POST /v1/release`` | acquires or releases the agent's rollout lock |
+
+An operation or a hold may carry a lease: ``{"lease": {"name": N, "token": T, "holder": H}}``. It is
+rejected with 409 and ``stale`` if a higher token of that lease, or the same token of another
+holder, has been admitted here, and with 409 and ``under_way`` while an effect of an older token is
+in progress.
 """
 
 import asyncio
@@ -66,7 +67,7 @@
     body_most = 16 * 1024
 
     def __init__(self, agent: Agent, address: Address, key: str) -> None:
-        """Load the locks on record; ``ConfigError`` for an address outside the loopback."""
+        """Load the stored rollout lock; ``ConfigError`` if the address is not a loopback one."""
         _require_loopback(address)
         super().__init__(agent.wheel, str(address))
         self._agent = agent
@@ -76,20 +77,20 @@
         self._admission = LeaseAdmission(agent.state_store, agent.config.name)
         self._locks = RolloutLockManager()
         if (saved := agent.state_store.locks.rollout_lock()) is not None:
-            # Its whole time runs again: no clock outlives the agent.
+            # The full TTL starts again: monotonic times are not stored, as they end with the agent.
             self._locks.acquire(saved.rollout, saved.holder, saved.ttl_s, time.monotonic())
 
     def listen(self) -> Listener:
-        """Open the agent's address."""
+        """Listen on the agent's address."""
         return Listener.at(self._address.host, self._address.port, BACKLOG)
 
     def listening(self) -> None:
-        """Log that the address takes calls."""
+        """Log that the API accepts connections."""
         address = f"{self._address.host}:{self.port}"
         log.info("agent_listening", name=self._agent.config.name, listen=address)
 
     async def answer(self, head: h11.Request, text: bytes) -> Reply:
-        """Answer one call; ``Refusal`` for one that is not carried out."""
+        """Answer one call; raises ``Refusal`` if the call is rejected."""
         if not is_authorized(header(head, b"authorization"), self._key):
             raise Refusal(401, "the key is absent or wrong")
         path, _, query_text = bytes(head.target).decode("ascii", "replace").partition("?")
@@ -114,9 +115,9 @@
             case "GET", ["v1", "instances"]:
                 return await self._get_instances()
             case "GET", ["v1", "instances", name]:
-                return await self._get_instance(self._find(name))
+                return await self._get_instance(self._find_instance(name))
             case "POST", ["v1", "instances", name, kind] if kind in tuple(OperationKind):
-                return self._begin(self._find(name), OperationKind(kind), body)
+                return self._begin_operation(self._find_instance(name), OperationKind(kind), body)
             case "GET", ["v1", "operations", operation_id]:
                 return await self._get_operation(operation_id, query)
             case "GET", ["v1", "events"]:
@@ -129,7 +130,7 @@
                 raise Refusal(405 if method not in ("GET", "POST") else 404, "no such call")
         raise Refusal(404, "no such path")
 
-    def _find(self, name: str) -> Instance:
+    def _find_instance(self, name: str) -> Instance:
         if (instance := self._agent.by_name.get(name)) is None:
             raise Refusal(404, f"no instance {name[:MAX_NAME_SHOWN]!r} here")
         return instance
@@ -139,7 +140,7 @@
         names = list(self._agent.by_name)
         lock = self._locks.current(now_s)
         fences = self._admission.to_dict()
-        return _reply(200, agent_view(self._agent.config.name, names, lock, fences, now_s))
+        return _json_reply(200, agent_view(self._agent.config.name, names, lock, fences, now_s))
 
     async def _instance_view(self, instance: Instance) -> dict[str, Any]:
         view = await instance_view(instance)
@@ -149,34 +150,34 @@
 
     async def _get_instances(self) -> Reply:
         views = await asyncio.gather(*map(self._instance_view, self._agent.instances))
-        return _reply(200, {"agent": self._agent.config.name, "instances": views})
+        return _json_reply(200, {"agent": self._agent.config.name, "instances": views})
 
     async def _get_instance(self, instance: Instance) -> Reply:
         view = await self._instance_view(instance)
         exits = self._agent.state_store.instances.latest_exits(instance.name)
-        return _reply(200, {**view, "exits": [found.to_dict() for found in exits]})
+        return _json_reply(200, {**view, "exits": [found.to_dict() for found in exits]})
 
     async def _get_operation(self, operation_id: str, query: dict[str, str]) -> Reply:
         timeout_s = query_number(query, "wait_ms", MAX_WAIT_MS) / 1000
         operation = await self._operations.wait(operation_id, timeout_s)
         if operation is None:
             raise Refusal(404, "no such operation")
-        return _reply(200, operation.to_dict())
+        return _json_reply(200, operation.to_dict())
 
     def _get_events(self, query: dict[str, str]) -> Reply:
         events = self._agent.state_store.events.after(
             query_number(query, "since", MAX_EVENT_NUMBER)
         )
-        return _reply(200, {"events": [event.to_dict() for event in events]})
+        return _json_reply(200, {"events": [event.to_dict() for event in events]})
 
-    def _begin(self, instance: Instance, kind: OperationKind, body: Body) -> Reply:
+    def _begin_operation(self, instance: Instance, kind: OperationKind, body: Body) -> Reply:
         request = parse_operation(body)
         operation_id = request.operation_id
         if (known := self._operations.find(operation_id)) is not None:
             if (known.instance, known.kind) != (instance.name, kind):
                 reason = f"operation {operation_id} is another one: {known.kind} {known.instance}"
                 raise Refusal(409, reason)
-            return _reply(202, known.to_dict())
+            return _json_reply(202, known.to_dict())
         now_s = time.monotonic()
         if (lock := self._locks.conflicting(parse_rollout(body), now_s)) is not None:
             raise _locked_refusal(lock, now_s)
@@ -188,14 +189,14 @@
                 operation_id, instance.name, kind, request.options, on_end
             )
         except StateStoreWriteError as error:
-            # It never began, so what it was admitted for has ended.
+            # The operation never began, so the effect that was admitted for it has ended.
             on_end(
                 Operation(
                     operation_id, instance.name, kind.value, OperationState.FAILED, error.reason
                 )
             )
             raise
-        return _reply(202, operation.to_dict())
+        return _json_reply(202, operation.to_dict())
 
     def _admit_operation(self, lease: LeaseClaim | None, operation_id: str) -> OperationCallback:
         if lease is None:
@@ -208,7 +209,7 @@
         if request.lease is not None:
             conflicting = self._locks.conflicting(request.rollout, now_s)
             if conflicting is not None and self._admission.supersedes(request.lease):
-                # The lease has gone to this rollout's holder, and the lock goes with it.
+                # This rollout holds the lease now, so it takes over the lock as well.
                 self._locks.release(conflicting.rollout, now_s)
             self._admission.admit(request.lease, f"hold-{request.rollout}")
         lock = self._locks.acquire(request.rollout, request.holder, request.ttl_s, now_s)
@@ -217,10 +218,13 @@
         owner = (request.rollout, request.holder)
         if previous is None or (previous.rollout, previous.holder) != owner:
             self._record_lock(request)
-        return _reply(200, {"hold": lock_view(lock, now_s)})
+        return _json_reply(200, {"hold": lock_view(lock, now_s)})
 
     def _record_lock(self, request: RolloutLockRequest) -> None:
-        """Prevent a lock that a restart of the agent would forget."""
+        """Store a lock that has a new owner, or release it if that fails.
+
+        Prevents a lock that a restart of the agent would lose.
+        """
         state_store = self._agent.state_store
         try:
             state_store.locks.save_rollout_lock(
@@ -236,11 +240,14 @@
         if released:
             self._agent.state_store.locks.delete_rollout_lock()
             self._agent.state_store.events.append("", "released", rollout=rollout)
-        return _reply(200, {"released": released})
+        return _json_reply(200, {"released": released})
 
 
 def _require_loopback(address: Address) -> None:
-    """Prevent a key that goes over a network in the clear."""
+    """Raise ``ConfigError`` unless the address is a loopback one.
+
+    Prevents the key from crossing a network in clear text.
+    """
     try:
         is_loopback = ipaddress.ip_address(address.host).is_loopback
     except ValueError:
@@ -249,7 +256,7 @@
         raise ConfigError(f"listen: not a loopback address: {address}")
 
 
-def _reply(status: int, body: dict[str, Any]) -> Reply:
+def _json_reply(status: int, body: dict[str, Any]) -> Reply:
     return status, json.dumps(body).encode() + b"\n"
 
 
--- a/onyxpass/agent/api_requests.py
+++ b/onyxpass/agent/api_requests.py
@@ -1,4 +1,4 @@
-"""The calls at the agent's address as typed requests; ``Refusal`` 400 names the faulty field."""
+"""Parsing of calls to the agent's API; ``Refusal`` with status 400 names the faulty field."""
 
 import re
 from collections.abc import Mapping
@@ -9,9 +9,9 @@
 from onyxpass.agent.rollout_locks import MAX_TTL_S
 from onyxpass.net.http_server import Refusal, flag, only, whole
 
-MAX_TEXT_CHARACTERS = 512  # characters
+MAX_TEXT_CHARACTERS = 512
 MAX_DURATION_MS = 24 * 3600 * 1000
-MAX_TOKEN = 2**53  # what every JSON reader takes exactly
+MAX_TOKEN = 2**53  # the largest integer that every reader of JSON represents exactly
 MAX_NUMBER_DIGITS = 16
 DEFAULT_DEADLINE_MS = 60_000
 DEFAULT_NOTICE_MS = 1_000
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperationRequest:
-    """An order on one instance, under the caller's id."""
+    """A request for an operation on one instance, under the caller's id."""
 
     operation_id: str
     options: OperationOptions
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutLockRequest:
-    """A rollout's wish to be the only one that orders this agent, for ``ttl_s`` seconds."""
+    """A rollout's request for exclusive control of this agent, for ``ttl_s`` seconds."""
 
     rollout: str
     holder: str
@@ -50,7 +50,7 @@
 
 
 def parse_operation(body: Body) -> OperationRequest:
-    """Read the body of an order on an instance; its rollout is read by ``parse_rollout``."""
+    """Parse the body of an operation request, except the rollout (``parse_rollout``)."""
     only(
         body,
         "operation",
@@ -67,12 +67,12 @@
 
 
 def parse_rollout(body: Body) -> str:
-    """Read the rollout that an order belongs to; empty where it belongs to none."""
+    """Parse the rollout that an operation belongs to; empty if it belongs to none."""
     return _text(body, "rollout", "")
 
 
 def parse_lock(body: Body) -> RolloutLockRequest:
-    """Read the body of a call that takes the rollout lock."""
+    """Parse the body of a request for the rollout lock."""
     only(body, "rollout", "holder", "ttl_ms", "lease")
     rollout = _id(body, "rollout")
     holder = _text(body, "holder")
@@ -82,13 +82,13 @@
 
 
 def parse_release(body: Body) -> str:
-    """Read the rollout whose lock is to be freed."""
+    """Parse the rollout whose lock is to be released."""
     only(body, "rollout")
     return _id(body, "rollout")
 
 
 def query_number(query: Mapping[str, str], name: str, maximum: int) -> int:
-    """Read a whole number of a call's query; 0 where it is absent."""
+    """Parse a whole number in a query, up to ``maximum``; 0 if it is absent."""
     text = query.get(name, "0")
     is_number = text.isascii() and text.isdigit() and len(text) <= MAX_NUMBER_DIGITS
     if not is_number or int(text) > maximum:
@@ -127,12 +127,12 @@
 
 
 def _lease(body: Body) -> LeaseClaim | None:
-    found = body.get("lease")
-    if found is None:
+    lease = body.get("lease")
+    if lease is None:
         return None
-    if not isinstance(found, dict):
+    if not isinstance(lease, dict):
         raise Refusal(400, "lease must be an object")
-    only(found, "name", "token", "holder")
-    name = _id(found, "name")
-    token = whole(found, "token", 0, MAX_TOKEN, least=1)
-    return LeaseClaim(name, token, _id(found, "holder"))
+    only(lease, "name", "token", "holder")
+    name = _id(lease, "name")
+    token = whole(lease, "token", 0, MAX_TOKEN, least=1)
+    return LeaseClaim(name, token, _id(lease, "holder"))
--- a/onyxpass/agent/api_views.py
+++ b/onyxpass/agent/api_views.py
@@ -1,4 +1,4 @@
-"""The JSON forms of the agent, its instances and its rollout lock at the agent's address."""
+"""The JSON forms of the agent, its instances and its rollout lock in the agent's API."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -10,7 +10,7 @@
 from onyxpass.config.platform_file import ConfigError
 from onyxpass.net.http_client import RequestNotSentError, ResponseLostError
 
-LIVE_STATUS_TIMEOUT_S = 1.0  # for an instance to say how it stands, where all are asked
+LIVE_STATUS_TIMEOUT_S = 1.0  # for one instance to report its status
 
 
 def agent_view(
@@ -20,7 +20,7 @@
     fences: Mapping[str, object],
     now_s: float,
 ) -> dict[str, Any]:
-    """Return the agent with its rollout lock and fences."""
+    """Return the JSON form of the agent, with its rollout lock and fences."""
     return {
         "agent": name,
         "version": __version__,
@@ -31,7 +31,7 @@
 
 
 def lock_view(lock: GrantedRolloutLock, now_s: float) -> dict[str, Any]:
-    """Return a rollout lock with the time that it has left."""
+    """Return the JSON form of a rollout lock, with its remaining time."""
     return {
         "rollout": lock.rollout,
         "holder": lock.holder,
@@ -40,9 +40,9 @@
 
 
 async def instance_view(instance: Instance) -> dict[str, Any]:
-    """Return an instance with its file's digest and its own status.
+    """Return the JSON form of an instance, with its file's digest and its live status.
 
-    An instance that does not answer delays this by ``LIVE_STATUS_TIMEOUT_S`` at most.
+    An instance that does not answer delays the result by ``LIVE_STATUS_TIMEOUT_S`` at most.
     """
     view: dict[str, Any] = {
         "name": instance.name,
--- a/onyxpass/agent/config.py
+++ b/onyxpass/agent/config.py
@@ -1,7 +1,7 @@
-"""The operator's file of one agent and its instances.
+"""The configuration file of one agent and its instances.
 
-The models below are the file's form; their names, comments and docstrings make up its published
-schema. ``AgentConfig`` is what the agent runs on.
+The models below define the file's format; their names and docstrings appear in its published
+schema. ``AgentConfig`` is the resolved configuration that the agent runs on.
 """
 
 import sys
@@ -22,7 +22,7 @@
 
 
 class StoreTable(toml_config.Model):
-    """Redis, where agents tell each other's tools of their instances. An agent needs none."""
+    """The Redis server in which agents publish their instances. An agent also runs without it."""
 
     url: str
 
@@ -30,46 +30,46 @@
 class RestartTable(toml_config.Model):
     """All times are seconds."""
 
-    first_s: Seconds = 0.2  # the pause before the first restart; it doubles
-    most_s: Seconds = 15.0
-    steady_s: Seconds = 30.0  # an instance that ran for so long starts over with the first pause
+    first_s: Seconds = 0.2  # backoff before the first restart; doubles with each failure
+    most_s: Seconds = 15.0  # the longest backoff
+    steady_s: Seconds = 30.0  # a run of this length resets the backoff to first_s
     grace_s: Seconds = 20.0  # from SIGTERM to SIGKILL
-    start_s: Seconds = 5.0  # a check may fail for so long after a start
-    poll_s: Seconds = 1.0  # how often instances are checked, and the store told and asked
+    start_s: Seconds = 5.0  # failed checks do not count this soon after a start
+    poll_s: Seconds = 1.0  # interval of instance checks and of updates from and to the store
 
 
 class InstanceTable(toml_config.Model):  # noqa: D101 - a docstring is part of the schema
     name: Name
     kind: InstanceKind
-    config: str  # relative to the agent's file
+    config: str  # path, relative to the agent's file
     env: dict[str, str] = Field(default_factory=dict)
-    check: toml_config.PlaceText | None = None  # where it must take connections while it runs
+    check: toml_config.PlaceText | None = None  # address that must accept connections
 
 
 class AgentFile(toml_config.Model):  # noqa: D101 - a docstring is part of the schema
     name: Name
-    state: str | None = None  # the folder that outlives the agent; without one, nothing does
-    listen: toml_config.AddressText | None = None  # the agent's own address
-    key: str | None = None  # the file with the key that callers must show
+    state: str | None = None  # folder for state that outlives the agent; without it, none does
+    listen: toml_config.AddressText | None = None  # address of the agent's API
+    key: str | None = None  # file with the key that callers must present
     store: StoreTable | None = None
     restart: RestartTable = Field(default_factory=RestartTable)
     instances: list[InstanceTable]
 
     def faults(self) -> Iterable[tuple[tuple[toml_config.Step, ...], str]]:
-        """Yield each fault that spans several keys, with its place."""
+        """Yield each fault that involves several keys, with its location."""
         names: set[str] = set()
         for number, instance in enumerate(self.instances):
             if instance.name in names:
                 yield ("instances", number, "name"), f"two instances are called {instance.name!r}"
             names.add(instance.name)
         if self.listen is not None and (self.key is None or self.state is None):
-            # Prevents orders that are forgotten with the agent, and could be carried out twice.
+            # Prevents operations that a restarted agent would not know and could execute twice.
             yield ("listen",), "listen needs a key (the file that holds it) and a state (a folder)"
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceSpec:
-    """One instance; ``kind`` and ``config`` are empty for any command that is not onyxpass."""
+    """One instance; ``kind`` is empty and ``config`` None unless its command is onyxpass."""
 
     name: str
     command: tuple[str, ...]
@@ -81,14 +81,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AgentConfig:
-    """What one agent runs on, with all paths resolved."""
+    """The configuration of one agent, with paths relative to the file's folder resolved."""
 
     name: str
     store_url: str  # empty: no store
     instances: tuple[InstanceSpec, ...]
     restart: RestartPolicy = field(default_factory=RestartPolicy)
     termination_grace_s: float = 20.0  # from SIGTERM to SIGKILL
-    poll_interval_s: float = 1.0  # of checks and of the store
+    poll_interval_s: float = 1.0  # of instance checks and of updates from and to the store
     state: Path | None = None
     listen: Address | None = None
     key: Path | None = None
@@ -120,13 +120,13 @@
 
 
 def parse(raw: Mapping[str, Any], base: Path) -> AgentConfig:
-    """Check a parsed file; ``ConfigError`` names the fault.
+    """Validate a parsed file; ``ConfigError`` names the fault.
 
-    ``base`` is the folder that relative paths start from.
+    Paths are relative to the folder ``base``.
     """
     return _to_config(toml_config.check(AgentFile, raw), base)
 
 
 def load(path: Path) -> AgentConfig:
-    """Read a file; ``ConfigError`` names file, place and reason of a fault."""
+    """Read and validate a file; ``ConfigError`` names the file, the location and the reason."""
     return _to_config(toml_config.read(AgentFile, path), path.parent)
--- a/onyxpass/agent/connection_check.py
+++ b/onyxpass/agent/connection_check.py
@@ -1,17 +1,17 @@
-"""The check that an instance takes connections."""
+"""The health check of an instance: whether it accepts connections."""
 
 import asyncio
 
 from onyxpass.config.platform_file import Address
 
-TIMEOUT_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
 
 
 async def accepts_connections(address: Address) -> bool:
-    """Whether a connection to ``address`` opens within ``TIMEOUT_S``."""
+    """Return whether a connection to ``address`` opens within ``CONNECT_TIMEOUT_S``."""
     opening = asyncio.open_connection(address.host, address.port)
     try:
-        _, writer = await asyncio.wait_for(opening, TIMEOUT_S)
+        _, writer = await asyncio.wait_for(opening, CONNECT_TIMEOUT_S)
     except (OSError, TimeoutError):
         return False
     writer.close()
--- a/onyxpass/agent/credentials.py
+++ b/onyxpass/agent/credentials.py
@@ -1,4 +1,4 @@
-"""The key that callers of an agent show, in a file that only its owner may read."""
+"""The key that callers of an agent present, in a file that only its owner may read."""
 
 import hmac
 import os
@@ -14,7 +14,7 @@
 
 
 def read_key(path: Path) -> str:
-    """Read a key; ``ConfigError`` where the file is absent, too short, or open to others."""
+    """Read a key; ``ConfigError`` if the file is unreadable, open to others or holds no key."""
     try:
         with path.open("rb") as file:
             status = os.fstat(file.fileno())
@@ -34,13 +34,13 @@
 
 
 def make_key(path: Path) -> None:
-    """Make a new key in a new file; ``FileExistsError`` rather than replace one."""
+    """Create a file with a new key; raises ``FileExistsError`` if the file exists."""
     descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o600)
     with os.fdopen(descriptor, "w") as file:
         file.write(secrets.token_urlsafe(KEY_RANDOM_BYTES) + "\n")
 
 
 def is_authorized(authorization: bytes | None, key: str) -> bool:
-    """Whether this header shows the key; the comparison's time reveals nothing of it."""
+    """Return whether an ``Authorization`` header carries the key, compared in constant time."""
     expected = b"Bearer " + key.encode()
     return hmac.compare_digest((authorization or b"").strip(), expected)
--- a/onyxpass/agent/event_records.py
+++ b/onyxpass/agent/event_records.py
@@ -1,4 +1,4 @@
-"""Events on record: what happened to each instance, for operators, as a bounded log."""
+"""The stored log of events of the agent and its instances, bounded, for operators."""
 
 import json
 import time
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EventRecord:
-    """One event; ``instance`` is empty where it concerns the agent. ``at_s`` is Unix time."""
+    """One event; ``instance`` is empty for one of the agent itself. ``at_s`` is Unix time."""
 
     number: int
     at_s: float
@@ -23,7 +23,7 @@
     detail: Mapping[str, Any]
 
     def to_dict(self) -> dict[str, Any]:
-        """Return its JSON form at the agent's address."""
+        """Return the event's JSON form in the agent's API."""
         return {
             "number": self.number,
             "at": round(self.at_s, 3),
@@ -40,7 +40,7 @@
         self._database = database
 
     def append(self, instance: str, what: str, **detail: Any) -> None:
-        """Record an event of now; written now, or once the disk takes it."""
+        """Append an event of the present time, now or once the disk accepts writes."""
         self._database.append_row(
             "events",
             MAX_EVENTS,
@@ -56,6 +56,6 @@
             (number, limit),
         )
         return [
-            EventRecord(found, at_s, instance, what, json.loads(detail))
-            for found, at_s, instance, what, detail in rows
+            EventRecord(event_number, at_s, instance, what, json.loads(detail))
+            for event_number, at_s, instance, what, detail in rows
         ]
--- a/onyxpass/agent/expected_config.py
+++ b/onyxpass/agent/expected_config.py
@@ -1,4 +1,4 @@
-"""The configuration that an instance should run on, read from its file by its own code."""
+"""The digest of the configuration that an instance should run on, read from its file."""
 
 import os
 from collections.abc import Mapping
@@ -13,10 +13,11 @@
 def expected_digest(
     spec: InstanceSpec, reload: bool = False, environ: Mapping[str, str] = os.environ
 ) -> str:
-    """Return the digest of the instance's file as it is now.
+    """Return the digest of the instance's configuration file as it is now.
 
-    ``reload`` reads it as a reload does; otherwise as a start does, where the environment wins
-    over the file. ``ConfigError`` names file, line and reason where the file is invalid.
+    The file is read by the same code as in the instance: with ``reload`` as on a reload, otherwise
+    as at a start, where environment variables take precedence over the file. ``ConfigError`` names
+    the file, the line and the reason if the file is invalid.
     """
     if spec.config is None:
         raise ConfigError(f"{spec.name}: its configuration is not known to the agent")
--- a/onyxpass/agent/folder_lock.py
+++ b/onyxpass/agent/folder_lock.py
@@ -1,6 +1,6 @@
 """An exclusive lock on a state folder, so that two agents never manage the same instances.
 
-The lock belongs to the process that took it and ends with it, also by SIGKILL.
+The kernel releases the lock when the process that holds it ends, also after SIGKILL.
 """
 
 import fcntl
@@ -15,10 +15,10 @@
 
 
 class FolderLock:
-    """Holds ``flock`` on the folder's lock file, which names its owner's process id."""
+    """An ``flock`` on the folder's lock file, which contains the owner's process id."""
 
     def __init__(self, folder: Path) -> None:
-        """Take the lock; ``StateStoreInUseError`` if another process has it."""
+        """Acquire the lock; raises ``StateStoreInUseError`` if another process holds it."""
         self._descriptor = os.open(folder / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(self._descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -36,7 +36,7 @@
         os.pwrite(self._descriptor, b"%d\n" % os.getpid(), 0)
 
     def close(self) -> None:
-        """Give the lock up; a second call does nothing."""
+        """Release the lock; a second call does nothing."""
         if self._descriptor >= 0:
             os.close(self._descriptor)
             self._descriptor = -1
--- a/onyxpass/agent/instance.py
+++ b/onyxpass/agent/instance.py
@@ -1,8 +1,8 @@
-"""One actor an instance: it alone starts, watches, restarts and stops that instance's process.
+"""The actor of one instance, which alone starts, watches, restarts and stops its process.
 
-What is to be done is decided in ``lifecycle``; what must outlive the agent is in ``state_store``.
-At most one process of an instance runs: its launch is on record before the process is made, and a
-later agent adopts a process that still runs instead of starting another.
+``lifecycle`` decides what to do, and ``state_store`` keeps what must outlive the agent. At most one
+process of an instance runs: its launch is stored before the process is created, and a later agent
+adopts a process that still runs instead of starting another.
 """
 
 import asyncio
@@ -59,7 +59,7 @@
         folder: Path,
         start_checker: ProcessStartChecker,
     ) -> None:
-        """Load its record. ``start_checker`` is the agent's, for all of its instances."""
+        """Load the stored record. All instances of the agent share ``start_checker``."""
         super().__init__(spec.name)
         self.spec = spec
         self.config = config
@@ -71,16 +71,16 @@
             config.restart, wanted=self.record.wanted, restarts=self.record.restarts
         )
         self.process: Process | None = None
-        self.state_since_unix_s = time.time()  # for people; nothing is decided by it
+        self.state_since_unix_s = time.time()  # for display only
         self.adopted = False
         self.no_process = asyncio.Event()  # set while no process runs or is being started
         self.no_process.set()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._state_changed = asyncio.Event()  # a new one with each change of state
+        self._state_changed = asyncio.Event()  # replaced at each change of state
 
     @property
     def state(self) -> str:
-        """The lifecycle's state as it is on record."""
+        """The lifecycle's state, as events and the agent's API show it."""
         return self.lifecycle.state.value
 
     @property
@@ -90,13 +90,16 @@
 
     @property
     def log_file(self) -> Path | None:
-        """Where its output goes; None leaves it the agent's own, where the agent has no folder."""
+        """The file for the process's output.
+
+        None without a state folder: the output then goes to that of the agent.
+        """
         if self.config.state is None:
             return None
         return self.folder / "logs" / f"{self.name}.log"
 
     def receive(self, message: InstanceMessage) -> None:
-        """Report a message to the lifecycle and take the actions that it returns."""
+        """Report a message to the lifecycle and perform the actions that it returns."""
         state_before = self.lifecycle.state
         for action in self._actions_after(message, time.monotonic()):
             self._perform(action)
@@ -156,14 +159,20 @@
                     delay_s, self.tell, BackoffElapsed(state_sequence)
                 )
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run work beside the mailbox; the set keeps the task from being collected."""
-        task = asyncio.create_task(work)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        """Run a coroutine concurrently with the mailbox.
+
+        The reference in ``_tasks`` protects the task from garbage collection.
+        """
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def _start_or_adopt(self, now_s: float) -> list[Action]:
-        """Adopt the process of an earlier agent. Prevents a second process of the instance."""
+        """Adopt the process of an earlier agent if it still runs, or else start the instance.
+
+        Prevents a second process of the instance.
+        """
         identity = self._recorded_identity()
         process = Process.adopt(identity) if identity is not None else None
         if process is None:
@@ -179,15 +188,15 @@
     def _recorded_identity(self) -> ProcessIdentity | None:
         """Return the identity of the last process, if there is one.
 
-        Where the agent was killed before it could record it, the process is found by the name of
-        its launch, which it carries in its environment.
+        If an agent was killed before it stored the identity, the process is found by the id of its
+        launch, which is in its environment.
         """
         if self.record.process is None and self.record.launch:
             return find_by_environment(LAUNCH, self.record.launch)
         return self.record.process
 
     def _launch(self) -> None:
-        """Start the process: its launch is on record before, and its identity right after."""
+        """Start the process, storing its launch before and its identity right after."""
         verdict = self.start_checker.starting(self.name)
         if not verdict:
             log.error("violation", name=self.name, **verdict.log_fields())
@@ -207,7 +216,10 @@
             self._perform(action)
 
     def _record_launch(self) -> bool:
-        """Prevent a process that no later agent could find; return whether it may be made."""
+        """Store the id of a new launch; return whether the process may be created.
+
+        Prevents a process that no later agent could find.
+        """
         self.record.launch = secrets.token_hex(LAUNCH_ID_BYTES)
         self.record.process = None
         try:
@@ -228,7 +240,7 @@
         }
 
     def _watch(self, process: Process, adopted: bool) -> None:
-        """Take charge of a running process: record its identity and wait for its end."""
+        """Store the identity of a running process and wait for its exit."""
         self.process = process
         self.adopted = adopted
         self.start_checker.started(self.name, process.pid)
@@ -244,7 +256,9 @@
         try:
             process.send(signal.SIGTERM)
             try:
-                await asyncio.wait_for(self._until_ended(process), self.config.termination_grace_s)
+                await asyncio.wait_for(
+                    self._wait_until_ended(process), self.config.termination_grace_s
+                )
             except TimeoutError:
                 log.warning("instance_killed", name=self.name, pid=process.pid)
                 self.state_store.events.append(self.name, "killed", pid=process.pid)
@@ -252,7 +266,7 @@
         except OSError:
             log.debug("instance_already_ended", name=self.name)
 
-    async def _until_ended(self, process: Process) -> None:
+    async def _wait_until_ended(self, process: Process) -> None:
         while self.process is process:
             await self._state_changed.wait()
 
@@ -273,7 +287,7 @@
         return actions
 
     async def check(self) -> None:
-        """Report whether the instance takes connections, where its file says that it must."""
+        """Rotate the log; report whether the instance accepts connections, if that is checked."""
         if self.log_file is not None:
             rotate_log(self.log_file)
         address = self.spec.check
@@ -295,12 +309,12 @@
     ) -> Answer:
         """Make one call on the instance's admin socket.
 
-        ``RequestNotSentError`` or ``ResponseLostError`` where there is no answer.
+        Raises ``RequestNotSentError`` or ``ResponseLostError`` if there is no answer.
         """
         return await ask(at_path(self.socket), method, target, message, timeout_s=timeout_s)
 
     def to_dict(self) -> dict[str, Any]:
-        """Return its JSON form at the agent's address and in the store."""
+        """Return the instance's JSON form in the agent's API and in the store."""
         return {
             "agent": self.config.name,
             "kind": self.spec.kind,
--- a/onyxpass/agent/instance_messages.py
+++ b/onyxpass/agent/instance_messages.py
@@ -1,4 +1,4 @@
-"""The messages of an instance's actor: orders of the agent, and what came of its actions."""
+"""The messages of an instance's actor: commands, and the outcomes of its own actions."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BackoffElapsed:
-    """The pause that was scheduled in the state of this sequence number is over."""
+    """The backoff that was scheduled in the state with this sequence number has elapsed."""
 
     state_sequence: int
 
@@ -19,8 +19,8 @@
 class SetWanted:
     """Run or stop the instance.
 
-    ``persist`` False leaves the record as it is: the agent's own end stops instances which the
-    next agent is to start again.
+    With ``persist`` False the stored desired state does not change: an agent that ends stops its
+    instances, and the next agent starts them again.
     """
 
     wanted: bool
@@ -34,14 +34,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessExited:
-    """The process has ended, or could not be made; ``code`` None where it is not known."""
+    """The process has ended, or could not be created; ``code`` is None if it is not known."""
 
     code: int | None
 
 
 @dataclass(frozen=True, slots=True)
 class CheckCompleted:
-    """Whether the process ``pid`` took a connection."""
+    """The result of a check: whether the process ``pid`` accepted a connection."""
 
     pid: int
     accepted: bool
--- a/onyxpass/agent/instance_records.py
+++ b/onyxpass/agent/instance_records.py
@@ -1,4 +1,4 @@
-"""Instances on record: what an operator wants, the configuration, the last process, and exits."""
+"""Stored instances: their desired state, configuration, last process and exits."""
 
 import time
 from dataclasses import dataclass
@@ -14,10 +14,10 @@
 
 @dataclass(slots=True)
 class InstanceRecord:
-    """One instance as it is on record; its actor owns it and saves each change.
+    """The stored state of one instance; its actor owns the record and saves each change.
 
-    ``digest`` is that of the configuration of ``generation``. ``launch`` names the last launch,
-    which its process carries in its environment; empty where none runs.
+    ``digest`` is that of the configuration of ``generation``. ``launch`` is the id of the last
+    launch, which is also in the environment of its process; empty once that process has ended.
     """
 
     name: str
@@ -32,14 +32,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ExitRecord:
-    """The end of one process: when (Unix time), its exit code if known, how long it ran."""
+    """The exit of one process: its Unix time, its code if known, and how long the process ran."""
 
     at_s: float
     code: int | None
     ran_s: float
 
     def to_dict(self) -> dict[str, Any]:
-        """Return its JSON form at the agent's address."""
+        """Return the exit's JSON form in the agent's API."""
         return {"at": round(self.at_s, 3), "code": self.code, "ran_s": round(self.ran_s, 3)}
 
 
@@ -50,7 +50,7 @@
         self._database = database
 
     def load(self) -> dict[str, InstanceRecord]:
-        """Return all instances on record, by name."""
+        """Return all stored instances, by name."""
         rows = self._database.query(
             "SELECT name, wanted, generation, digest, launch, pid, ticks, boot, restarts, last_exit"
             " FROM instances"
@@ -59,14 +59,14 @@
         return {record.name: record for record in records}
 
     def save_now(self, record: InstanceRecord) -> None:
-        """Record before an action that must not happen unrecorded.
+        """Save a record before an action that must not happen unrecorded.
 
-        ``StateStoreWriteError`` if the disk takes no write: the action must not be done then.
+        Raises ``StateStoreWriteError`` if the write fails; the action must not be performed then.
         """
         self._database.write_now(record.name, SAVE_STATEMENT, _to_row(record))
 
     def save(self, record: InstanceRecord) -> None:
-        """Record what has happened already; written now, or once the disk takes it."""
+        """Save a record of what has already happened, now or once the disk accepts writes."""
         self._database.write_state(record.name, SAVE_STATEMENT, _to_row(record))
 
     def delete(self, name: str) -> None:
@@ -74,7 +74,7 @@
         self._database.execute("DELETE FROM instances WHERE name = ?", (name,))
 
     def add_exit(self, name: str, code: int | None, ran_s: float) -> None:
-        """Record that the instance's process has ended just now, after ``ran_s`` seconds."""
+        """Record that the instance's process has just ended, after ``ran_s`` seconds."""
         self._database.append_row(
             "exits",
             MAX_EXITS,
--- a/onyxpass/agent/lease_admission.py
+++ b/onyxpass/agent/lease_admission.py
@@ -1,7 +1,7 @@
-"""Admission of calls that are made under a lease: what an old lease holder orders is rejected.
+"""Admission of API calls that are made under a lease: calls of an outdated holder are rejected.
 
-The fence of each lease is on record before anything that it admits takes effect, so an old holder
-is still rejected after the agent was restarted. ``LeaseAdmission`` owns the fence.
+The fence of each lease is stored before anything that it admits takes effect, so an outdated holder
+is still rejected after a restart of the agent. ``LeaseAdmission`` owns the fence.
 """
 
 from collections.abc import Callable, Mapping
@@ -16,9 +16,10 @@
 
 
 class LeaseRejectedError(Exception):
-    """A lease whose holder may not act here.
+    """The holder of a lease may not act on this agent.
 
-    ``under_way``: only until what an older token began has ended; otherwise the lease is stale.
+    ``under_way``: the token is newer than the admitted one, whose effects have not finished yet.
+    Otherwise the lease is stale.
     """
 
     def __init__(self, reason: str, *, under_way: bool) -> None:
@@ -28,10 +29,10 @@
 
 
 class LeaseAdmission:
-    """Decides which leases may act on the agent ``resource``."""
+    """Decides which lease holders may act on the agent of the name ``resource``."""
 
     def __init__(self, state_store: StateStore, resource: str) -> None:
-        """Load the fences that are on record."""
+        """Load the stored fences."""
         self._state_store = state_store
         self._resource = resource
         saved = state_store.locks.fences()
@@ -42,10 +43,10 @@
         return self._fence.to_dict()
 
     def admit(self, lease: LeaseClaim, effect: str) -> dict[str, Any]:
-        """Admit one effect of a lease and return what the history says of it.
+        """Admit one effect of a lease and return the fields of its history events.
 
-        ``LeaseRejectedError`` for an old holder; ``StateStoreWriteError`` if the fence can't be
-        recorded, and then nothing is admitted.
+        Raises ``LeaseRejectedError`` if the holder may not act, and ``StateStoreWriteError`` if the
+        fence can't be stored; nothing is admitted then.
         """
         fields = {
             "lease": lease.name,
@@ -71,12 +72,12 @@
         try:
             self._state_store.locks.save_fence(lease.name, FenceRecord(lease.token, lease.holder))
         except StateStoreWriteError:
-            # Prevents the next call from passing as one whose fence is on record.
+            # Prevents the next call from being admitted under a fence that is not stored.
             self._fence.restore(lease.name, previous)
             raise
 
     def begin_effect(self, lease: LeaseClaim, effect: str) -> Callable[[Operation], None]:
-        """Admit an operation; the callback that is returned must be called at its end."""
+        """Admit an operation; return the callback that must be called when it ends."""
         fields = self.admit(lease, effect)
         self._fence.effect_started(lease.name)
         record_event("begin", **fields)
@@ -88,7 +89,7 @@
         return on_end
 
     def supersedes(self, lease: LeaseClaim) -> bool:
-        """Whether the lease was another's here before, and nothing of that one is under way."""
+        """Return whether an older token of the lease was admitted and has no effect in progress."""
         last = self._fence.admitted.get(lease.name)
         is_newer = last is not None and last.token < lease.token
         return is_newer and not self._fence.running.get(lease.name)
--- a/onyxpass/agent/lifecycle.py
+++ b/onyxpass/agent/lifecycle.py
@@ -1,14 +1,14 @@
-"""The states of one instance: starts, backoff, hung checks and ordered restarts. Without I/O.
+"""The state machine of one instance: starts, backoff, health checks and restarts. Without I/O.
 
 ``now_s`` is a monotonic clock's time in seconds. Each event returns the actions to take, in
-order; the instance's actor takes them and reports what came of them as further events.
+order; the instance's actor takes them and reports their outcomes as further events.
 
 | state | means | left by |
 | --- | --- | --- |
-| new | the agent has not decided yet | ``start``, ``adopted``, ``set_wanted``, ``restart`` |
-| starting | the process is being made | ``launched``, ``exited``, ``set_wanted`` |
+| new | neither started nor adopted yet | ``start``, ``adopted``, ``set_wanted``, ``restart`` |
+| starting | the process is being created | ``launched``, ``exited``, ``set_wanted`` |
 | running | the process runs | ``exited``, ``set_wanted``, ``restart``, ``checked`` |
-| stopping | the process has been told to end | ``exited`` |
+| stopping | the process is being terminated | ``exited`` |
 | waiting | backoff before the next launch | ``backoff_elapsed``, ``set_wanted``, ``restart`` |
 | stopped | not wanted, and no process runs | ``set_wanted``, ``restart``, ``start`` |
 """
@@ -16,12 +16,12 @@
 from dataclasses import dataclass
 from enum import Enum
 
-MAX_FAILED_CHECKS = 3  # failed checks in a row that make an instance hung
-MAX_BACKOFF_DOUBLINGS = 20  # prevents an overflow; the longest backoff is reached far before
+MAX_FAILED_CHECKS = 3  # consecutive failed checks after which an instance counts as hung
+MAX_BACKOFF_DOUBLINGS = 20  # prevents an overflow; the maximum backoff is reached far earlier
 
 
 class InstanceState(Enum):
-    """Where an instance stands; the values are those on record and at the agent's address."""
+    """The state of an instance; the values appear in stored events and in the agent's API."""
 
     NEW = "new"
     STARTING = "starting"
@@ -61,31 +61,31 @@
 
 @dataclass(frozen=True, slots=True)
 class RestartPolicy:
-    """When an instance that ended is started again. All times are seconds."""
+    """When an instance that ended is started again. All times are in seconds."""
 
     initial_backoff_s: float = 0.2
     max_backoff_s: float = 15.0
-    stable_after_s: float = 30.0  # a run this long starts over with the initial backoff
-    startup_grace_s: float = 5.0  # failed checks do not count for so long after a start
+    stable_after_s: float = 30.0  # a run of this length resets the backoff
+    startup_grace_s: float = 5.0  # failed checks do not count this soon after a start
 
     def backoff_s(self, failures: int) -> float:
-        """Return the pause after so many failures in a row: it doubles up to the maximum."""
+        """Return the backoff, which doubles with each consecutive failure up to the maximum."""
         doublings = min(MAX_BACKOFF_DOUBLINGS, max(0, failures - 1))
         return min(self.max_backoff_s, self.initial_backoff_s * 2.0**doublings)
 
 
 @dataclass(slots=True)
 class Lifecycle:
-    """The state machine of one instance; its actor alone reports events to it."""
+    """The state machine of one instance; only the instance's actor reports events to it."""
 
     policy: RestartPolicy
     state: InstanceState = InstanceState.NEW
     wanted: bool = True
     state_since_s: float = 0.0  # when the state was entered
-    restarts: int = 0  # after a failure, not by an operator's order
+    restarts: int = 0  # automatic ones, without those that an operator requested
     consecutive_failures: int = 0
-    failed_checks: int = 0  # in a row
-    restart_requested: bool = False  # it stops because a restart was ordered
+    failed_checks: int = 0  # consecutive ones
+    restart_requested: bool = False  # a new process is launched once the current one has ended
     state_sequence: int = 0  # counts the states entered; prevents a late timer from acting
     last_exit: int | None = None
 
@@ -110,12 +110,12 @@
         return []
 
     def adopted(self, now_s: float, age_s: float) -> list[Action]:
-        """Take note of a process that an earlier agent started ``age_s`` ago."""
+        """Handle the adoption of a process that an earlier agent started ``age_s`` ago."""
         self._enter(InstanceState.RUNNING, now_s - age_s)
         return [] if self.wanted else self._stop(now_s, "not wanted")
 
     def set_wanted(self, now_s: float, wanted: bool) -> list[Action]:
-        """Start or stop the instance as an operator wants it."""
+        """Start or stop the instance as its new desired state requires."""
         if wanted == self.wanted:
             return []
         self.wanted = wanted
@@ -129,7 +129,7 @@
         return []
 
     def restart(self, now_s: float) -> list[Action]:
-        """Stop the instance by an operator's order and start it at once, without backoff."""
+        """Stop the instance at an operator's request and start it again without backoff."""
         self.wanted = True
         if self.state is InstanceState.RUNNING:
             self.restart_requested = True
@@ -145,15 +145,15 @@
         return [Terminate(reason)]
 
     def launched(self, now_s: float) -> list[Action]:
-        """Take note that the process has been made."""
-        if self.state is InstanceState.STOPPING:  # a stop came while the process was being made
+        """Handle the creation of the process."""
+        if self.state is InstanceState.STOPPING:  # stopped while the process was being created
             return [Terminate("stopped while it started")]
         self.failed_checks = 0
         self._enter(InstanceState.RUNNING, now_s)
         return []
 
     def exited(self, now_s: float, code: int | None) -> list[Action]:
-        """Take note that the process has ended, or could not be made at all."""
+        """Handle the end of the process, or the failure to create it."""
         ran_s = now_s - self.state_since_s if self.state is InstanceState.RUNNING else 0.0
         self.last_exit = code
         self.failed_checks = 0
@@ -178,7 +178,10 @@
         return self.start(now_s) if is_current and self.state is InstanceState.WAITING else []
 
     def checked(self, now_s: float, accepted: bool) -> list[Action]:
-        """Count whether the instance took a connection; one that is still starting may not."""
+        """Handle the result of a check: stop the instance after ``MAX_FAILED_CHECKS`` failures.
+
+        Failures within the start-up grace period do not count.
+        """
         if self.state is not InstanceState.RUNNING:
             return []
         if accepted or now_s - self.state_since_s < self.policy.startup_grace_s:
--- a/onyxpass/agent/lock_records.py
+++ b/onyxpass/agent/lock_records.py
@@ -1,15 +1,15 @@
-"""Locks on record: the rollout that orders this agent, and the fencing tokens that it has seen."""
+"""Stored locks: the agent's rollout lock, and the fencing tokens that the agent has admitted."""
 
 from dataclasses import dataclass
 
 from onyxpass.agent.state_database import StateDatabase
 
-ROLLOUT_LOCK_KEY = "hold"  # among the pending states
+ROLLOUT_LOCK_KEY = "hold"  # among the keys of pending writes
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutLockRecord:
-    """A rollout lock as it was last granted; ``ttl_s`` counts from the grant."""
+    """A rollout lock as it was granted to its holder; ``ttl_s`` counts from the grant."""
 
     rollout: str
     holder: str
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FenceRecord:
-    """The highest token of a lease that was admitted, and whose it was."""
+    """The highest token of a lease that was admitted, and its holder."""
 
     token: int
     holder: str
@@ -31,7 +31,7 @@
         self._database = database
 
     def rollout_lock(self) -> RolloutLockRecord | None:
-        """Return the lock on record, if there is one."""
+        """Return the stored lock, if there is one."""
         rows = self._database.query("SELECT rollout, holder, ttl_s FROM holds")
         if not rows:
             return None
@@ -39,7 +39,7 @@
         return RolloutLockRecord(str(rollout), str(holder), float(ttl_s))
 
     def save_rollout_lock(self, lock: RolloutLockRecord) -> None:
-        """Record a lock before it is granted; ``StateStoreWriteError`` if it can't be."""
+        """Store a lock before its grant is reported; ``StateStoreWriteError`` if that fails."""
         self._database.write_now(
             ROLLOUT_LOCK_KEY,
             "INSERT OR REPLACE INTO holds VALUES (1, ?, ?, ?)",
@@ -47,7 +47,7 @@
         )
 
     def delete_rollout_lock(self) -> None:
-        """Remove the lock from the record, now or once the disk takes it."""
+        """Delete the stored lock, now or once the disk accepts writes."""
         self._database.write_state(ROLLOUT_LOCK_KEY, "DELETE FROM holds")
 
     def fences(self) -> dict[str, FenceRecord]:
@@ -56,7 +56,7 @@
         return {str(lease): FenceRecord(int(token), str(holder)) for lease, token, holder in rows}
 
     def save_fence(self, lease: str, fence: FenceRecord) -> None:
-        """Record a fence before it admits anything; ``StateStoreWriteError`` if it can't be."""
+        """Store a fence before it admits anything; ``StateStoreWriteError`` if that fails."""
         self._database.write_now(
             f"fence {lease}",
             "INSERT OR REPLACE INTO fences VALUES (?, ?, ?)",
--- a/onyxpass/agent/main.py
+++ b/onyxpass/agent/main.py
@@ -1,4 +1,4 @@
-"""The agent as a program: its instances, its address and its signals."""
+"""The agent as a program: its instances, its API and its signal handlers."""
 
 import asyncio
 import signal
@@ -14,10 +14,10 @@
 
 
 def build(config: AgentConfig) -> tuple[Agent, AgentApi | None]:
-    """Return the agent and, where an address is configured, its server.
+    """Return the agent and, if an address is configured, its API server.
 
-    ``StateStoreError`` or ``ConfigError``, with nothing started, where the state, the key or the
-    address can't be used.
+    Raises ``StateStoreError`` or ``ConfigError``, with nothing started, if the state, the key or
+    the address can't be used.
     """
     key = read_key(config.key) if config.key is not None else ""
     store = None
@@ -36,7 +36,7 @@
 
 
 async def run(config: AgentConfig) -> None:
-    """Run until SIGTERM or SIGINT, then stop all instances in order.
+    """Run until SIGTERM or SIGINT, then stop all instances.
 
     Raises what ``build`` raises.
     """
@@ -44,17 +44,17 @@
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stopping.set)
-    # Prevents SIGHUP's default, which ends the agent alone and leaves its instances without one.
+    # The default action of SIGHUP would end the agent and leave its instances unsupervised.
     loop.add_signal_handler(signal.SIGHUP, _ignore_reload)
     agent, api = build(config)
     await agent.start()
     serving = asyncio.create_task(api.run()) if api is not None else None
     await stopping.wait()
-    if serving is not None:  # no orders while the instances stop
+    if serving is not None:  # accept no calls while the instances stop
         serving.cancel()
         await asyncio.wait([serving])
     await agent.stop()
 
 
 def _ignore_reload() -> None:
-    log.warning("reload_not_supported", reason="the agent reads its file at its start only")
+    log.warning("reload_not_supported", reason="the agent reads its file only when it starts")
--- a/onyxpass/agent/operation_options.py
+++ b/onyxpass/agent/operation_options.py
@@ -1,11 +1,11 @@
-"""What a caller asks for with an operation."""
+"""The kinds and the options of an operation."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 
 class OperationKind(StrEnum):
-    """The orders that an agent takes; the values are those in the calls' paths."""
+    """The operations that an agent executes; the values appear in the paths of its API."""
 
     RELOAD = "reload"
     DRAIN = "drain"
@@ -19,10 +19,10 @@
 class OperationOptions:
     """The options of one operation. Times are seconds.
 
-    ``drain``: drain the instance before a restart or a stop. ``force``: go on although it can't be
-    drained. ``allow_restart``: a reload may restart the instance where that is needed.
-    ``expected_digest``: the digest that the caller saw; a file that has changed since is not
-    taken over; empty takes any.
+    ``drain``: drain the instance before a restart or a stop. ``force``: continue even if it can't
+    be drained. ``allow_restart``: a reload may restart the instance if that is needed.
+    ``expected_digest``: the digest of the file that the caller has seen; a file that has changed
+    since is rejected. Empty accepts any file.
     """
 
     deadline_s: float = 60.0
--- a/onyxpass/agent/operation_records.py
+++ b/onyxpass/agent/operation_records.py
@@ -1,4 +1,4 @@
-"""Operations on record: each is written before anything is done, and once more when it ends."""
+"""Stored operations: each is stored before anything is done, and again when it ends."""
 
 import json
 import time
@@ -14,7 +14,7 @@
 
 
 class OperationState(StrEnum):
-    """How an operation stands; the values are those on record and at the agent's address."""
+    """The state of an operation; the values are stored and appear in the agent's API."""
 
     RUNNING = "running"
     DONE = "done"
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class Operation:
-    """One order on one instance, under its caller's id. Times are Unix times in seconds."""
+    """One operation on one instance, under its caller's id. Times are Unix times in seconds."""
 
     id: str
     instance: str
@@ -38,14 +38,14 @@
     def finish(
         self, state: OperationState, reason: str = "", detail: Mapping[str, Any] | None = None
     ) -> None:
-        """Set how it ended; ``detail`` None leaves what there is."""
+        """Set the outcome; ``detail`` None leaves the present detail."""
         self.state = state
         self.reason = reason
         if detail is not None:
             self.detail = detail
 
     def to_dict(self) -> dict[str, Any]:
-        """Return its JSON form at the agent's address."""
+        """Return the operation's JSON form in the agent's API."""
         return {
             "id": self.id,
             "instance": self.instance,
@@ -65,9 +65,9 @@
         self._database = database
 
     def begin(self, operation: Operation) -> None:
-        """Record an operation before anything of it is done.
+        """Store an operation before anything of it is done.
 
-        ``StateStoreWriteError``, with nothing of it on record, if the disk takes no write.
+        Raises ``StateStoreWriteError``, with nothing of it stored, if the write fails.
         """
         operation.began_s = time.time()
         with self._database.transaction():
@@ -83,7 +83,7 @@
             )
 
     def end(self, operation: Operation) -> None:
-        """Record how it ended, now or once the disk takes it."""
+        """Store the outcome of an operation, now or once the disk accepts writes."""
         operation.ended_s = time.time()
         self._database.write_state(
             f"operation {operation.id}",
@@ -98,7 +98,7 @@
         )
 
     def find(self, operation_id: str) -> Operation | None:
-        """Return the operation on record under this id, if there is one."""
+        """Return the stored operation with this id, if there is one."""
         rows = self._database.query(
             "SELECT name, kind, state, reason, detail, began, ended FROM operations WHERE id = ?",
             (operation_id,),
@@ -118,7 +118,7 @@
         )
 
     def end_interrupted(self) -> list[Operation]:
-        """End as unknown, and return, what was under way when the agent before this one ended."""
+        """End as unknown, and return, the operations that a previous agent left unfinished."""
         rows = self._database.query("SELECT id FROM operations WHERE state = 'running'")
         found = [operation for (row_id,) in rows if (operation := self.find(row_id)) is not None]
         for operation in found:
--- a/onyxpass/agent/operation_steps.py
+++ b/onyxpass/agent/operation_steps.py
@@ -1,9 +1,9 @@
-"""How each kind of operation is carried out on one instance.
+"""The execution of each kind of operation on one instance.
 
-An operation is done only when that was read back from the instance itself. Each function returns
-the detail that the operation's record shows; it raises ``OperationFailedError`` where the
-instance or its file forbids it, ``ConfigError`` where its file is invalid, and
-``RequestNotSentError`` or ``ResponseLostError`` where the instance does not answer.
+An operation is done only when its effect has been observed on the instance. Each step returns the
+detail that the operation's record shows. It raises ``OperationFailedError`` if the operation does
+not succeed on the instance or with its file, ``ConfigError`` if the file is invalid, and
+``RequestNotSentError`` or ``ResponseLostError`` if the instance does not answer.
 """
 
 import asyncio
@@ -20,15 +20,15 @@
 from onyxpass.net.http_client import Answer, RequestNotSentError, ResponseLostError
 
 POLL_INTERVAL_S = 0.03
-DRAIN_CLEANUP_S = 5.0  # past the deadline: requests that were cut have to be tidied up as well
+DRAIN_CLEANUP_S = 5.0  # past the deadline, to clean up requests that were cut
 MAX_KEYS_SHOWN = 4
-GOES_ON_DRAINING = "; it goes on draining"
+DRAIN_CONTINUES = "; it goes on draining"
 
 Detail = Mapping[str, Any]
 
 
 class OperationFailedError(Exception):
-    """An operation that was not carried out, with ``reason`` and ``detail`` for its record."""
+    """An operation did not succeed; its record shows ``reason`` and ``detail``."""
 
     def __init__(self, reason: str, **detail: Any) -> None:
         super().__init__(reason)
@@ -39,7 +39,7 @@
 async def execute_operation(
     state_store: StateStore, kind: OperationKind, instance: Instance, options: OperationOptions
 ) -> Detail:
-    """Carry out one operation; the module's text names its errors."""
+    """Execute one operation; the module's docstring names the errors that it raises."""
     steps = OperationSteps(state_store, instance, options)
     step: Callable[[], Awaitable[Detail]] = {
         OperationKind.RELOAD: steps.reload,
@@ -53,7 +53,7 @@
 
 
 class OperationSteps:
-    """The steps of one operation."""
+    """The steps of one operation on one instance, by its kind."""
 
     def __init__(
         self, state_store: StateStore, instance: Instance, options: OperationOptions
@@ -63,14 +63,16 @@
         self._options = options
 
     async def reload(self) -> Detail:
-        """Let the instance read its file again, and restart it where that is needed and allowed."""
+        """Reload the instance's file, and restart the instance if that is needed and allowed."""
         self._require_running()
         digest = self._file_digest(reload=True)
         generation = self._assign_generation(digest)
         _successful_body(
             await self._instance.request("POST", "/reload", {"generation": generation})
         )
-        config = (await self._status())["config"]  # read back, not the order's own answer
+        config = (await self._status())[
+            "config"
+        ]  # read back, instead of trusting the reload's own answer
         if config["digest"] == digest:
             return {"digest": digest, "generation": config["generation"], "restarted": False}
         keys = [str(key) for key in config["needs_restart"]]
@@ -85,7 +87,7 @@
         )
 
     async def drain(self) -> Detail:
-        """Drain the instance and wait until it is drained, at most until the deadline."""
+        """Drain the instance and wait until it is drained; fail if it is not by the deadline."""
         self._require_running()
         order = {
             "deadline_ms": round(self._options.deadline_s * 1000),
@@ -93,7 +95,7 @@
             "force": self._options.force,
         }
         _successful_body(await self._instance.request("POST", "/drain", order))
-        due_s = time.monotonic() + self._options.deadline_s + DRAIN_CLEANUP_S
+        end_s = time.monotonic() + self._options.deadline_s + DRAIN_CLEANUP_S
         while True:
             drain = (await self._status())["drain"]
             if drain["phase"] == "drained":
@@ -101,17 +103,17 @@
             if drain["phase"] == "serving":
                 raise OperationFailedError("the drain was undone meanwhile")
             is_late = drain["late"] and not self._options.force
-            if is_late or time.monotonic() > due_s:
+            if is_late or time.monotonic() > end_s:
                 open_requests = (
                     f"{drain['requests']} requests open, {drain['streams']} of them streaming"
                 )
                 raise OperationFailedError(
-                    f"not drained by the deadline: {open_requests}{GOES_ON_DRAINING}", drain=drain
+                    f"not drained by the deadline: {open_requests}{DRAIN_CONTINUES}", drain=drain
                 )
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def undrain(self) -> Detail:
-        """Let the instance take requests again."""
+        """Make the instance accept requests again."""
         _successful_body(await self._instance.request("POST", "/undrain"))
         status = await self._status()
         if status["drain"]["phase"] != "serving":
@@ -119,15 +121,15 @@
         return {"ready": status["ready"]}
 
     async def restart(self) -> Detail:
-        """Drain the instance, start it anew and wait until it is ready on its file."""
+        """Drain and restart the instance, and wait until it is ready on its file."""
         digest = self._file_digest(reload=False)  # an invalid file fails before the drain
-        due_s = time.monotonic() + self._options.deadline_s
+        end_s = time.monotonic() + self._options.deadline_s
         drained = await self._drain_if_requested()
         previous_launch = self._instance.record.launch
         generation = self._assign_generation(digest)
         self._instance.tell(RestartInstance())
         reason = "it has not started"
-        while time.monotonic() < due_s + self._instance.config.termination_grace_s:
+        while time.monotonic() < end_s + self._instance.config.termination_grace_s:
             await asyncio.sleep(POLL_INTERVAL_S)
             reason = await self._restart_pending_reason(previous_launch, digest)
             if not reason:
@@ -135,7 +137,10 @@
         raise self._timeout_error(reason)
 
     async def _restart_pending_reason(self, previous_launch: str, digest: str) -> str:
-        """Say why a new process is not ready yet; empty once it is, on this configuration."""
+        """Return why the new process is not ready yet; empty once it is ready.
+
+        Raises ``OperationFailedError`` if it is ready on another configuration than ``digest``.
+        """
         launch = self._instance.record.launch
         is_running = self._instance.lifecycle.state is InstanceState.RUNNING
         if not is_running or launch in ("", previous_launch):
@@ -157,11 +162,11 @@
         """Drain the instance and stop it."""
         drained = await self._drain_if_requested()
         self._instance.tell(SetWanted(False))
-        due_s = (
+        end_s = (
             time.monotonic() + self._options.deadline_s + self._instance.config.termination_grace_s
         )
         while self._instance.lifecycle.state is not InstanceState.STOPPED:
-            if time.monotonic() > due_s:
+            if time.monotonic() > end_s:
                 raise self._wrong_state_error()
             await asyncio.sleep(POLL_INTERVAL_S)
         return drained
@@ -172,9 +177,9 @@
         if self._instance.lifecycle.state is not InstanceState.RUNNING:
             self._assign_generation(digest)
         self._instance.tell(SetWanted(True))
-        due_s = time.monotonic() + self._options.deadline_s
+        end_s = time.monotonic() + self._options.deadline_s
         reason = "it has not started"
-        while time.monotonic() < due_s:
+        while time.monotonic() < end_s:
             await asyncio.sleep(POLL_INTERVAL_S)
             if self._instance.lifecycle.state is not InstanceState.RUNNING:
                 continue
@@ -190,9 +195,9 @@
         raise self._timeout_error(reason)
 
     async def _drain_if_requested(self) -> Detail:
-        """Drain the instance where it runs and that is wanted.
+        """Drain the instance if it runs and the options ask for it.
 
-        One that can't be drained serves on, and the operation fails, unless it is forced.
+        If the drain fails, the instance is undrained and the operation fails, unless it is forced.
         """
         is_running = self._instance.lifecycle.state is InstanceState.RUNNING
         if not self._options.drain or not is_running:
@@ -203,7 +208,7 @@
             if self._options.force:
                 return {"forced": True, "why": error.reason}
             await self._instance.request("POST", "/undrain")
-            reason = error.reason.removesuffix(GOES_ON_DRAINING)
+            reason = error.reason.removesuffix(DRAIN_CONTINUES)
             raise OperationFailedError(f"{reason}; it serves on", **error.detail) from error
         except (RequestNotSentError, ResponseLostError) as error:
             if self._options.force:
@@ -214,7 +219,7 @@
         return _successful_body(await self._instance.request("GET", "/status"))
 
     def _file_digest(self, reload: bool) -> str:
-        """Return the digest of the instance's file, which must be the one that was planned."""
+        """Return the digest of the instance's file; fail if it is not the expected one."""
         digest = expected_digest(self._instance.spec, reload)
         planned = self._options.expected_digest
         if planned and digest != planned:
@@ -224,7 +229,10 @@
         return digest
 
     def _assign_generation(self, digest: str) -> int:
-        """Count the configurations that this instance was ordered to run on; return the count."""
+        """Return the generation of this configuration: the number of those applied so far.
+
+        A digest that differs from the stored one begins a new generation.
+        """
         record = self._instance.record
         if digest != record.digest:
             record.digest = digest
--- a/onyxpass/agent/operations.py
+++ b/onyxpass/agent/operations.py
@@ -1,8 +1,8 @@
-"""Operations in progress: each order has an id, is carried out once, and its end is on record.
+"""Operations in progress: each has an id, is executed once, and its outcome is stored.
 
-An order that comes again under its id, because its caller did not get the answer, is answered
-with how the first one stands. ``Operations`` owns the tasks and the operations under way; ended
-ones are read from the state store.
+A request that is repeated under its id, because its caller did not receive the answer, is answered
+with the state of the first one's operation. ``Operations`` owns the tasks and the operations in
+progress; ended ones are read from the state store.
 """
 
 import asyncio
@@ -19,14 +19,14 @@
 from onyxpass.net.http_client import RequestNotSentError, ResponseLostError
 
 MAX_END_EVENTS = 500  # operations whose end can be waited for
-TIMEOUT_MARGIN_S = 30.0  # past the deadline, which each step observes itself
+TIMEOUT_MARGIN_S = 30.0  # past the operation's deadline, which each step observes itself
 log = structlog.get_logger("operations")
 
 OperationCallback = Callable[[Operation], None]
 
 
 class InstanceBusyError(Exception):
-    """Another operation on the same instance, ``operation``, is under way."""
+    """Another operation on the same instance, ``operation``, is in progress."""
 
     def __init__(self, operation: Operation) -> None:
         super().__init__(f"{operation.kind} {operation.id} is under way")
@@ -34,7 +34,7 @@
 
 
 class Operations:
-    """The operations on one agent's instances, at most one an instance at a time."""
+    """The operations on one agent's instances, at most one at a time on each instance."""
 
     def __init__(self, state_store: StateStore, instances: Mapping[str, Instance]) -> None:
         self._state_store = state_store
@@ -45,7 +45,7 @@
         self._end_callbacks: dict[str, OperationCallback] = {}  # by id
 
     def running_on(self, instance: str) -> Operation | None:
-        """Return the operation that is under way on an instance, if there is one."""
+        """Return the operation that is in progress on an instance, if there is one."""
         return self._running.get(instance)
 
     def begin(
@@ -56,17 +56,18 @@
         options: OperationOptions,
         on_end: OperationCallback = lambda _: None,
     ) -> Operation:
-        """Return the operation under this id: a new one, or the one that was begun before.
+        """Begin an operation, or return the one that was begun before under this id.
 
-        ``InstanceBusyError`` if another runs on the instance; ``StateStoreWriteError``, with
-        nothing done, if it can't be recorded. ``on_end`` is called once a new one has ended.
+        Raises ``InstanceBusyError`` if another one is in progress on the instance, and
+        ``StateStoreWriteError``, with nothing done, if the operation can't be stored. ``on_end`` is
+        called once a new operation has ended.
         """
         if (known := self.find(operation_id)) is not None:
             return known
         if (other := self._running.get(instance)) is not None:
             raise InstanceBusyError(other)
         operation = Operation(operation_id, instance, kind.value)
-        self._state_store.operations.begin(operation)  # on record before anything is done
+        self._state_store.operations.begin(operation)  # stored before anything is done
         self._running[instance] = operation
         self._end_events[operation_id] = asyncio.Event()
         self._end_callbacks[operation_id] = on_end
@@ -76,14 +77,14 @@
         return operation
 
     def find(self, operation_id: str) -> Operation | None:
-        """Return an operation under way or on record."""
+        """Return the operation with this id that is in progress or stored, if there is one."""
         for operation in self._running.values():
             if operation.id == operation_id:
                 return operation
         return self._state_store.operations.find(operation_id)
 
     async def wait(self, operation_id: str, timeout_s: float) -> Operation | None:
-        """Return the operation once it has ended, or as it stands after ``timeout_s``."""
+        """Return the operation once it has ended, or in its state after ``timeout_s``."""
         ended = self._end_events.get(operation_id)
         if ended is not None and timeout_s > 0:
             try:
@@ -107,7 +108,7 @@
         except asyncio.CancelledError:
             operation.finish(OperationState.UNKNOWN, INTERRUPTED_REASON)
             raise
-        except Exception as error:  # noqa: BLE001 - prevents an operation without an end
+        except Exception as error:  # noqa: BLE001 - prevents an operation that never ends
             _finish_after_error(operation, error)
         finally:
             self._complete(operation, instance)
@@ -129,9 +130,9 @@
 
 
 def _finish_after_error(operation: Operation, error: Exception) -> None:
-    """Set how an operation ended by an error.
+    """Set the outcome of an operation that was ended by an error.
 
-    It failed where it is certain that it has not taken effect, and is unknown otherwise.
+    The outcome is FAILED if it is certain that the operation did not succeed, else UNKNOWN.
     """
     match error:
         case OperationFailedError():
--- a/onyxpass/agent/rollout_locks.py
+++ b/onyxpass/agent/rollout_locks.py
@@ -1,6 +1,6 @@
-"""Which rollout an agent takes orders from: one at a time, while it renews its lock.
+"""The lock with which one rollout at a time controls an agent, for as long as it renews the lock.
 
-Without I/O. Times are seconds of the agent's monotonic clock, which nobody sets.
+Without I/O. Times are seconds of the agent's monotonic clock, which can't be set.
 """
 
 from dataclasses import dataclass
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class RolloutLockManager:
-    """Grants the agent's one lock. Its owner records a lock before it tells the caller of it."""
+    """Grants the agent's one lock. Its owner stores a lock before it reports the grant."""
 
     _granted: GrantedRolloutLock | None = None
 
@@ -30,10 +30,10 @@
         return self._granted
 
     def acquire(self, rollout: str, holder: str, ttl_s: float, now_s: float) -> GrantedRolloutLock:
-        """Return the lock in force: the caller's if its rollout has it now, else another's.
+        """Acquire or renew the lock; return the lock in force, which may be another rollout's.
 
-        The same rollout may go on under another holder: that is how the work of a killed tool is
-        resumed.
+        The same rollout may continue under another holder, which resumes the work of a tool that
+        was killed.
         """
         lock = self.current(now_s)
         if lock is None or lock.rollout == rollout:
@@ -42,7 +42,7 @@
         return lock
 
     def release(self, rollout: str, now_s: float) -> bool:
-        """Free the lock; return whether this rollout had it."""
+        """Release the lock; return whether this rollout held it."""
         lock = self.current(now_s)
         if lock is None or lock.rollout != rollout:
             return False
@@ -50,6 +50,6 @@
         return True
 
     def conflicting(self, rollout: str, now_s: float) -> GrantedRolloutLock | None:
-        """Return the lock that forbids an order of ``rollout``; empty for an order of none."""
+        """Return the lock that forbids operations of ``rollout`` (empty: of no rollout), if any."""
         lock = self.current(now_s)
         return lock if lock is not None and lock.rollout != rollout else None
--- a/onyxpass/agent/state_database.py
+++ b/onyxpass/agent/state_database.py
@@ -3,11 +3,11 @@
 ``StateDatabase`` is the only owner of the connection and of the folder's lock. Each statement is
 durable once it returns (WAL with full sync). A write is of one of three kinds:
 
-- ``write_now``, before an action that must not happen unrecorded: it fails if the disk does;
-- ``write_state``, after something that has happened: written now, or once the disk takes it;
+- ``write_now``, before an action that must not happen unrecorded: raises if the write fails;
+- ``write_state``, after something has happened: written now, or once the disk accepts writes;
 - ``append_row``, for logs: like ``write_state``, with a bounded number of rows.
 
-A damaged file is refused and left as it is: starting over could start instances twice.
+A damaged file is rejected and left unchanged: an empty one could start instances twice.
 """
 
 import contextlib
@@ -53,13 +53,13 @@
 
 
 class StateDatabase:
-    """An open database in ``folder``, or in memory where ``folder`` is None."""
+    """An open database in ``folder``, or in memory if ``folder`` is None."""
 
     def __init__(self, folder: Path | None) -> None:
-        """Lock, open and migrate; ``StateStoreError`` where the state can't be used."""
+        """Lock the folder, open the file and migrate it; raises ``StateStoreError`` on failure."""
         self.folder = folder
         self._pending = WriteBehindQueue(sqlite3.OperationalError)
-        self._is_behind = False
+        self._has_backlog = False
         with contextlib.ExitStack() as resources:
             try:
                 self._open(resources)
@@ -89,7 +89,7 @@
             raise StateStoreDamagedError(self.folder, f"the state is damaged: {found}")
 
     def _migrate(self) -> None:
-        """Bring a new or older file to the schema's version, in one transaction."""
+        """Create the schema, or migrate an older one, in one transaction."""
         version = int(self._connection.execute("PRAGMA user_version").fetchone()[0])
         if version == SCHEMA_VERSION:
             return
@@ -104,23 +104,23 @@
         )
 
     def close(self) -> None:
-        """Write what is pending if the disk takes it, then close the file and free its lock."""
+        """Write what is pending if possible, then close the file and release the folder's lock."""
         self.flush()
         self._resources.close()
 
     def query(self, statement: str, values: Sequence[object] = ()) -> list[Row]:
-        """Read all rows of a statement."""
+        """Return all rows of a query."""
         return self._connection.execute(statement, values).fetchall()
 
     def execute(self, statement: str, values: Sequence[object] = ()) -> None:
-        """Execute one statement as it is; ``sqlite3.OperationalError`` if the disk takes none."""
+        """Execute one statement at once; raises ``sqlite3.OperationalError`` if that fails."""
         self._connection.execute(statement, values)
 
     def write_now(self, key: str, statement: str, values: Sequence[object]) -> None:
         """Write the state of ``key`` before something takes effect.
 
-        Whatever was pending for ``key`` is dropped. ``StateStoreWriteError`` if the disk takes no
-        write: nothing is recorded then, and what is pending stays so.
+        Drops a pending write of ``key``. Raises ``StateStoreWriteError`` if the write fails;
+        nothing is stored then, and pending writes stay pending.
         """
         try:
             self.execute(statement, values)
@@ -130,19 +130,19 @@
 
     @contextlib.contextmanager
     def transaction(self) -> Iterator[None]:
-        """Do several statements or none; ``StateStoreWriteError`` if the disk takes no write."""
+        """Execute several statements or none; raises ``StateStoreWriteError`` if a write fails."""
         try:
             self.execute("BEGIN")
             yield
             self.execute("COMMIT")
         except sqlite3.OperationalError as error:
-            # Prevents a transaction left open, after which no later one could begin.
+            # Prevents a transaction from staying open, after which no later one could begin.
             if self._connection.in_transaction:
                 self.execute("ROLLBACK")
             raise StateStoreWriteError(str(error)) from error
 
     def write_state(self, key: str, statement: str, values: Sequence[object] = ()) -> None:
-        """Write the state of ``key`` now, or once the disk takes it; only the latest is kept."""
+        """Write the state of ``key``, now or once the disk accepts writes; the latest one wins."""
         self._log_backlog_change(
             self._pending.write_state(key, lambda: self.execute(statement, values))
         )
@@ -150,7 +150,7 @@
     def append_row(
         self, table: str, max_rows: int, statement: str, values: Sequence[object]
     ) -> None:
-        """Append a row to a log table now or later, and delete those beyond ``max_rows``."""
+        """Append a row to a log table, now or later, and delete the oldest beyond ``max_rows``."""
 
         def write() -> None:
             self.execute(statement, values)
@@ -159,7 +159,7 @@
         self._log_backlog_change(self._pending.write_row(write))
 
     def _delete_oldest(self, table: str, max_rows: int) -> None:
-        """Prevent a log that grows for ever; rows that stay now are deleted with the next line."""
+        """Bound a log table; after a failure, the next append deletes the rows."""
         with contextlib.suppress(sqlite3.OperationalError):
             self.execute(
                 f"DELETE FROM {table} WHERE number <= (SELECT max(number) FROM {table}) - ?",
@@ -167,17 +167,17 @@
             )
 
     def flush(self) -> None:
-        """Write what is pending, if the disk takes it again."""
+        """Write what is pending, if the disk accepts writes again."""
         if self._pending:
             self._log_backlog_change(self._pending.flush())
 
     def _log_backlog_change(self, error: Exception | None) -> None:
-        """Log each change between up to date and behind."""
-        is_behind = error is not None
-        if is_behind == self._is_behind:
+        """Log when writes begin to wait, and when none waits any more."""
+        has_backlog = error is not None
+        if has_backlog == self._has_backlog:
             return
-        self._is_behind = is_behind
-        if is_behind:
+        self._has_backlog = has_backlog
+        if has_backlog:
             log.warning("state_writes_delayed", error=str(error))
         else:
             log.warning("state_writes_caught_up")
--- a/onyxpass/agent/state_errors.py
+++ b/onyxpass/agent/state_errors.py
@@ -1,7 +1,7 @@
 """Errors of the agent's state store.
 
-``StateStoreError`` and its subclasses mean that the store can't be opened at all.
-``StateStoreWriteError`` means that a store in use takes no write at present.
+``StateStoreError`` and its subclasses mean that the store can't be opened.
+``StateStoreWriteError`` means that an open store accepts no writes at present.
 """
 
 from pathlib import Path
@@ -12,9 +12,9 @@
 
 
 class StateStoreWriteError(RuntimeError):
-    """The disk takes no write at present, so an action that must be recorded first can't be done.
+    """A write failed, so an action that must be stored first can't be performed.
 
-    ``reason`` is the database's own text.
+    ``reason`` is the database's error message.
     """
 
     def __init__(self, reason: str) -> None:
@@ -23,7 +23,7 @@
 
 
 class StateStoreError(RuntimeError):
-    """The state in ``folder`` can't be used, for ``reason``; ``folder`` None is memory."""
+    """The state in ``folder`` (None: in memory) can't be used, because of ``reason``."""
 
     def __init__(self, folder: Path | None, reason: str) -> None:
         super().__init__(f"{folder}: {reason}")
@@ -32,7 +32,7 @@
 
 
 class StateStoreInUseError(StateStoreError):
-    """Another agent, of the process id ``owner``, has locked the folder."""
+    """Another agent, with the process id ``owner``, has locked the folder."""
 
     def __init__(self, folder: Path, owner: str) -> None:
         super().__init__(folder, f"another agent holds it (process {owner})")
@@ -47,7 +47,7 @@
 
 
 class StateStoreVersionError(StateStoreError):
-    """The schema's version, ``found``, is not one that this program knows."""
+    """The schema's version, ``found``, is not supported; ``known`` is the current one."""
 
     def __init__(self, folder: Path | None, found: int, known: int) -> None:
         super().__init__(folder, f"the state is of version {found}; this agent knows {known}")
--- a/onyxpass/agent/state_store.py
+++ b/onyxpass/agent/state_store.py
@@ -1,10 +1,10 @@
-"""What an agent must know after it was killed, durable before it takes effect.
+"""The state that must survive a crash of the agent.
 
-One SQLite file holds the wanted state of every instance and the process that ran it last
-(``instances``), operations with their ends (``operations``), what happened (``events``), and the
-rollout lock with the fences of leases (``locks``). ``StateStore`` owns them and the database's
-connection. Where the disk takes nothing for a while, what must not happen unrecorded is refused
-with ``StateStoreWriteError``, and what has happened already is written later.
+One SQLite file holds the desired state of every instance and its last process (``instances``),
+operations with their outcomes (``operations``), events (``events``), and the rollout lock with the
+fences of leases (``locks``). ``StateStore`` owns them and the database's connection. While the disk
+accepts no writes, an action that must not happen unrecorded is rejected with
+``StateStoreWriteError``, and what has already happened is written later.
 """
 
 from pathlib import Path
@@ -21,10 +21,10 @@
 
 
 class StateStore:
-    """The state of one agent, in ``folder``; None keeps it in memory, where nothing outlives it."""
+    """The state of one agent, in ``folder``; None keeps it in memory, until the agent ends."""
 
     def __init__(self, folder: Path | None) -> None:
-        """Open the state; ``StateStoreError`` if it is damaged, in use or of another version."""
+        """Open the state; ``StateStoreError`` if it is unusable, in use or of another version."""
         self._database = StateDatabase(folder)
         self.instances = InstanceRecords(self._database)
         self.operations = OperationRecords(self._database)
@@ -32,11 +32,11 @@
         self.locks = LockRecords(self._database)
 
     def flush(self) -> None:
-        """Write what is pending, if the disk takes it again."""
+        """Write what is pending, if the disk accepts writes again."""
         self._database.flush()
 
     def close(self) -> None:
-        """Write what is pending if possible, and free the folder for another agent."""
+        """Write what is pending if possible, and release the folder for another agent."""
         self._database.close()
 
     def __enter__(self) -> "StateStore":
--- a/onyxpass/agent/supervisor.py
+++ b/onyxpass/agent/supervisor.py
@@ -1,8 +1,8 @@
-"""All instances of one host: started, adopted, checked and stopped in order.
+"""The supervisor of all instances of one host, which starts, adopts, checks and stops them.
 
-``Agent`` owns the state store, the instances' actors and its own polling task. Redis, where one is
-configured, shows the instances to other hosts' tools and carries operators' wishes; the agent
-needs none of it to run them.
+``Agent`` owns the state store, the instances' actors and its own polling task. If Redis is
+configured, the agent publishes its instances there for tools on other hosts, and reads the desired
+states that operators have set. The agent runs its instances without it as well.
 """
 
 import asyncio
@@ -27,7 +27,7 @@
     from onyxpass.store.redis import RedisStore
 
 
-STORE_TTL_POLLS = 5  # an instance's entry in the store outlives so many missed polls
+STORE_TTL_POLLS = 5  # TTL of an instance's entry in the store, in poll intervals
 MIN_STORE_TTL_S = 2
 STOP_POLL_INTERVAL_S = 0.01
 log = structlog.get_logger("agent")
@@ -37,7 +37,7 @@
     """The supervisor of one host's instances; ``stop`` or ``close`` must be called once."""
 
     def __init__(self, config: AgentConfig, store: "RedisStore | None" = None) -> None:
-        """Open the state; ``StateStoreError`` if it can't be used."""
+        """Open the state; raises ``StateStoreError`` if it can't be used."""
         self.config = config
         self.store = store
         self._temporary_folder = (
@@ -60,7 +60,7 @@
         self._stopping = False
 
     async def start(self) -> None:
-        """Adopt or start the instances that are wanted."""
+        """Adopt the instances that still run, and start the others that are wanted."""
         for operation in self.state_store.operations.end_interrupted():
             log.warning(
                 "operation_interrupted",
@@ -71,17 +71,17 @@
         self._remove_unconfigured()
         self._tasks.append(asyncio.create_task(self.wheel.run()))
         self._tasks += [asyncio.create_task(instance.run()) for instance in self.instances]
-        await self._sync_store()  # what an operator stopped before stays stopped
+        await self._sync_store()  # prevents starting an instance that an operator has stopped
         for instance in self.instances:
             instance.tell(StartOrAdopt())
         self._poll_task = asyncio.create_task(self._poll())
 
     def _remove_unconfigured(self) -> None:
-        """Forget instances that left the file, or report those whose process still runs."""
+        """Delete the records of instances no longer configured; log those that still run."""
         for name, record in self.state_store.instances.load().items():
             if name in self.by_name:
                 continue
-            if record.process is not None and _still_runs(record):
+            if record.process is not None and _is_running(record):
                 log.warning("unconfigured_instance_running", name=name, pid=record.process.pid)
             else:
                 self.state_store.instances.delete(name)
@@ -94,9 +94,9 @@
             await asyncio.gather(*(instance.check() for instance in self.instances))
 
     async def _sync_store(self) -> None:
-        """Read operators' wishes from the store and show the instances there.
+        """Read the desired states from the store and publish the instances there.
 
-        Instances run on while the store is down.
+        Instances continue to run while the store is unavailable.
         """
         if self.store is None:
             return
@@ -113,7 +113,7 @@
 
     async def _sync_instance(self, store: "RedisStore", instance: Instance) -> None:
         wanted = await store.desired_running(instance.name)
-        # Prevents an old entry in the store from undoing a newer order at the agent's address.
+        # Prevents an old entry in the store from undoing a newer operation of the agent's API.
         is_new = self._wanted_in_store.get(instance.name) != wanted
         self._wanted_in_store[instance.name] = wanted
         if is_new and wanted is not None and not self._stopping:
@@ -124,14 +124,14 @@
     async def stop(self) -> None:
         """Stop all instances, remove them from the store and close the state.
 
-        What was wanted stays on record, so the next agent starts the same instances.
+        The stored desired states are kept, so the next agent starts the same instances.
         """
         await self._stop_polling()
         for instance in self.instances:
             instance.tell(SetWanted(False, persist=False))
         await asyncio.sleep(0)
         for instance in self.instances:
-            while instance.lifecycle.wanted:  # noqa: ASYNC110 - until its mailbox has been read
+            while instance.lifecycle.wanted:  # noqa: ASYNC110 - waits for the mailbox to be read
                 await asyncio.sleep(STOP_POLL_INTERVAL_S)
             await instance.no_process.wait()
         for task in self._tasks:
@@ -142,10 +142,11 @@
         self.close()
 
     async def _stop_polling(self) -> None:
-        """Prevent an entry in the store from starting an instance again while the agent stops.
+        """Cancel the polling task and wait for its end.
 
-        The poll has ended before any instance is stopped, also if its cancellation is lost within
-        the store's client.
+        Prevents an entry in the store from starting an instance again while the agent stops: the
+        task has ended before any instance is stopped, even if its cancellation is lost in the
+        store's client.
         """
         self._stopping = True
         if self._poll_task is not None:
@@ -153,7 +154,7 @@
             await asyncio.wait([self._poll_task])
 
     def close(self) -> None:
-        """Free the state folder. The instances run on, if any do."""
+        """Release the state folder. Instances that still run are not stopped."""
         self.state_store.close()
         if self._temporary_folder:
             shutil.rmtree(self._temporary_folder, ignore_errors=True)
@@ -169,6 +170,6 @@
         await store.close()
 
 
-def _still_runs(record: InstanceRecord) -> bool:
+def _is_running(record: InstanceRecord) -> bool:
     process = record.process
     return process is not None and identify(process.pid) == process
--- a/onyxpass/agent/write_behind.py
+++ b/onyxpass/agent/write_behind.py
@@ -1,21 +1,21 @@
-"""Writes that wait for a disk which takes none at present, in their order. Without I/O of its own.
+"""A queue of writes that wait until the disk accepts writes again. Without I/O of its own.
 
-What an agent has decided is carried out whether or not it can be recorded; the record is written
-once the disk takes it again. A thing that has one state, such as an instance, has at most one
-pending write, its latest. Lines of a log are appended one by one, and bounded in number.
+The writes record what has already happened, whether or not it can be stored at present. A keyed
+state, such as that of an instance, has at most one pending write, its latest. Rows of a log are
+appended one by one, and pending rows are bounded in number.
 """
 
 from collections import OrderedDict
 from collections.abc import Callable
 from typing import Any
 
-MAX_PENDING_ROWS = 1_000  # past that, the oldest are dropped
+MAX_PENDING_ROWS = 1_000  # beyond this, the oldest are dropped
 
 Write = Callable[[], None]
 
 
 class WriteBehindQueue:
-    """Pending writes. ``retryable``: the errors after which a write is tried again later."""
+    """Pending writes. ``retryable``: the errors after which a write stays pending for a retry."""
 
     def __init__(self, *retryable: type[Exception]) -> None:
         self._retryable = retryable
@@ -28,17 +28,17 @@
         return len(self._states) + len(self._rows)
 
     def write_state(self, key: str, write: Write) -> Exception | None:
-        """Write the state of ``key``, in place of what is pending for it; like ``flush``."""
+        """Queue the state of ``key`` in place of a pending one; return what ``flush`` returns."""
         self._states[key] = write
         self._states.move_to_end(key)
         return self.flush()
 
     def discard_state(self, key: str) -> None:
-        """Drop what is pending for ``key``, because a newer state has been written directly."""
+        """Drop the pending state of ``key``, because a newer one has been written directly."""
         self._states.pop(key, None)
 
     def write_row(self, write: Write) -> Exception | None:
-        """Write one line of a log; like ``flush``."""
+        """Queue one row of a log; return what ``flush`` returns."""
         self._rows[self._next_row] = write
         self._next_row += 1
         while len(self._rows) > MAX_PENDING_ROWS:
@@ -50,7 +50,7 @@
         """Write all that is pending, states first.
 
         Returns the retryable error at which it stopped, or None if nothing is pending any more.
-        Any other error is raised, and its write stays pending.
+        Any other error is raised, and the write that failed stays pending.
         """
         return self._flush(self._states) or self._flush(self._rows)
 
--- a/onyxpass/atomic_file.py
+++ b/onyxpass/atomic_file.py
@@ -12,8 +12,9 @@
 def replace(path: Path, content: bytes) -> None:
     """Replace a file's content; it is durable once this returns.
 
-    Makes the folder where it is absent. Raises ``OSError`` on failure; the old content is still
-    there then, and the temporary file is removed if the disk lets it.
+    Creates the folder if it is absent. Raises ``OSError`` on failure. The file then still has its
+    old content, unless only the sync of the folder failed; the temporary file is removed if
+    possible.
     """
     temporary = _temporary_path(path)
     path.parent.mkdir(parents=True, exist_ok=True)
@@ -31,12 +32,12 @@
 
 
 def _temporary_path(path: Path) -> Path:
-    """Return a name of this thread's own, since several may write the same file at once."""
+    """Return a path unique to this thread, since several may replace the same file at once."""
     return path.with_name(f"{path.name}.{os.getpid()}.{threading.get_ident()}.new")
 
 
 def _sync_folder(path: Path) -> None:
-    """Prevent the new name from being lost with the machine's memory."""
+    """Sync a folder, so that a rename in it survives a crash of the machine."""
     descriptor = os.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
         os.fsync(descriptor)
--- a/onyxpass/leases/__init__.py
+++ b/onyxpass/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Leases for fleet-wide tasks: one holder at a time, with fencing tokens that only grow."""
+"""Leases for fleet-wide tasks: one holder at a time, with fencing tokens that only increase."""
--- a/onyxpass/leases/event_log.py
+++ b/onyxpass/leases/event_log.py
@@ -1,6 +1,6 @@
-"""Lines of a process's log for lease histories.
+"""Log lines that record the history of leases.
 
-``history_checkers/history.py`` reads and checks them after the fact.
+``history_checkers/history.py`` reads and checks them afterwards.
 """
 
 import os
@@ -14,7 +14,7 @@
 def boottime_ns() -> int:
     """Return nanoseconds of the clock that all processes of a host share.
 
-    Nobody sets this clock, and it runs on while a process is suspended.
+    This clock can't be set, and it continues while a process is suspended.
     """
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME)
 
@@ -25,5 +25,5 @@
 
 
 def record_event(what: str, **fields: object) -> None:
-    """Write one line of history: ``what`` happened here, now, with these fields."""
+    """Log one event of the history, with the present time and this process's id."""
     log.info("history", what=what, at_ns=boottime_ns(), pid=os.getpid(), **fields)
--- a/onyxpass/leases/fence.py
+++ b/onyxpass/leases/fence.py
@@ -1,8 +1,9 @@
-"""The resource's side of a lease, without I/O: rejection of orders under an outdated token.
+"""The resource's side of a lease, without I/O: rejection of requests under an outdated token.
 
-The lease only makes such orders rare; the fence excludes them. Each resource owns one fence and
-stores its admissions durably before what it admits takes effect. An effect lasts from
-``effect_started`` to ``effect_finished``; while one is in progress, no other token is admitted.
+The lease only makes such requests rare; the fence excludes them. Each resource owns one fence and
+stores an admission durably before what it admits takes effect. An effect lasts from
+``effect_started`` to ``effect_finished``; while one is in progress, no other token of its lease is
+admitted.
 """
 
 from collections.abc import Mapping
@@ -29,7 +30,7 @@
     running: dict[str, int] = field(default_factory=dict)
 
     def rejection_reason(self, lease: str, token: int, holder: str) -> str:
-        """Return why this holder may not act here; empty if it may."""
+        """Return why this holder may not act on the resource; empty if it may."""
         last = self.admitted.get(lease)
         if token <= 0 or not holder:
             return "an order without a token of its lease"
@@ -38,40 +39,43 @@
         if token < last.token:
             return f"token {token} of {lease} is old: {last.token} has been seen here"
         if token == last.token and holder != last.holder:
-            # Prevents two holders of one token, which a store that lost its memory may have made.
+            # Prevents two holders of one token, which a store that lost its data may have granted.
             return f"token {token} of {lease} is {last.holder}'s"
         if token > last.token and self.running.get(lease):
             return f"what token {last.token} of {lease} began is still under way"
         return ""
 
     def supersedes_admitted(self, lease: str, token: int) -> bool:
-        """Return whether a rejected token is newer, so only waits for older effects to finish."""
+        """Return whether a token is newer than the admitted one.
+
+        Such a token is rejected only until the effects of the admitted one have finished.
+        """
         last = self.admitted.get(lease)
         return last is not None and token > last.token
 
     def admit(self, lease: str, token: int, holder: str) -> bool:
         """Admit a token that was not rejected.
 
-        Returns whether it is new, and so has to be stored before it takes effect.
+        Returns whether the admission is new, and so has to be stored before it takes effect.
         """
         admission = AdmittedToken(token, holder)
         is_new = self.admitted.get(lease) != admission
         self.admitted[lease] = admission
         return is_new
 
-    def restore(self, lease: str, before: AdmittedToken | None) -> None:
-        """Take back an admission that could not be stored."""
-        if before is None:
+    def restore(self, lease: str, previous: AdmittedToken | None) -> None:
+        """Undo an admission that could not be stored."""
+        if previous is None:
             self.admitted.pop(lease, None)
         else:
-            self.admitted[lease] = before
+            self.admitted[lease] = previous
 
     def effect_started(self, lease: str) -> None:
         """Count an effect in progress under the token admitted last."""
         self.running[lease] = self.running.get(lease, 0) + 1
 
     def effect_finished(self, lease: str) -> None:
-        """Count one effect fewer in progress."""
+        """Remove an effect from the count of those in progress."""
         remaining = self.running.get(lease, 0) - 1
         if remaining > 0:
             self.running[lease] = remaining
--- a/onyxpass/leases/holder.py
+++ b/onyxpass/leases/holder.py
@@ -1,13 +1,13 @@
 """The holder's side of a lease: a state machine without I/O.
 
-It decides what to request when, and until when its owner may act. A lease is usable from *before*
-its request was sent, by the holder's own monotonic clock, and ends a safety margin early. So the
-store never takes a holder for gone while that holder takes itself for present, as long as both
-clocks agree within ``MAX_CLOCK_DRIFT``.
-
-A reply that never came counts as perhaps granted: nothing is acted on, and the same request is
-sent again. A process that was suspended finds its lease expired when it wakes; what it had begun by
-then is the resource's to reject (``leases.fence``).
+It decides when to send which request, and until when its owner may act. The duration of a lease
+counts from *before* its request was sent, by the holder's own monotonic clock, and ends a safety
+margin early. So the store never considers a lease expired while its holder considers it valid, as
+long as the rates of both clocks agree within ``MAX_CLOCK_DRIFT``.
+
+A request without a reply may have been granted: the holder does not act on it, and sends the same
+request again. A process that was suspended finds its lease expired when it resumes; rejecting what
+it still sends under the old token is up to the resource (``leases.fence``).
 """
 
 from dataclasses import dataclass, field
@@ -27,14 +27,14 @@
 )
 
 MAX_CLOCK_DRIFT = 0.05  # the largest relative difference in speed of two clocks
-SAFETY_MARGIN_MS = 20  # taken off the end of a lease, besides the drift
+SAFETY_MARGIN_MS = 20  # subtracted from the duration of a lease, in addition to the drift
 RENEW_FRACTION = 1 / 3  # of the ttl, after which a lease is renewed
 POLL_FRACTION = 2 / 3  # of the ttl, the longest time between two requests of a waiter
 INITIAL_RETRY_DELAY_MS = 50  # after a request without a reply; doubles up to a third of the ttl
 
 
 class HolderState(Enum):
-    """Where a holder stands.
+    """The state of a holder.
 
     ``acquire`` leads from IDLE to WAITING, and a grant from WAITING to HELD. ``release`` leads from
     WAITING or HELD to RELEASING, and its end from there to IDLE. A lost lease leads from HELD to
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopActing:
-    """Begin nothing more under this token."""
+    """The lease is no longer held: begin nothing more under this token."""
 
     token: int
     reason: str
@@ -94,11 +94,12 @@
 
 @dataclass(slots=True)
 class LeaseHolder:
-    """One process's claim on one lease; each event returns the actions that follow from it.
+    """One process as a holder of one lease; each event returns the actions to perform.
 
-    ``name_prefix`` differs from every other process's and is new with each start. Times are
-    milliseconds of the process's monotonic clock. ``last_valid_until_ms`` tells until when the
-    lease that ended last could be acted on, and ``last_unavailable`` who was in the way last.
+    ``name_prefix`` is unique to the process and new with each start. Times are milliseconds of the
+    process's monotonic clock. ``last_valid_until_ms`` is the time until which the lease that ended
+    last was valid. ``last_unavailable`` is the latest reply that the lease is not available, None
+    after a grant.
     """
 
     name_prefix: str
@@ -120,8 +121,8 @@
     def name(self) -> str:
         """The holder's name in the store.
 
-        New with each acquisition. Prevents a message of the last one, still on its way, from being
-        taken for this one's.
+        It is new with each acquisition. Prevents a late message of a previous acquisition from
+        being taken for one of the present acquisition.
         """
         return f"{self.name_prefix}.{self.acquisitions}"
 
@@ -130,7 +131,7 @@
         return self.state is HolderState.HELD and now_ms < self.valid_until_ms
 
     def acquire(self, now_ms: int, highest_seen_token: int = 0) -> list[HolderAction]:
-        """Acquire the lease, or wait for it.
+        """Request the lease, and wait for it while it is not available.
 
         ``highest_seen_token`` is the highest token that any resource is known to have admitted.
         """
@@ -142,7 +143,7 @@
         return self._send(self._acquire_request(), now_ms)
 
     def release(self, now_ms: int) -> list[HolderAction]:
-        """Give the lease back, or stop waiting. No effect under it may be in progress any more."""
+        """Release the lease, or stop waiting. No effect under it may be in progress any more."""
         if self.state in (HolderState.IDLE, HolderState.RELEASING):
             return []
         actions: list[HolderAction] = []
@@ -174,12 +175,12 @@
         return []
 
     def on_no_reply(self, number: int, now_ms: int) -> list[HolderAction]:
-        """Handle a request of which it is not known whether it took effect."""
+        """Handle the lack of a reply: it is not known whether the request took effect."""
         if (pending := self.pending.pop(number, None)) is None:
             return []
         request = pending.request
         is_current = request.holder == self.name
-        if isinstance(request, ReleaseRequest) or not is_current:  # expires without a release
+        if isinstance(request, ReleaseRequest) or not is_current:  # what it left behind expires
             if is_current and self.state is HolderState.RELEASING:
                 self.state = HolderState.IDLE
             return []
@@ -188,9 +189,9 @@
         return self._schedule(now_ms, delay_ms)
 
     def tick(self, now_ms: int) -> list[HolderAction]:
-        """Handle the passing of time; to be called at the latest when ``WakeUpAt`` says."""
+        """Handle the passing of time; must be called at the time of ``WakeUpAt`` at the latest."""
         if self.state is HolderState.HELD and now_ms >= self.valid_until_ms:
-            return self._on_lost("its time is over", now_ms)
+            return self._on_lost("the lease has expired", now_ms)
         if self.next_request_at_ms < 0 or now_ms < self.next_request_at_ms:
             return []
         self.next_request_at_ms = -1
@@ -201,7 +202,7 @@
         return []
 
     def _acquire_request(self) -> AcquireRequest:
-        # A place that is polled every 2/3 of the ttl is then renewed at every second poll.
+        # With a poll every 2/3 of the ttl, a place of this duration is renewed at each second poll.
         queue_ttl_ms = self.ttl_ms * 3 // 2
         return AcquireRequest(
             self.name, self.ttl_ms, self.reason, self.highest_seen_token, queue_ttl_ms
@@ -226,7 +227,7 @@
         return [SendRequest(self.requests_sent, request)]
 
     def _schedule(self, now_ms: int, delay_ms: float) -> list[HolderAction]:
-        """Make the next request due after this delay, and wake up for it or for the expiry."""
+        """Schedule the next request; wake up for it, or for the expiry of a held lease."""
         self.next_request_at_ms = now_ms + max(1, round(delay_ms))
         if self.state is HolderState.HELD:
             return [WakeUpAt(min(self.next_request_at_ms, self.valid_until_ms))]
@@ -235,9 +236,9 @@
     def _on_late_reply(
         self, request: LeaseRequest, reply: LeaseReply, now_ms: int
     ) -> list[HolderAction]:
-        """Handle a reply that comes after its requester has left or started anew."""
+        """Handle a reply to an earlier acquisition, or to one that has been given up."""
         if isinstance(request, AcquireRequest) and isinstance(reply, LeaseGranted):
-            # Prevents a grant that nobody else would give back from blocking the lease.
+            # Prevents a grant that nothing else would release from blocking the lease.
             return self._send(ReleaseRequest(request.holder, reply.token), now_ms)
         is_current = request.holder == self.name
         if isinstance(reply, LeaseReleased) and is_current and self.state is HolderState.RELEASING:
@@ -246,8 +247,8 @@
 
     def _on_granted(self, token: int, valid_until_ms: int, now_ms: int) -> list[HolderAction]:
         if self.state is HolderState.HELD and token != self.token:
-            return self._on_lost("another grant under its own name", now_ms)
-        if now_ms >= valid_until_ms:  # the grant was on its way for so long that it has expired
+            return self._on_lost("another token was granted under its own name", now_ms)
+        if now_ms >= valid_until_ms:  # the grant expired before its reply arrived
             return self._schedule(now_ms, 0) if self.state is HolderState.WAITING else []
         actions: list[HolderAction] = []
         if self.state is not HolderState.HELD:
--- a/onyxpass/leases/lease_client.py
+++ b/onyxpass/leases/lease_client.py
@@ -1,6 +1,6 @@
 """The driver of a lease holder: sends its requests to a store and runs its timers.
 
-All decisions are ``LeaseHolder``'s. A client owns its holder and the tasks that it starts; they end
+``LeaseHolder`` makes all decisions. A client owns its holder and the tasks that it starts; they end
 with ``release`` or ``close``.
 """
 
@@ -34,7 +34,7 @@
 
 
 class LeaseChange(StrEnum):
-    """What a client reports; the values stand in lease histories."""
+    """A change that a client reports; the values appear in lease histories."""
 
     HELD = "held"
     LOST = "lost"
@@ -71,11 +71,11 @@
 
     @property
     def token(self) -> int:
-        """The token to act under now; 0 for none, also at once in a process that was suspended."""
+        """The token to act under now; 0 if no lease is held, or if it has expired meanwhile."""
         return self.holder.token if self.holder.may_act(self._clock_ms()) else 0
 
     async def acquire(self, highest_seen_token: int = 0, timeout_s: float | None = None) -> bool:
-        """Wait for the lease; return whether it is held, False after ``timeout_s``."""
+        """Acquire the lease and return True, or give up after ``timeout_s`` and return False."""
         self._perform(self.holder.acquire(self._clock_ms(), highest_seen_token))
         try:
             async with asyncio.timeout(timeout_s):
@@ -86,7 +86,7 @@
         return True
 
     async def release(self, timeout_s: float = RELEASE_TIMEOUT_S) -> None:
-        """Give the lease back and close. If the store can't be reached, the lease expires."""
+        """Release the lease and close. If the store can't be reached, the lease expires instead."""
         self._perform(self.holder.release(self._clock_ms()))
         try:
             async with asyncio.timeout(timeout_s):
@@ -99,7 +99,7 @@
             self.close()
 
     def close(self) -> None:
-        """Stop all requests and timers. The lease is not given back, and expires."""
+        """Stop all requests and timers. The lease is not released, and expires."""
         for task in list(self._tasks):
             task.cancel()
 
@@ -118,8 +118,8 @@
                     self._start(self._wake_up(at_ms))
         self._state_changed.set()
 
-    def _start(self, work: Coroutine[None, None, None]) -> None:
-        task = asyncio.create_task(work)
+    def _start(self, coroutine: Coroutine[None, None, None]) -> None:
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
--- a/onyxpass/leases/messages.py
+++ b/onyxpass/leases/messages.py
@@ -9,7 +9,7 @@
 
     Idempotent: repeated by the holder it yields the same token, so a lost reply does no harm.
     ``highest_seen_token`` is the highest token that any resource is known to have admitted; the
-    token granted is above it. A place in the queue lasts ``queue_ttl_ms``; 0 takes no place.
+    granted token is higher. A place in the queue lasts ``queue_ttl_ms``; 0 takes no place.
     """
 
     holder: str
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseRequest:
-    """Give the lease back, or leave the waiter queue."""
+    """Release the lease, or leave the waiter queue."""
 
     holder: str
     token: int = 0
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseGranted:
-    """The lease is the requester's for ``ttl_ms``, under this fencing token."""
+    """The requester holds the lease for ``ttl_ms``, under this fencing token."""
 
     token: int
     ttl_ms: int
@@ -51,8 +51,8 @@
 class LeaseUnavailable:
     """The requester has to wait.
 
-    ``holder`` has the lease for another ``remaining_ms``; it is empty if the store does not grant
-    yet, or if waiters come first. ``waiters_ahead`` of them do.
+    ``holder`` holds the lease for another ``remaining_ms``. It is empty if the store grants nothing
+    yet, or if other waiters come first. ``waiters_ahead`` is the number of these waiters.
     """
 
     holder: str
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseDenied:
-    """The lease is not the requester's (any more), or the request is not valid."""
+    """The requester does not hold the lease (any more), or the request is not valid."""
 
     reason: str
 
--- a/onyxpass/leases/model_checker.py
+++ b/onyxpass/leases/model_checker.py
@@ -1,11 +1,12 @@
-"""Model checker of the lease protocol: explores all states within stated bounds.
+"""Model checker of the lease protocol: explores all states within given bounds.
 
-What is explored is what runs in production (``model_state``), under all that contenders, store and
-network can do to it (``model_steps``). In every state:
+The model executes the production code (``model_state``) under the faults and the timing that
+contenders, store and network can cause (``model_steps``). In every state these properties hold:
 
-- no two holders may act at once (by their own clocks, which run alike here);
+- at most one holder may act (by the holders' own clocks, which are identical in the model);
 - no token is granted to two holders;
-- at the resource no two tokens' effects overlap, and tokens never fall, nor belong to two holders.
+- at the resource, effects of two tokens never overlap, and an admitted token is never lower than
+  the one before it, nor belongs to another holder.
 """
 
 import random
@@ -25,12 +26,12 @@
 from onyxpass.leases.record import LeaseRecord
 
 Predecessors = dict[Any, tuple[Any, str]]
-"""By a state's key: the key of the state before it, and the step that led on."""
+"""Maps a state's key to its predecessor's key and the description of the step between."""
 
 
 @dataclass(frozen=True, slots=True)
 class SearchResult:
-    """What a search found.
+    """The result of a search.
 
     ``complete``: every state within the bounds was seen. ``violation``: the property that does not
     hold, empty if all do. ``path``: the steps that led to the violation.
@@ -53,7 +54,7 @@
         self._generator = StepGenerator(self.bounds, self.system)
 
     def initial_state(self) -> ModelState:
-        """Return the start: the store has long been up, and all contenders request the lease."""
+        """Return the initial state: the store grants leases, and all contenders request one."""
         holders = tuple(
             self.system.holder(f"h{index}", TTL_MS) for index in range(self.bounds.contenders)
         )
@@ -72,7 +73,7 @@
         return state
 
     def run(self) -> SearchResult:
-        """Explore breadth first, up to a violation, the end or ``max_states``."""
+        """Explore breadth first until a violation, the last state or ``max_states``."""
         initial = self.initial_state()
         predecessors: Predecessors = {initial.key(): (None, "")}
         queue = deque([initial])
@@ -93,7 +94,7 @@
         return SearchResult(len(predecessors), True)
 
     def walk(self, seed: int, walks: int = 2_000, length: int = 60) -> SearchResult:
-        """Follow random paths, beyond what can be explored completely; repeatable by the seed."""
+        """Follow random paths, for bounds too wide for ``run``; the same seed repeats them."""
         generator = random.Random(seed)
         states = 0
         for _ in range(walks):
--- a/onyxpass/leases/model_state.py
+++ b/onyxpass/leases/model_state.py
@@ -1,7 +1,7 @@
 """One state of the model that ``model_checker`` explores, and the bounds of the exploration.
 
-A state is a moment: the store's record, the holders, the messages on their way, and the resource.
-It contains what runs in production (``LeaseHolder``, ``apply_request``, ``Fence``).
+A state consists of the store's record, the holders, the messages in flight, and the resource. The
+model executes the production code (``LeaseHolder``, ``apply_request``, ``Fence``).
 """
 
 from collections.abc import Callable
@@ -22,7 +22,7 @@
 
 
 class Disturbance(IntEnum):
-    """What is bounded on one path; the value is its place in ``ModelState.spent``."""
+    """Events that are bounded on one path; the value is the index in ``ModelState.spent``."""
 
     LOST_MESSAGE = 0
     LATE_REQUEST = 1
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckedSystem:
-    """The parts that are checked; tests replace one of them by a faulty one."""
+    """The parts that are checked; tests replace one of them with a faulty one."""
 
     apply_request: Callable[..., Transition] = apply_request
     holder: type[LeaseHolder] = LeaseHolder
@@ -76,7 +76,7 @@
 
 
 class RequestInFlight(NamedTuple):
-    """A request on its way to the store; ``abandoned`` if its sender gave up on it."""
+    """A request in flight to the store; ``abandoned`` if its sender has given up on it."""
 
     sender: int
     name_prefix: str
@@ -86,7 +86,7 @@
 
 
 class ReplyInFlight(NamedTuple):
-    """A reply on its way to a holder."""
+    """A reply in flight to a holder."""
 
     receiver: int
     name_prefix: str
@@ -102,7 +102,7 @@
 
 
 class Grant(NamedTuple):
-    """A token, and to whom the store granted it."""
+    """A token, and the process that the store granted it to."""
 
     token: int
     name_prefix: str
@@ -110,7 +110,7 @@
 
 @dataclass(slots=True)
 class ModelState:
-    """A moment of the model.
+    """A state of the model.
 
     ``snapshot`` is the older record that a restarted store may come back with. ``commands`` are in
     flight to the resource, ``running`` are those in effect there, and ``last_admitted`` holds the
@@ -162,7 +162,7 @@
         return after
 
     def send_requests(self, sender: int, actions: list[HolderAction]) -> None:
-        """Put the requests among a holder's actions on their way; the rest is in its state."""
+        """Put the requests among a holder's actions in flight; other actions need no handling."""
         name_prefix = self.holders[sender].name_prefix
         self.requests += tuple(
             RequestInFlight(sender, name_prefix, action.number, action.request)
@@ -171,7 +171,7 @@
         )
 
     def spend(self, disturbance: Disturbance) -> None:
-        """Count one more of these."""
+        """Count one more disturbance of this kind."""
         self.spent = tuple(count + (index == disturbance) for index, count in enumerate(self.spent))
 
 
--- a/onyxpass/leases/model_steps.py
+++ b/onyxpass/leases/model_steps.py
@@ -1,4 +1,4 @@
-"""What may happen next in a state of the lease model.
+"""The steps that may follow a state of the lease model.
 
 Time passes; messages arrive, are lost or come too late; processes are suspended, resumed or
 killed; the store restarts empty or with an older record; commands reach the resource late. Each
@@ -84,7 +84,10 @@
                 )
                 late.spend(Disturbance.LATE_REQUEST)
                 _give_up(late, message)
-                yield f"{message.name_prefix} gives up on its {kind}, which is on its way", late
+                yield (
+                    f"{message.name_prefix} gives up on its {kind}, which is still in flight",
+                    late,
+                )
 
     def _request_arrival_step(
         self, state: ModelState, index: int, message: RequestInFlight
@@ -135,11 +138,11 @@
             after = state.copy()
             after.spend(Disturbance.REACQUISITION)
             after.send_requests(index, after.holders[index].acquire(after.now_ms))
-            yield f"{holder.name} acquires it again", after
+            yield f"{holder.name} requests the lease again", after
         if holder.state is HolderState.HELD:
             after = state.copy()
             after.send_requests(index, after.holders[index].release(after.now_ms))
-            yield f"{holder.name} releases it", after
+            yield f"{holder.name} releases the lease", after
         if self._allowed(state, Disturbance.SUSPENSION):
             after = state.copy()
             after.suspended = state.suspended | {index}
@@ -155,7 +158,7 @@
         after.holders = (*after.holders[:index], started, *after.holders[index + 1 :])
         after.spend(Disturbance.KILL)
         after.send_requests(index, started.acquire(after.now_ms))
-        return f"{killed.name} is killed, and starts anew", after
+        return f"{killed.name} is killed and restarted", after
 
     def _store_restart_steps(self, state: ModelState) -> Iterator[Step]:
         if not self._allowed(state, Disturbance.STORE_RESTART):
@@ -197,7 +200,7 @@
 
 
 def _give_up(state: ModelState, message: RequestInFlight | ReplyInFlight) -> None:
-    """Let the holder that waits for this exchange give up on it, if it still lives."""
+    """Report to the requester that no reply comes, unless the requester was killed meanwhile."""
     index = message[0]
     holder = state.holders[index]
     if holder.name_prefix == message.name_prefix:
--- a/onyxpass/leases/record.py
+++ b/onyxpass/leases/record.py
@@ -91,28 +91,28 @@
     if text is None:
         return None
     if len(text) > MAX_RECORD_BYTES:
-        raise CorruptRecordError(f"a record of {len(text)} bytes")
+        raise CorruptRecordError(f"the record is too large: {len(text)} bytes")
     try:
         return _record_from(json.loads(text))
     except CorruptRecordError:
         raise
     except (ValueError, KeyError, TypeError, IndexError, RecursionError) as error:
-        reason = f"no record: {type(error).__name__}: {str(error)[:80]}"
+        reason = f"malformed record: {type(error).__name__}: {str(error)[:80]}"
         raise CorruptRecordError(reason) from error
 
 
 def _record_from(fields: Any) -> LeaseRecord:
     if not isinstance(fields, dict):
-        raise CorruptRecordError("no object")
+        raise CorruptRecordError("the record is not a JSON object")
     if fields.get("version") != RECORD_VERSION:
         raise CorruptRecordError(
-            f"of version {fields.get('version')!r}; this program knows {RECORD_VERSION}"
+            f"version {fields.get('version')!r} is not supported; only {RECORD_VERSION} is"
         )
     waiters = tuple(
         Waiter(_text(entry[0], MAX_NAME_LENGTH), _number(entry[1])) for entry in fields["line"]
     )
     if len(waiters) > MAX_WAITERS:
-        raise CorruptRecordError(f"a line of {len(waiters)}")
+        raise CorruptRecordError(f"too many waiters: {len(waiters)}")
     return LeaseRecord(
         token=_number(fields["token"]),
         expires_at_ms=_number(fields["until_ms"]),
--- a/onyxpass/leases/transitions.py
+++ b/onyxpass/leases/transitions.py
@@ -1,13 +1,13 @@
 """The rules of a lease on the store's side, as pure functions.
 
 ``apply_request`` decides from the record as it was read; its result is to be written only if
-nobody has written since. Times are milliseconds of the store's clock. A holder is gone once
+nobody has written since. Times are milliseconds of the store's clock. A holder loses the lease once
 ``expires_at_ms`` has passed.
 
-A store that restarts may have forgotten what it granted: it comes back with nothing, or with an
-older record, under another run id. Before anything is granted under a new run, every lease that
-may be outstanding has to have expired (``grants_open_at_ms``). The next token goes above the
-record's and above what any resource has admitted, so that tokens grow over every change of holder.
+A store that restarts may have lost what it granted: it has no record or an older one, and another
+run id. Before anything is granted under a new run id, every lease that may be outstanding must have
+expired (``grants_open_at_ms``). The next token is higher than the record's and than any that a
+resource is known to have admitted, so that tokens increase with every change of holder.
 """
 
 from dataclasses import replace
@@ -25,7 +25,7 @@
 )
 from onyxpass.leases.record import MAX_REASON_LENGTH, MAX_WAITERS, LeaseRecord, Waiter
 
-# Nothing is granted for longer, so nothing can be outstanding for longer. One value per fleet.
+# No lease is granted for longer, so none can be outstanding for longer. One value per fleet.
 MAX_TTL_MS = 30_000
 
 Transition = tuple[LeaseReply, LeaseRecord | None]
@@ -38,9 +38,9 @@
     now_ms: int,
     max_ttl_ms: int = MAX_TTL_MS,
 ) -> Transition:
-    """Return the reply, and the record to be written (None: it stays as it is)."""
+    """Return the reply, and the record to be written (None: it is not changed)."""
     if not isinstance(request, ReleaseRequest) and not 0 < request.ttl_ms <= max_ttl_ms:
-        reason = f"a lease time of {request.ttl_ms} ms, of {max_ttl_ms} at most"
+        reason = f"a TTL of {request.ttl_ms} ms is not within 1 to {max_ttl_ms} ms"
         return LeaseDenied(reason), None
     if record is None or record.store_run_id != store_run_id:
         return _apply_after_store_restart(record, request, store_run_id, now_ms, max_ttl_ms)
@@ -60,17 +60,20 @@
     now_ms: int,
     max_ttl_ms: int,
 ) -> Transition:
-    """Prevents two holders where the store has lost a grant or came back with an older record."""
+    """Grant nothing until every lease of an earlier run must have expired.
+
+    Prevents two holders if the store has lost a grant or restarted with an older record.
+    """
     last_token = record.token if record is not None else 0
     closed = LeaseRecord(
-        # The store may not know which tokens it granted. They grew by one a grant, so the time in
-        # milliseconds is above them.
+        # The store may have lost which tokens it granted. They increase by one with each grant, so
+        # the time in milliseconds is higher.
         token=max(last_token, now_ms),
         store_run_id=store_run_id,
         grants_open_at_ms=now_ms + max_ttl_ms,
     )
     if not isinstance(request, AcquireRequest):
-        return LeaseDenied("the store has come back as another"), closed
+        return LeaseDenied("the store has restarted"), closed
     queued = _enqueue(closed, request, now_ms)
     return LeaseUnavailable("", max_ttl_ms, _waiters_ahead(queued, request.holder)), queued
 
@@ -79,7 +82,7 @@
     if record.is_held(now_ms) and record.holder == request.holder:
         return _extend(record, request.ttl_ms, now_ms)
     queued = _enqueue(record, request, now_ms)
-    if (unavailable := _why_unavailable(record, queued, request, now_ms)) is not None:
+    if (unavailable := _unavailable_reply(record, queued, request, now_ms)) is not None:
         needs_write = _place_needs_write(record, queued, request, now_ms)
         return unavailable, queued if needs_write else None
     granted = replace(
@@ -88,12 +91,12 @@
         holder=request.holder,
         expires_at_ms=now_ms + request.ttl_ms,
         reason=request.reason[:MAX_REASON_LENGTH],
-        waiters=_without(queued.waiters, request.holder),
+        waiters=_without_holder(queued.waiters, request.holder),
     )
     return LeaseGranted(granted.token, request.ttl_ms), granted
 
 
-def _why_unavailable(
+def _unavailable_reply(
     record: LeaseRecord, queued: LeaseRecord, request: AcquireRequest, now_ms: int
 ) -> LeaseUnavailable | None:
     ahead = _waiters_ahead(queued, request.holder)
@@ -102,7 +105,7 @@
         return LeaseUnavailable(record.holder, remaining_ms, ahead, record.reason)
     if now_ms < record.grants_open_at_ms:
         return LeaseUnavailable("", record.grants_open_at_ms - now_ms, ahead)
-    if ahead:  # prevents a newcomer from starving those who wait
+    if ahead:  # prevents a newcomer from starving the waiters
         first_expiry_ms = min(waiter.expires_at_ms for waiter in queued.waiters)
         return LeaseUnavailable("", first_expiry_ms - now_ms, ahead)
     return None
@@ -111,7 +114,11 @@
 def _place_needs_write(
     record: LeaseRecord, queued: LeaseRecord, request: AcquireRequest, now_ms: int
 ) -> bool:
-    """Prevents many waiters from writing at every poll: a place is renewed at half its time."""
+    """Return whether a waiter's place in the queue has to be written.
+
+    Prevents many waiters from writing at every poll: a place is renewed once half of its time has
+    passed.
+    """
     if not any(waiter.holder == request.holder for waiter in queued.waiters):
         return False
     remaining_ms = next(
@@ -127,11 +134,11 @@
 
 def _renew(record: LeaseRecord, request: RenewRequest, now_ms: int) -> Transition:
     if record.holder != request.holder or record.token != request.token:
-        reason = f"{record.holder or 'nobody'} has it, with token {record.token}"
+        reason = f"{record.holder or 'nobody'} holds the lease, with token {record.token}"
         return LeaseDenied(reason), None
     if not record.is_held(now_ms):
-        # Prevents the revival of a holder that others may already have taken for gone.
-        return LeaseDenied("its time was over"), None
+        # Prevents the renewal of a lease that others may already have seen expire.
+        return LeaseDenied("the lease has expired"), None
     return _extend(record, request.ttl_ms, now_ms)
 
 
@@ -141,7 +148,7 @@
 
 
 def _release(record: LeaseRecord, request: ReleaseRequest, now_ms: int) -> Transition:
-    waiters = _without(record.waiters, request.holder)
+    waiters = _without_holder(record.waiters, request.holder)
     is_holder = record.holder == request.holder and record.token == request.token
     if is_holder and record.is_held(now_ms):
         return LeaseReleased(), replace(record, expires_at_ms=now_ms, waiters=waiters)
@@ -168,11 +175,11 @@
     return replace(record, waiters=tuple(others))
 
 
-def _without(waiters: tuple[Waiter, ...], holder: str) -> tuple[Waiter, ...]:
+def _without_holder(waiters: tuple[Waiter, ...], holder: str) -> tuple[Waiter, ...]:
     return tuple(waiter for waiter in waiters if waiter.holder != holder)
 
 
 def _waiters_ahead(record: LeaseRecord, holder: str) -> int:
-    """Return how many come first; who has no place stands behind all of them."""
+    """Return the number of waiters before ``holder``; all of them if it has no place."""
     names = [waiter.holder for waiter in record.waiters]
     return names.index(holder) if holder in names else len(names)
--- a/onyxpass/store/leases.py
+++ b/onyxpass/store/leases.py
@@ -1,7 +1,7 @@
 """Leases in Redis: each change reads, decides and writes in one transaction on one connection.
 
 The store's run id is requested on that same connection. A store that restarts breaks its
-connections, so what is written after the run id was read is written to that very run.
+connections, so what is written after the run id was read is written under that run id.
 """
 
 import asyncio
@@ -64,10 +64,10 @@
         Raises ``StoreUnavailableError`` if it is not known whether the request took effect, or if
         the record can't be used.
         """
-        return await self._guarded(self._execute(name, request))
+        return await self._within_timeout(self._execute(name, request))
 
     def request_sender(self, name: str) -> RequestSender:
-        """Return what a ``LeaseClient`` of the lease of this name sends its requests with."""
+        """Return the function with which a ``LeaseClient`` of this lease sends its requests."""
 
         async def send(request: LeaseRequest) -> LeaseReply:
             try:
@@ -77,12 +77,12 @@
 
         return send
 
-    async def _guarded(self, work: Awaitable[Result]) -> Result:
+    async def _within_timeout(self, work: Awaitable[Result]) -> Result:
         try:
             async with asyncio.timeout(self._request_timeout_s):
                 return await work
         except CorruptRecordError as error:
-            raise StoreUnavailableError(f"the lease's record is no use: {error}") from error
+            raise StoreUnavailableError(f"the lease's record is unusable: {error}") from error
         except (RedisError, OSError, TimeoutError, ValueError) as error:
             raise StoreUnavailableError(f"{type(error).__name__}: {error}") from error
 
@@ -98,13 +98,13 @@
                 except WatchError as error:
                     _raise_if_reply_lost(error)
                     await asyncio.sleep(TRANSACTION_RETRY_STEP_S * attempt)
-        raise StoreUnavailableError("others changed the lease each time")
+        raise StoreUnavailableError("other clients changed the lease during each attempt")
 
     async def _read_only_reply(self, name: str, request: AcquireRequest) -> LeaseUnavailable | None:
-        """Return the reply to a waiter if nothing has to be written.
+        """Return the reply to a waiter if nothing has to be written, otherwise None.
 
-        Prevents many waiters from watching one key. Whether the store has restarted matters to a
-        grant, not to a wait.
+        Prevents many waiters from watching one key. The run id is not requested, because a restart
+        of the store matters only to a grant.
         """
         record, now_ms = await self._read_with_time(name)
         if record is None:
@@ -144,10 +144,10 @@
             return parse_record(text)
         except CorruptRecordError as error:
             self._report_corrupt(name, error)
-            raise  # prevents overwriting what is not understood
+            raise  # prevents overwriting a record that can't be parsed
 
     def _report_corrupt(self, name: str, error: CorruptRecordError) -> None:
-        """Log it, once for each lease."""
+        """Log a corrupt record, once for each lease."""
         if name not in self._reported_corrupt:
             self._reported_corrupt.add(name)
             log.error("lease_record_corrupt", lease=name, error=error.reason)
@@ -157,7 +157,7 @@
     """Raise StoreUnavailableError if the transaction may have taken effect.
 
     Prevents a lost reply from being taken for a change by others: the library raises WatchError for
-    both, and only of the latter it is known that nothing took effect.
+    both, but only after such a change it is certain that nothing took effect.
     """
     cause = error.__cause__ or error.__context__
     if isinstance(cause, RedisError | OSError):
@@ -168,7 +168,7 @@
     """Return the run id in a reply to INFO; ValueError if there is none."""
     run_id = info.get("run_id") if isinstance(info, dict) else None
     if not isinstance(run_id, str) or not 0 < len(run_id) <= MAX_NAME_LENGTH:
-        raise ValueError("the store does not tell its run")
+        raise ValueError("the store's reply to INFO has no valid run id")
     return run_id
 
 
--- a/onyxpass/store/redis.py
+++ b/onyxpass/store/redis.py
@@ -1,8 +1,8 @@
-"""Redis behind small ports: claims on tool calls, and the state of the agent's instances.
+"""Access to Redis: claims on tool calls, and the state of the agents' instances.
 
-Whatever keeps the store from answering is a ``StoreUnavailableError``; no command is sent twice.
-Keys and JSON forms are documented where they are written. The store owns this state; a
-``RedisStore`` owns only its connections.
+Any failure of the store to answer raises ``StoreUnavailableError``; no command is sent twice. The
+JSON forms are documented where they are written. The store owns this state; a ``RedisStore`` owns
+only its connections.
 """
 
 import json
@@ -23,7 +23,7 @@
 
 
 class StoreUnavailableError(Exception):
-    """The store did not answer, or not in a way that can be understood."""
+    """The store did not answer, or its answer can't be understood."""
 
 
 def create_client(url: str, timeout_ms: int) -> Redis:
@@ -53,16 +53,16 @@
     # Tool calls
 
     async def claim_call(self, key: str, record: Mapping[str, Any], ttl_s: int) -> bool:
-        """Return True to the one caller that may send this call, False to all after it."""
+        """Claim a tool call for ``ttl_s``; True for the first caller, the only one to send it."""
         command = self._redis.set(CALL_KEY_PREFIX + key, json.dumps(record), nx=True, ex=ttl_s)
         return bool(await _result_of(command))
 
     async def record_call(self, key: str, record: Mapping[str, Any], ttl_s: int) -> None:
-        """Store how a claimed call stands; the claim remains."""
+        """Store the state of a claimed call for another ``ttl_s``; the call stays claimed."""
         await _result_of(self._redis.set(CALL_KEY_PREFIX + key, json.dumps(record), ex=ttl_s))
 
     async def recorded_call(self, key: str) -> dict[str, Any] | None:
-        """Return how a call stands; None if nobody has claimed it."""
+        """Return the stored state of a call; None if it is not claimed."""
         return await self._get(CALL_KEY_PREFIX + key)
 
     # The agents' instances
@@ -85,12 +85,12 @@
         return states
 
     async def set_desired_running(self, name: str, running: bool) -> None:
-        """Store whether an operator wants the instance to run; its agent follows."""
+        """Store whether an operator wants the instance to run; the instance's agent reads this."""
         command = self._redis.set(DESIRED_KEY_PREFIX + name, json.dumps({"running": running}))
         await _result_of(command)
 
     async def desired_running(self, name: str) -> bool | None:
-        """Return whether an operator wants the instance to run; None if none has said."""
+        """Return whether an operator wants the instance to run; None if none has set it."""
         running = (await self._get(DESIRED_KEY_PREFIX + name) or {}).get("running")
         return running if isinstance(running, bool) else None
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -396,7 +396,7 @@
         store = LeaseStore(f"redis://{server.address}/0")
         for text in ("{", '{"version": 99}'):
             server.data[LEASE_KEY_PREFIX + "l"] = text
-            with pytest.raises(StoreUnavailableError, match="no use"):
+            with pytest.raises(StoreUnavailableError, match="unusable"):
                 await store.execute("l", AcquireRequest("a", 5000))
             assert server.data[LEASE_KEY_PREFIX + "l"] == text
         await store.close()
