--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,5 +1,6 @@
-"""Leases: the machine, the search over it, and the store's side; each checker finds a planted
-fault.
+"""Leases: the record, the holder, the fence, the store, and the model checker.
+
+The model checker must find each of several faults that are injected into the system.
 """
 
 import asyncio
@@ -39,20 +40,20 @@
 from onyxpass.testbed.link import Link
 from onyxpass.testbed.store import Fault
 
-OPEN = LeaseRecord(token=3, holder="last", expires_at_ms=0, store_run_id="r")
-SMALL = SearchBounds(duration_ms=175, max_states=15_000)
+FREE = LeaseRecord(token=3, holder="last", expires_at_ms=0, store_run_id="r")
+SMALL_BOUNDS = SearchBounds(duration_ms=175, max_states=15_000)
 
 
-def put_in(actions: list[Any]) -> Any:
+def sent_request(actions: list[Any]) -> Any:
     return next(action for action in actions if isinstance(action, SendRequest))
 
 
-# The record
+# The record of a lease
 
 
-def test_a_grant_a_renewal_and_its_end() -> None:
-    answer, held = apply_request(OPEN, AcquireRequest("a", 1000, "why"), "r", 5000)
-    assert answer == LeaseGranted(4, 1000) and held is not None and held.expires_at_ms == 6000
+def test_a_lease_is_granted_renewed_and_granted_to_another_after_it_expired() -> None:
+    reply, held = apply_request(FREE, AcquireRequest("a", 1000, "why"), "r", 5000)
+    assert reply == LeaseGranted(4, 1000) and held is not None and held.expires_at_ms == 6000
     assert apply_request(held, AcquireRequest("b", 1000), "r", 5500)[0] == LeaseUnavailable(
         "a", 500, 0, "why"
     )
@@ -60,62 +61,62 @@
     assert again == LeaseGranted(4, 1000) and renewed is not None and renewed.expires_at_ms == 6500
     assert isinstance(
         apply_request(renewed, RenewRequest("a", 4, 1000), "r", 6500)[0], LeaseDenied
-    ), "its time was over"
+    ), "the lease had expired"
     assert apply_request(renewed, AcquireRequest("b", 1000), "r", 6500)[0] == LeaseGranted(5, 1000)
 
 
-def test_asked_again_it_gives_the_same_grant() -> None:
-    _, held = apply_request(OPEN, AcquireRequest("a", 1000), "r", 5000)
+def test_a_repeated_request_of_the_holder_yields_the_same_grant() -> None:
+    _, held = apply_request(FREE, AcquireRequest("a", 1000), "r", 5000)
     assert apply_request(held, AcquireRequest("a", 1000), "r", 5600)[0] == LeaseGranted(4, 1000)
 
 
-def test_only_its_holder_gives_it_back() -> None:
-    _, held = apply_request(OPEN, AcquireRequest("a", 1000), "r", 5000)
+def test_only_the_holder_can_release_a_lease() -> None:
+    _, held = apply_request(FREE, AcquireRequest("a", 1000), "r", 5000)
     assert apply_request(held, ReleaseRequest("b", 4), "r", 5100) == (LeaseReleased(), None)
     assert apply_request(held, ReleaseRequest("a", 3), "r", 5100) == (LeaseReleased(), None)
     _, left = apply_request(held, ReleaseRequest("a", 4), "r", 5100)
     assert left is not None and not left.is_held(5100) and left.token == 4
 
 
-def test_who_waits_comes_first_and_who_stops_asking_is_passed_by() -> None:
-    _, record = apply_request(OPEN, AcquireRequest("a", 1000, queue_ttl_ms=500), "r", 0)
+def test_waiters_are_served_in_order_and_skipped_once_their_places_expire() -> None:
+    _, record = apply_request(FREE, AcquireRequest("a", 1000, queue_ttl_ms=500), "r", 0)
     for name in ("b", "c", "d"):
         _, record = apply_request(record, AcquireRequest(name, 1000, queue_ttl_ms=500), "r", 10)
-    assert record is not None and [p.holder for p in record.waiters] == ["b", "c", "d"]
+    assert record is not None and [waiter.holder for waiter in record.waiters] == ["b", "c", "d"]
     _, record = apply_request(record, AcquireRequest("c", 1000, queue_ttl_ms=2000), "r", 400)
     _, record = apply_request(record, AcquireRequest("d", 1000, queue_ttl_ms=2000), "r", 410)
-    assert record is not None and [p.holder for p in record.waiters] == ["b", "c", "d"], (
-        "places are kept"
+    assert record is not None and [waiter.holder for waiter in record.waiters] == ["b", "c", "d"], (
+        "renewed places keep their positions"
     )
     assert isinstance(
         apply_request(record, AcquireRequest("e", 1000), "r", 1100)[0], LeaseUnavailable
-    ), "a newcomer passes nobody by"
+    ), "a newcomer does not overtake waiters"
     assert isinstance(
         apply_request(record, AcquireRequest("d", 1000, queue_ttl_ms=500), "r", 1100)[0],
         LeaseUnavailable,
     )
-    answer, record = apply_request(record, AcquireRequest("c", 1000, queue_ttl_ms=500), "r", 1100)
-    assert answer == LeaseGranted(5, 1000), "b has not asked for longer than its place was kept"
-    assert record is not None and [p.holder for p in record.waiters] == ["d"]
+    reply, record = apply_request(record, AcquireRequest("c", 1000, queue_ttl_ms=500), "r", 1100)
+    assert reply == LeaseGranted(5, 1000), "the place of b has expired"
+    assert record is not None and [waiter.holder for waiter in record.waiters] == ["d"]
 
 
 @pytest.mark.parametrize(
-    "older", [None, LeaseRecord(token=1, holder="x", expires_at_ms=9**9, store_run_id="old")]
+    "stored", [None, LeaseRecord(token=1, holder="x", expires_at_ms=9**9, store_run_id="old")]
 )
-def test_a_store_that_came_back_grants_nothing_till_all_has_run_out(
-    older: LeaseRecord | None,
+def test_a_restarted_store_grants_nothing_until_every_earlier_lease_has_expired(
+    stored: LeaseRecord | None,
 ) -> None:
-    answer, closed = apply_request(
-        older, AcquireRequest("a", 1000, highest_seen_token=7, queue_ttl_ms=500), "new", 5000, 2000
+    reply, restarted = apply_request(
+        stored, AcquireRequest("a", 1000, highest_seen_token=7, queue_ttl_ms=500), "new", 5000, 2000
     )
     assert (
-        isinstance(answer, LeaseUnavailable)
-        and closed is not None
-        and closed.grants_open_at_ms == 7000
+        isinstance(reply, LeaseUnavailable)
+        and restarted is not None
+        and restarted.grants_open_at_ms == 7000
     )
     assert isinstance(
         apply_request(
-            closed,
+            restarted,
             AcquireRequest("a", 1000, highest_seen_token=7, queue_ttl_ms=500),
             "new",
             6999,
@@ -124,18 +125,18 @@
         LeaseUnavailable,
     )
     assert isinstance(
-        apply_request(closed, RenewRequest("x", 1, 1000), "new", 6000, 2000)[0], LeaseDenied
+        apply_request(restarted, RenewRequest("x", 1, 1000), "new", 6000, 2000)[0], LeaseDenied
     )
     assert apply_request(
-        closed, AcquireRequest("b", 1000, highest_seen_token=7), "new", 7000, 2000
+        restarted, AcquireRequest("b", 1000, highest_seen_token=7), "new", 7000, 2000
     )[0] == LeaseGranted(5001, 1000)
     assert apply_request(
-        closed, AcquireRequest("b", 1000, highest_seen_token=9000), "new", 7000, 2000
+        restarted, AcquireRequest("b", 1000, highest_seen_token=9000), "new", 7000, 2000
     )[0] == LeaseGranted(9001, 1000)
 
 
-def test_a_lease_time_that_is_too_long_is_not_granted() -> None:
-    assert isinstance(apply_request(OPEN, AcquireRequest("a", 2001), "r", 0, 2000)[0], LeaseDenied)
+def test_a_ttl_above_the_maximum_is_denied() -> None:
+    assert isinstance(apply_request(FREE, AcquireRequest("a", 2001), "r", 0, 2000)[0], LeaseDenied)
 
 
 @pytest.mark.parametrize(
@@ -147,66 +148,68 @@
         "null",
         '{"version":2}',
         "x" * 40_000,
-        OPEN.to_json().replace('"token": 3', '"token": -3'),
+        FREE.to_json().replace('"token": 3', '"token": -3'),
     ],
 )
-def test_a_record_that_is_no_use_is_torn(text: str) -> None:
+def test_a_malformed_record_is_reported_as_corrupt(text: str) -> None:
     with pytest.raises(CorruptRecordError):
         parse_record(text)
-    assert parse_record(OPEN.to_json()) == OPEN
+    assert parse_record(FREE.to_json()) == FREE
 
 
 # The holder
 
 
-def test_its_time_counts_from_before_it_asked() -> None:
+def test_the_duration_of_a_lease_counts_from_before_the_request_was_sent() -> None:
     holder = LeaseHolder("a", 1000)
-    ask = put_in(holder.acquire(5000))
-    assert holder.on_reply(ask.number, LeaseGranted(4, 1000), 5600)[0] == BeginActing(4)
+    sent = sent_request(holder.acquire(5000))
+    assert holder.on_reply(sent.number, LeaseGranted(4, 1000), 5600)[0] == BeginActing(4)
     assert holder.may_act(5000 + usable_ttl_ms(1000) - 1) and not holder.may_act(
         5000 + usable_ttl_ms(1000)
     )
-    assert usable_ttl_ms(1000) < 1000 / 1.05, "a clock that runs slower by 5% ends in time"
+    assert usable_ttl_ms(1000) < 1000 / 1.05, (
+        "the lease also ends in time on a clock that is 5% slower"
+    )
 
 
-def test_a_grant_that_was_long_under_way_is_none() -> None:
+def test_a_grant_that_arrives_after_its_expiry_is_not_used() -> None:
     holder = LeaseHolder("a", 1000)
-    ask = put_in(holder.acquire(5000))
-    assert BeginActing(4) not in holder.on_reply(ask.number, LeaseGranted(4, 1000), 6000)
+    sent = sent_request(holder.acquire(5000))
+    assert BeginActing(4) not in holder.on_reply(sent.number, LeaseGranted(4, 1000), 6000)
     assert holder.state is HolderState.WAITING and not holder.may_act(6000)
 
 
-def test_what_was_not_answered_is_asked_again_and_never_acted_on() -> None:
+def test_a_request_without_a_reply_is_repeated_and_its_late_reply_is_ignored() -> None:
     holder = LeaseHolder("a", 1000)
-    first = put_in(holder.acquire(5000))
+    first = sent_request(holder.acquire(5000))
     assert not any(isinstance(a, BeginActing) for a in holder.on_no_reply(first.number, 5300))
-    second = put_in(holder.tick(5400))
+    second = sent_request(holder.tick(5400))
     assert holder.on_reply(first.number, LeaseGranted(4, 1000), 5410) == [], (
-        "too late to be believed"
+        "the late reply is ignored"
     )
     assert holder.on_reply(second.number, LeaseGranted(4, 1000), 5420)[0] == BeginActing(4)
 
 
-def test_a_process_that_was_stopped_finds_its_time_over() -> None:
+def test_a_process_that_was_suspended_finds_its_lease_expired() -> None:
     holder = LeaseHolder("a", 1000)
-    holder.on_reply(put_in(holder.acquire(5000)).number, LeaseGranted(4, 1000), 5001)
+    holder.on_reply(sent_request(holder.acquire(5000)).number, LeaseGranted(4, 1000), 5001)
     assert not holder.may_act(9000)
     assert isinstance(holder.tick(9000)[0], StopActing) and holder.state is HolderState.IDLE
 
 
-def test_a_grant_that_comes_after_its_asker_has_left_is_given_back() -> None:
+def test_a_grant_that_arrives_after_its_requester_has_released_is_released() -> None:
     holder = LeaseHolder("a", 1000)
-    ask = put_in(holder.acquire(5000))
+    sent = sent_request(holder.acquire(5000))
     holder.release(5010)
-    assert put_in(
-        holder.on_reply(ask.number, LeaseGranted(4, 1000), 5020)
+    assert sent_request(
+        holder.on_reply(sent.number, LeaseGranted(4, 1000), 5020)
     ).request == ReleaseRequest("a.1", 4)
 
 
 # The resource
 
 
-def test_a_resource_refuses_what_an_old_holder_asks() -> None:
+def test_a_fence_rejects_outdated_tokens_and_newer_ones_during_an_effect() -> None:
     fence = Fence()
     assert not fence.rejection_reason("l", 4, "a") and fence.admit("l", 4, "a")
     assert (
@@ -215,7 +218,7 @@
         and fence.rejection_reason("l", 0, "a")
     )
     assert not fence.rejection_reason("l", 4, "a") and not fence.admit("l", 4, "a"), (
-        "nothing new to be kept"
+        "nothing new has to be stored"
     )
     fence.effect_started("l")
     assert "under way" in fence.rejection_reason("l", 5, "b")
@@ -223,10 +226,10 @@
     assert not fence.rejection_reason("l", 5, "b") and not fence.rejection_reason("other", 1, "c")
 
 
-# The search
+# The model checker
 
 
-QUIET = SearchBounds(
+NO_FAULTS = SearchBounds(
     lost_messages=0,
     late_requests=0,
     suspensions=0,
@@ -235,7 +238,7 @@
     commands=0,
     reacquisitions=0,
 )
-WILD = SearchBounds(
+MANY_FAULTS = SearchBounds(
     duration_ms=1000,
     lost_messages=3,
     late_requests=3,
@@ -248,19 +251,19 @@
 )
 
 
-def test_the_search_finds_no_breach_in_what_runs() -> None:
-    full = ModelChecker(replace(QUIET, duration_ms=100)).run()
+def test_the_model_checker_finds_no_violation_in_the_production_code() -> None:
+    full = ModelChecker(replace(NO_FAULTS, duration_ms=100)).run()
     assert full.complete and full.states > 10_000 and not full.violation, full.path
-    for found in (
-        ModelChecker(SMALL).run(),
-        ModelChecker(WILD).walk(1, 150),
-        ModelChecker(replace(WILD, store_restarts=0)).walk(2, 150),
+    for result in (
+        ModelChecker(SMALL_BOUNDS).run(),
+        ModelChecker(MANY_FAULTS).walk(1, 150),
+        ModelChecker(replace(MANY_FAULTS, store_restarts=0)).walk(2, 150),
     ):
-        assert not found.violation, "\n".join((found.violation, *found.path))
+        assert not result.violation, "\n".join((result.violation, *result.path))
 
 
-class FromTheAnswer(LeaseHolder):
-    """Planted: its time counts from the answer."""
+class CountsFromReply(LeaseHolder):
+    """Injected fault: the duration of a lease counts from the reply."""
 
     def on_reply(self, number: int, reply: Any, now_ms: int) -> list[Any]:
         if number in self.pending:
@@ -268,10 +271,8 @@
         return LeaseHolder.on_reply(self, number, reply, now_ms)
 
 
-class NoMargin(LeaseHolder):
-    """Planted: it goes on for the whole lease time after its last renewal was put, answered or
-    not.
-    """
+class ExtendsWithoutReply(LeaseHolder):
+    """Injected fault: a request without a reply extends a held lease by its TTL."""
 
     def on_no_reply(self, number: int, now_ms: int) -> list[Any]:
         if self.state is HolderState.HELD:
@@ -279,62 +280,80 @@
         return LeaseHolder.on_no_reply(self, number, now_ms)
 
 
-class Open(Fence):
-    """Planted: nothing is checked at the resource."""
+class AdmitsEverything(Fence):
+    """Injected fault: the resource rejects nothing."""
 
     def rejection_reason(self, lease: str, token: int, holder: str) -> str:
         return ""
 
 
-def forgetful(record: Any, ask: Any, run: str, now_ms: int, max_ttl_ms: int) -> Any:
-    """Planted: a store that came back begins anew at once."""
-    if record is None or record.store_run_id != run:
-        record = LeaseRecord(store_run_id=run, token=record.token if record else 0)
-    return apply_request(record, ask, run, now_ms, max_ttl_ms)
+def grants_after_restart(
+    record: Any, request: Any, store_run_id: str, now_ms: int, max_ttl_ms: int
+) -> Any:
+    """Injected fault: a restarted store grants at once."""
+    if record is None or record.store_run_id != store_run_id:
+        record = LeaseRecord(store_run_id=store_run_id, token=record.token if record else 0)
+    return apply_request(record, request, store_run_id, now_ms, max_ttl_ms)
 
 
-def generous(record: Any, ask: Any, run: str, now_ms: int, max_ttl_ms: int) -> Any:
-    """Planted: a renewal after the end is granted, to whoever had it once."""
-    if isinstance(ask, RenewRequest) and record is not None and record.store_run_id == run:
+def renews_after_expiry(
+    record: Any, request: Any, store_run_id: str, now_ms: int, max_ttl_ms: int
+) -> Any:
+    """Injected fault: a renewal is granted after the expiry, to any former holder."""
+    if (
+        isinstance(request, RenewRequest)
+        and record is not None
+        and record.store_run_id == store_run_id
+    ):
         again = replace(
-            record, holder=ask.holder, token=ask.token, expires_at_ms=now_ms + ask.ttl_ms
+            record,
+            holder=request.holder,
+            token=request.token,
+            expires_at_ms=now_ms + request.ttl_ms,
         )
-        return LeaseGranted(ask.token, ask.ttl_ms), again
-    return apply_request(record, ask, run, now_ms, max_ttl_ms)
+        return LeaseGranted(request.token, request.ttl_ms), again
+    return apply_request(record, request, store_run_id, now_ms, max_ttl_ms)
 
 
-def anybodys(record: Any, ask: Any, run: str, now_ms: int, max_ttl_ms: int) -> Any:
-    """Planted: whoever gives it back, it is free."""
-    if isinstance(ask, ReleaseRequest) and record is not None:
+def releases_for_anyone(
+    record: Any, request: Any, store_run_id: str, now_ms: int, max_ttl_ms: int
+) -> Any:
+    """Injected fault: anyone can release the lease."""
+    if isinstance(request, ReleaseRequest) and record is not None:
         return LeaseReleased(), replace(record, expires_at_ms=now_ms)
-    return apply_request(record, ask, run, now_ms, max_ttl_ms)
+    return apply_request(record, request, store_run_id, now_ms, max_ttl_ms)
 
 
-LEAVES = replace(QUIET, late_requests=2, reacquisitions=2, duration_ms=600)
+RELEASES = replace(NO_FAULTS, late_requests=2, reacquisitions=2, duration_ms=600)
 
 
 @pytest.mark.parametrize(
-    ("planted", "bounds"),
+    ("faulty_system", "bounds"),
     [
-        (CheckedSystem(holder=FromTheAnswer), QUIET),
-        (CheckedSystem(holder=NoMargin), replace(QUIET, lost_messages=8, duration_ms=1000)),
-        (CheckedSystem(fence=Open), replace(QUIET, commands=2, duration_ms=600)),
-        (CheckedSystem(apply_request=forgetful), replace(QUIET, store_restarts=1)),
-        (CheckedSystem(apply_request=generous), replace(LEAVES, suspensions=1)),
-        (CheckedSystem(apply_request=anybodys), LEAVES),
+        (CheckedSystem(holder=CountsFromReply), NO_FAULTS),
+        (
+            CheckedSystem(holder=ExtendsWithoutReply),
+            replace(NO_FAULTS, lost_messages=8, duration_ms=1000),
+        ),
+        (CheckedSystem(fence=AdmitsEverything), replace(NO_FAULTS, commands=2, duration_ms=600)),
+        (CheckedSystem(apply_request=grants_after_restart), replace(NO_FAULTS, store_restarts=1)),
+        (CheckedSystem(apply_request=renews_after_expiry), replace(RELEASES, suspensions=1)),
+        (CheckedSystem(apply_request=releases_for_anyone), RELEASES),
     ],
     ids=[
-        "from the answer",
-        "no margin",
+        "counts from the reply",
+        "extends without a reply",
         "no fence",
-        "forgetful store",
-        "renewed after the end",
-        "left by another",
+        "grants at once after a restart",
+        "renews after the expiry",
+        "released by another",
     ],
 )
-def test_the_search_finds_each_planted_fault(planted: CheckedSystem, bounds: SearchBounds) -> None:
-    found = ModelChecker(bounds, planted).walk(3, 1_500)
-    assert found.violation and found.path, found
+def test_the_model_checker_finds_each_injected_fault(
+    faulty_system: CheckedSystem, bounds: SearchBounds
+) -> None:
+    result = ModelChecker(bounds, faulty_system).walk(3, 1_500)
+    assert result.violation and result.path, result
     clean = ModelChecker(bounds).walk(7, 100)
     assert not clean.violation, "\n".join((clean.violation, *clean.path))
 
@@ -346,8 +365,8 @@
     asyncio.run(asyncio.wait_for(test(), 60))
 
 
-async def opened(server: RespStore, name: str = "l", max_ttl_ms: int = 1) -> LeaseStore:
-    """A store whose first closed time is over, with a longest lease time of its own after that."""
+async def open_store(server: RespStore, name: str = "l", max_ttl_ms: int = 1) -> LeaseStore:
+    """Return a store whose wait after its first start is over, with a maximum TTL of 60 s."""
     store = LeaseStore(f"redis://{server.address}/0", max_ttl_ms)
     await store.execute(name, AcquireRequest("first", 1))
     server.data[LEASE_KEY_PREFIX + name] = replace(
@@ -357,28 +376,30 @@
     return store
 
 
-def test_a_lost_answer_gives_the_same_grant_when_it_is_asked_again() -> None:
-    async def go() -> None:
+def test_a_request_repeated_after_a_lost_reply_yields_the_same_grant() -> None:
+    async def scenario() -> None:
         server = await RespStore().start()
-        store = await opened(server)
+        store = await open_store(server)
         server.faults = [Fault.LOST]
         with pytest.raises(StoreUnavailableError):
             await store.execute("l", AcquireRequest("a", 5000))
         held = parse_record(server.data[LEASE_KEY_PREFIX + "l"])
-        assert held is not None and held.holder == "a", "nobody knows, and it has it"
+        assert held is not None and held.holder == "a", (
+            "the request took effect although its reply was lost"
+        )
         assert await store.execute("l", AcquireRequest("a", 5000)) == LeaseGranted(held.token, 5000)
         assert isinstance(await store.execute("l", AcquireRequest("b", 5000)), LeaseUnavailable)
         await store.close()
         await server.stop()
 
-    run(go)
+    run(scenario)
 
 
 @pytest.mark.parametrize("fault", [Fault.REFUSED, Fault.LOADING, Fault.READONLY])
-def test_what_the_store_refuses_is_no_answer_and_changes_nothing(fault: Fault) -> None:
-    async def go() -> None:
+def test_an_error_of_the_store_raises_and_changes_nothing(fault: Fault) -> None:
+    async def scenario() -> None:
         server = await RespStore().start()
-        store = await opened(server)
+        store = await open_store(server)
         before = server.data[LEASE_KEY_PREFIX + "l"]
         server.faults = [fault]
         with pytest.raises(StoreUnavailableError):
@@ -387,11 +408,11 @@
         await store.close()
         await server.stop()
 
-    run(go)
+    run(scenario)
 
 
-def test_a_torn_record_is_never_written_over() -> None:
-    async def go() -> None:
+def test_a_corrupt_record_is_never_overwritten() -> None:
+    async def scenario() -> None:
         server = await RespStore().start()
         store = LeaseStore(f"redis://{server.address}/0")
         for text in ("{", '{"version": 99}'):
@@ -402,73 +423,73 @@
         await store.close()
         await server.stop()
 
-    run(go)
+    run(scenario)
 
 
-def test_many_takers_at_once_get_it_one_after_another() -> None:
-    async def go() -> None:
+def test_one_of_many_concurrent_requests_is_granted() -> None:
+    async def scenario() -> None:
         server = await RespStore().start()
-        store = await opened(server)
-        answers = await asyncio.gather(
+        store = await open_store(server)
+        replies = await asyncio.gather(
             *(store.execute("l", AcquireRequest(f"h{i}", 5000)) for i in range(8))
         )
-        assert sum(isinstance(answer, LeaseGranted) for answer in answers) == 1
+        assert sum(isinstance(reply, LeaseGranted) for reply in replies) == 1
         await store.close()
         await server.stop()
 
-    run(go)
+    run(scenario)
 
 
-def test_a_keeper_that_is_cut_off_stops_by_itself_before_another_is_let_in() -> None:
-    async def go() -> None:
+def test_a_holder_cut_off_from_the_store_loses_the_lease_before_another_gets_it() -> None:
+    async def scenario() -> None:
         server = await RespStore().start()
         link = Link(server.port)
         await link.start()
-        inside = await opened(server)
+        inside = await open_store(server)
         outside = LeaseStore(f"redis://{link.address}/0", 60_000)
-        spans: list[tuple[str, str, int]] = []
-        keepers = [
+        changes: list[tuple[str, str, int]] = []
+        clients = [
             LeaseClient(
                 LeaseHolder(name, 600),
                 store.request_sender("l"),
                 boottime_ms,
-                lambda what, _token, _why, name=name: spans.append((name, what, boottime_ms())),  # type: ignore[misc]
+                lambda what, _token, _why, name=name: changes.append((name, what, boottime_ms())),  # type: ignore[misc]
             )
             for name, store in (("cut", outside), ("other", inside))
         ]
-        assert await keepers[0].acquire()
+        assert await clients[0].acquire()
         link.cut()
-        assert await keepers[1].acquire(timeout_s=20)
-        await until(lambda: len(spans) >= 3)
-        assert [(name, what) for name, what, _ in spans[:3]] == [
+        assert await clients[1].acquire(timeout_s=20)
+        await until(lambda: len(changes) >= 3)
+        assert [(name, what) for name, what, _ in changes[:3]] == [
             ("cut", "held"),
             ("cut", "lost"),
             ("other", "held"),
-        ], spans
-        assert keepers[0].token == 0 and keepers[1].token > 0
-        await keepers[1].release()
-        for each in (*keepers, outside, inside):
-            closing = each.close()
+        ], changes
+        assert clients[0].token == 0 and clients[1].token > 0
+        await clients[1].release()
+        for resource in (*clients, outside, inside):
+            closing = resource.close()
             if closing is not None:
                 await closing
         await link.stop()
         await server.stop()
 
-    run(go)
+    run(scenario)
 
 
-def test_an_unanswered_ask_is_put_again_till_the_store_is_back() -> None:
-    async def go() -> None:
-        asked: list[Any] = []
+def test_a_request_without_a_reply_is_repeated_until_the_store_answers() -> None:
+    async def scenario() -> None:
+        requests: list[Any] = []
 
-        async def store(ask: Any) -> Any:
-            asked.append(ask)
-            if len(asked) < 4:
+        async def store(request: Any) -> Any:
+            requests.append(request)
+            if len(requests) < 4:
                 raise LeaseUnansweredError("down")
             return LeaseGranted(9, 1000)
 
-        keeper = LeaseClient(LeaseHolder("a", 1000), store, boottime_ms)
-        assert await keeper.acquire() and keeper.token == 9 and len(asked) == 4
-        keeper.close()
+        client = LeaseClient(LeaseHolder("a", 1000), store, boottime_ms)
+        assert await client.acquire() and client.token == 9 and len(requests) == 4
+        client.close()
 
-    run(go)
+    run(scenario)
--- a/tests/test_state_store.py
+++ b/tests/test_state_store.py
@@ -1,4 +1,4 @@
-"""The agent's state store: durable records, refused files, and a disk that takes no write."""
+"""The agent's state store: durable records, rejected files, and a disk that accepts no writes."""
 
 import sqlite3
 from collections.abc import Iterator
@@ -29,8 +29,8 @@
 
 
 @contextmanager
-def no_writes(database: StateDatabase) -> Iterator[None]:
-    """Let the database refuse all writes, as a full disk makes it do."""
+def failing_writes(database: StateDatabase) -> Iterator[None]:
+    """Make all writes of the database fail, as on a full disk."""
     database.execute("PRAGMA query_only=ON")
     try:
         yield
@@ -60,19 +60,19 @@
         assert interrupted.state is OperationState.UNKNOWN
 
 
-def test_a_folder_in_use_names_its_owner(tmp_path: Path) -> None:
-    with StateStore(tmp_path), pytest.raises(StateStoreInUseError) as caught:
+def test_opening_a_folder_in_use_names_its_owner(tmp_path: Path) -> None:
+    with StateStore(tmp_path), pytest.raises(StateStoreInUseError) as raised:
         StateStore(tmp_path)
-    assert caught.value.folder == tmp_path
-    assert caught.value.owner.isdigit()
+    assert raised.value.folder == tmp_path
+    assert raised.value.owner.isdigit()
 
 
-def test_a_folder_is_free_again_after_a_refused_opening(tmp_path: Path) -> None:
+def test_a_rejected_opening_releases_the_folder(tmp_path: Path) -> None:
     StateStore(tmp_path).close()
     set_version(tmp_path, SCHEMA_VERSION + 1)
-    with pytest.raises(StateStoreVersionError) as caught:
+    with pytest.raises(StateStoreVersionError) as raised:
         StateStore(tmp_path)
-    assert (caught.value.found, caught.value.known) == (SCHEMA_VERSION + 1, SCHEMA_VERSION)
+    assert (raised.value.found, raised.value.known) == (SCHEMA_VERSION + 1, SCHEMA_VERSION)
     set_version(tmp_path, SCHEMA_VERSION)
     StateStore(tmp_path).close()
 
@@ -86,27 +86,29 @@
         assert store.locks.fences() == {}
 
 
-def test_a_launch_is_refused_while_the_disk_takes_no_write(database: StateDatabase) -> None:
+def test_a_launch_is_rejected_while_the_disk_accepts_no_writes(database: StateDatabase) -> None:
     records = InstanceRecords(database)
-    with no_writes(database), pytest.raises(StateStoreWriteError, match="readonly"):
+    with failing_writes(database), pytest.raises(StateStoreWriteError, match="readonly"):
         records.save_now(InstanceRecord("d1"))
     assert records.load() == {}
 
 
-def test_an_operation_is_refused_whole_and_a_later_one_can_begin(database: StateDatabase) -> None:
+def test_a_rejected_operation_stores_nothing_and_a_later_one_can_begin(
+    database: StateDatabase,
+) -> None:
     records = OperationRecords(database)
-    with no_writes(database), pytest.raises(StateStoreWriteError):
+    with failing_writes(database), pytest.raises(StateStoreWriteError):
         records.begin(Operation("o1", "d1", "drain"))
     records.begin(Operation("o2", "d1", "drain"))
     assert records.find("o1") is None
     assert records.find("o2") is not None
 
 
-def test_what_happened_on_a_full_disk_is_on_record_after_the_next_flush(
+def test_what_happened_on_a_full_disk_is_stored_at_the_next_flush(
     database: StateDatabase,
 ) -> None:
     instances, events = InstanceRecords(database), EventRecords(database)
-    with no_writes(database):
+    with failing_writes(database):
         instances.save(InstanceRecord("d1", generation=1))
         instances.save(InstanceRecord("d1", generation=2))
         events.append("d1", "running", pid=7)
@@ -119,7 +121,7 @@
 
 def test_a_lock_saved_directly_is_not_undone_by_a_pending_delete(database: StateDatabase) -> None:
     locks = LockRecords(database)
-    with no_writes(database):
+    with failing_writes(database):
         locks.delete_rollout_lock()
     lock = RolloutLockRecord("r2", "rui", 10.0)
     locks.save_rollout_lock(lock)
