--- a/onyxpass/agent/api.py
+++ b/onyxpass/agent/api.py
@@ -11,9 +11,9 @@
 | ``POST /v1/hold``, ``POST /v1/release`` | acquires or releases the agent's rollout lock |
 
 An operation or a hold may carry a lease: ``{"lease": {"name": N, "token": T, "holder": H}}``. It is
-rejected with 409 and ``stale`` if a higher token of that lease, or the same token of another
-holder, has been admitted here, and with 409 and ``under_way`` while an effect of an older token is
-in progress.
+rejected with 409 and ``stale`` in the answer if a higher token of that lease, or the same token of
+another holder, has been admitted here. It is rejected with 409 and ``under_way`` while an effect of
+an older token is in progress.
 """
 
 import asyncio
--- a/onyxpass/agent/config.py
+++ b/onyxpass/agent/config.py
@@ -48,7 +48,7 @@
 
 class AgentFile(toml_config.Model):  # noqa: D101 - a docstring is part of the schema
     name: Name
-    state: str | None = None  # folder for state that outlives the agent; without it, none does
+    state: str | None = None  # folder for the state; without one, the state is lost with the agent
     listen: toml_config.AddressText | None = None  # address of the agent's API
     key: str | None = None  # file with the key that callers must present
     store: StoreTable | None = None
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceSpec:
-    """One instance; ``kind`` is empty and ``config`` None unless its command is onyxpass."""
+    """One instance; ``kind`` is empty and ``config`` None unless it runs onyxpass."""
 
     name: str
     command: tuple[str, ...]
--- a/onyxpass/agent/credentials.py
+++ b/onyxpass/agent/credentials.py
@@ -14,7 +14,11 @@
 
 
 def read_key(path: Path) -> str:
-    """Read a key; ``ConfigError`` if the file is unreadable, open to others or holds no key."""
+    """Return the key in a file.
+
+    Raises ``ConfigError`` if the file can't be read, belongs to another user, is accessible to
+    others, or holds no valid key.
+    """
     try:
         with path.open("rb") as file:
             status = os.fstat(file.fileno())
--- a/onyxpass/agent/expected_config.py
+++ b/onyxpass/agent/expected_config.py
@@ -15,9 +15,10 @@
 ) -> str:
     """Return the digest of the instance's configuration file as it is now.
 
-    The file is read by the same code as in the instance: with ``reload`` as on a reload, otherwise
-    as at a start, where environment variables take precedence over the file. ``ConfigError`` names
-    the file, the line and the reason if the file is invalid.
+    The file is read by the same code as in the instance. That of a ``serve`` instance is read as
+    on a reload with ``reload``, and otherwise as at a start, where environment variables take
+    precedence over the file. ``ConfigError`` names the file, the line and the reason if the file is
+    invalid.
     """
     if spec.config is None:
         raise ConfigError(f"{spec.name}: its configuration is not known to the agent")
--- a/onyxpass/agent/instance.py
+++ b/onyxpass/agent/instance.py
@@ -73,18 +73,18 @@
         self.process: Process | None = None
         self.state_since_unix_s = time.time()  # for display only
         self.adopted = False
-        self.no_process = asyncio.Event()  # set while no process runs or is being started
+        self.no_process = asyncio.Event()  # set while no process runs and none is being started
         self.no_process.set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._state_changed = asyncio.Event()  # replaced at each change of state
 
     @property
     def state(self) -> str:
-        """The lifecycle's state, as events and the agent's API show it."""
+        """The name of the lifecycle's state in events and in the agent's API."""
         return self.lifecycle.state.value
 
     @property
-    def socket(self) -> Path:
+    def admin_socket(self) -> Path:
         """The instance's admin socket."""
         return self.folder / "run" / f"{self.name}.sock"
 
@@ -234,7 +234,7 @@
         return {
             **os.environ,
             **self.spec.env,
-            ADMIN: str(self.socket),
+            ADMIN: str(self.admin_socket),
             GENERATION: str(self.record.generation),
             LAUNCH: self.record.launch,
         }
@@ -311,7 +311,7 @@
 
         Raises ``RequestNotSentError`` or ``ResponseLostError`` if there is no answer.
         """
-        return await ask(at_path(self.socket), method, target, message, timeout_s=timeout_s)
+        return await ask(at_path(self.admin_socket), method, target, message, timeout_s=timeout_s)
 
     def to_dict(self) -> dict[str, Any]:
         """Return the instance's JSON form in the agent's API and in the store."""
--- a/onyxpass/agent/operation_steps.py
+++ b/onyxpass/agent/operation_steps.py
@@ -70,9 +70,8 @@
         _successful_body(
             await self._instance.request("POST", "/reload", {"generation": generation})
         )
-        config = (await self._status())[
-            "config"
-        ]  # read back, instead of trusting the reload's own answer
+        # Read back, instead of trusting the answer to the reload.
+        config = (await self._status())["config"]
         if config["digest"] == digest:
             return {"digest": digest, "generation": config["generation"], "restarted": False}
         keys = [str(key) for key in config["needs_restart"]]
@@ -89,12 +88,12 @@
     async def drain(self) -> Detail:
         """Drain the instance and wait until it is drained; fail if it is not by the deadline."""
         self._require_running()
-        order = {
+        drain_request = {
             "deadline_ms": round(self._options.deadline_s * 1000),
             "notice_ms": round(self._options.notice_s * 1000),
             "force": self._options.force,
         }
-        _successful_body(await self._instance.request("POST", "/drain", order))
+        _successful_body(await self._instance.request("POST", "/drain", drain_request))
         end_s = time.monotonic() + self._options.deadline_s + DRAIN_CLEANUP_S
         while True:
             drain = (await self._status())["drain"]
@@ -229,9 +228,9 @@
         return digest
 
     def _assign_generation(self, digest: str) -> int:
-        """Return the generation of this configuration: the number of those applied so far.
+        """Return the count of configurations that this instance has been told to run on.
 
-        A digest that differs from the stored one begins a new generation.
+        A digest that differs from the stored one begins a new generation, which is stored.
         """
         record = self._instance.record
         if digest != record.digest:
--- a/onyxpass/agent/operations.py
+++ b/onyxpass/agent/operations.py
@@ -1,8 +1,8 @@
 """Operations in progress: each has an id, is executed once, and its outcome is stored.
 
 A request that is repeated under its id, because its caller did not receive the answer, is answered
-with the state of the first one's operation. ``Operations`` owns the tasks and the operations in
-progress; ended ones are read from the state store.
+with the state of the operation that the first one began. ``Operations`` owns the tasks and the
+operations in progress; ended ones are read from the state store.
 """
 
 import asyncio
--- a/onyxpass/agent/process.py
+++ b/onyxpass/agent/process.py
@@ -47,9 +47,8 @@
         text = Path(f"/proc/{pid}/stat").read_text()
     except (FileNotFoundError, ProcessLookupError):
         return None
-    fields = text.rpartition(")")[
-        2
-    ].split()  # the command name in parentheses may contain any character
+    # The command name in parentheses may contain any character.
+    fields = text.rpartition(")")[2].split()
     if fields[0] in ENDED_STATES:
         return None
     return ProcessIdentity(pid, int(fields[START_TIME_FIELD]), boot_id())
--- a/onyxpass/agent/supervisor.py
+++ b/onyxpass/agent/supervisor.py
@@ -27,7 +27,7 @@
     from onyxpass.store.redis import RedisStore
 
 
-STORE_TTL_POLLS = 5  # TTL of an instance's entry in the store, in poll intervals
+STORE_TTL_POLLS = 5  # TTL of an instance's entry in the store, to outlast missed polls
 MIN_STORE_TTL_S = 2
 STOP_POLL_INTERVAL_S = 0.01
 log = structlog.get_logger("agent")
--- a/onyxpass/leases/holder.py
+++ b/onyxpass/leases/holder.py
@@ -180,7 +180,9 @@
             return []
         request = pending.request
         is_current = request.holder == self.name
-        if isinstance(request, ReleaseRequest) or not is_current:  # what it left behind expires
+        # Neither a release nor a request of an earlier acquisition is repeated: the lease or the
+        # place in the queue expires.
+        if isinstance(request, ReleaseRequest) or not is_current:
             if is_current and self.state is HolderState.RELEASING:
                 self.state = HolderState.IDLE
             return []
@@ -236,7 +238,7 @@
     def _on_late_reply(
         self, request: LeaseRequest, reply: LeaseReply, now_ms: int
     ) -> list[HolderAction]:
-        """Handle a reply to an earlier acquisition, or to one that has been given up."""
+        """Handle a reply to an earlier acquisition, or after the lease was lost or released."""
         if isinstance(request, AcquireRequest) and isinstance(reply, LeaseGranted):
             # Prevents a grant that nothing else would release from blocking the lease.
             return self._send(ReleaseRequest(request.holder, reply.token), now_ms)
--- a/onyxpass/leases/lease_client.py
+++ b/onyxpass/leases/lease_client.py
@@ -71,7 +71,7 @@
 
     @property
     def token(self) -> int:
-        """The token to act under now; 0 if no lease is held, or if it has expired meanwhile."""
+        """The token to act under now; 0 if none is valid, also at once after a suspension."""
         return self.holder.token if self.holder.may_act(self._clock_ms()) else 0
 
     async def acquire(self, highest_seen_token: int = 0, timeout_s: float | None = None) -> bool:
--- a/onyxpass/leases/model_checker.py
+++ b/onyxpass/leases/model_checker.py
@@ -94,7 +94,7 @@
         return SearchResult(len(predecessors), True)
 
     def walk(self, seed: int, walks: int = 2_000, length: int = 60) -> SearchResult:
-        """Follow random paths, for bounds too wide for ``run``; the same seed repeats them."""
+        """Follow random paths, for bounds too wide for a full search; a seed repeats them."""
         generator = random.Random(seed)
         states = 0
         for _ in range(walks):
--- a/onyxpass/leases/model_state.py
+++ b/onyxpass/leases/model_state.py
@@ -22,7 +22,7 @@
 
 
 class Disturbance(IntEnum):
-    """Events that are bounded on one path; the value is the index in ``ModelState.spent``."""
+    """An event of bounded number on one path; the value is its index in ``ModelState.spent``."""
 
     LOST_MESSAGE = 0
     LATE_REQUEST = 1
