--- a/onyxpass/agent/config.py
+++ b/onyxpass/agent/config.py
@@ -43,19 +43,19 @@
     kind: InstanceKind
     config: str  # path, relative to the agent's file
     env: dict[str, str] = Field(default_factory=dict)
-    check: toml_config.PlaceText | None = None  # address that must accept connections
+    check: toml_config.ConnectAddress | None = None  # address that must accept connections
 
 
 class AgentFile(toml_config.Model):  # noqa: D101 - a docstring is part of the schema
     name: Name
     state: str | None = None  # folder for the state; without one, the state is lost with the agent
-    listen: toml_config.AddressText | None = None  # address of the agent's API
+    listen: toml_config.ListenAddress | None = None  # address of the agent's API
     key: str | None = None  # file with the key that callers must present
     store: StoreTable | None = None
     restart: RestartTable = Field(default_factory=RestartTable)
     instances: list[InstanceTable]
 
-    def faults(self) -> Iterable[tuple[tuple[toml_config.Step, ...], str]]:
+    def faults(self) -> Iterable[tuple[tuple[toml_config.PathPart, ...], str]]:
         """Yield each fault that involves several keys, with its location."""
         names: set[str] = set()
         for number, instance in enumerate(self.instances):
--- a/onyxpass/agent/instance.py
+++ b/onyxpass/agent/instance.py
@@ -38,10 +38,10 @@
 )
 from onyxpass.agent.process import Process, ProcessIdentity, find_by_environment, rotate_log
 from onyxpass.agent.state_store import StateStore, StateStoreWriteError
-from onyxpass.config.platform_file import ADMIN, GENERATION, LAUNCH
+from onyxpass.config.platform_file import ADMIN_VARIABLE, GENERATION_VARIABLE, LAUNCH_VARIABLE
 from onyxpass.core.actor import Actor
 from onyxpass.invariants import ProcessStartChecker
-from onyxpass.net.http_client import Answer, ask, at_path
+from onyxpass.net.http_client import ApiResponse, call_api, unix_opener
 
 ADMIN_TIMEOUT_S = 2.0  # for an instance to answer on its admin socket
 LAUNCH_ID_BYTES = 8
@@ -192,12 +192,12 @@
         launch, which is in its environment.
         """
         if self.record.process is None and self.record.launch:
-            return find_by_environment(LAUNCH, self.record.launch)
+            return find_by_environment(LAUNCH_VARIABLE, self.record.launch)
         return self.record.process
 
     def _launch(self) -> None:
         """Start the process, storing its launch before and its identity right after."""
-        verdict = self.start_checker.starting(self.name)
+        verdict = self.start_checker.check_start(self.name)
         if not verdict:
             log.error("violation", name=self.name, **verdict.log_fields())
             return
@@ -234,16 +234,16 @@
         return {
             **os.environ,
             **self.spec.env,
-            ADMIN: str(self.admin_socket),
-            GENERATION: str(self.record.generation),
-            LAUNCH: self.record.launch,
+            ADMIN_VARIABLE: str(self.admin_socket),
+            GENERATION_VARIABLE: str(self.record.generation),
+            LAUNCH_VARIABLE: self.record.launch,
         }
 
     def _watch(self, process: Process, adopted: bool) -> None:
         """Store the identity of a running process and wait for its exit."""
         self.process = process
         self.adopted = adopted
-        self.start_checker.started(self.name, process.pid)
+        self.start_checker.record_start(self.name, process.pid)
         self.record.process = process.identity
         self.state_store.instances.save(self.record)
         self._spawn(self._report_exit(process))
@@ -273,7 +273,7 @@
     def _process_exited(self, now_s: float, code: int | None) -> list[Action]:
         ran_s = now_s - self.lifecycle.state_since_s
         self.process = None
-        self.start_checker.ended(self.name)
+        self.start_checker.record_end(self.name)
         self.no_process.set()
         actions = self.lifecycle.exited(now_s, code)
         self.record.process = None
@@ -306,12 +306,14 @@
         target: str,
         message: dict[str, Any] | None = None,
         timeout_s: float = ADMIN_TIMEOUT_S,
-    ) -> Answer:
+    ) -> ApiResponse:
         """Make one call on the instance's admin socket.
 
         Raises ``RequestNotSentError`` or ``ResponseLostError`` if there is no answer.
         """
-        return await ask(at_path(self.admin_socket), method, target, message, timeout_s=timeout_s)
+        return await call_api(
+            unix_opener(self.admin_socket), method, target, message, timeout_s=timeout_s
+        )
 
     def to_dict(self) -> dict[str, Any]:
         """Return the instance's JSON form in the agent's API and in the store."""
--- a/onyxpass/net/response_reader.py
+++ b/onyxpass/net/response_reader.py
@@ -1,4 +1,4 @@
-"""What replicas send: heads, whole chunks, whole events. What does not fit is ``Broken``, never
+"""What replicas send: heads, whole chunks, whole events. What does not fit is ``HttpError``, never
 passed on.
 """
 
@@ -7,8 +7,8 @@
 
 import h11
 
-from onyxpass.core.timer_wheel import Limit, TimerWheel
-from onyxpass.net.http import BODY_LIMIT, Broken, Wire, header
+from onyxpass.core.timer_wheel import Timeout, TimerWheel
+from onyxpass.net.http import BODY_LIMIT, HttpConnection, HttpError, header
 
 EVENT_MOST = BODY_LIMIT  # of one event, and of one chunk
 TAIL = 512  # bytes of the last events in which the usage may stand
@@ -19,7 +19,7 @@
 FIELDS = (b"data", b"event", b"id", b"retry", b"")  # the last: a comment
 
 
-class Spoilt(Broken):
+class Spoilt(HttpError):
     """An answer that had begun and is no use: its request has run, and the state that it needed
     is gone.
     """
@@ -29,14 +29,14 @@
     """A wait between two chunks was ended from outside; nothing is lost."""
 
 
-class Incoming:
+class ResponseReader:
     """One answer from a replica. Gives heads, the end, and the body as bytes, each chunk whole."""
 
-    def __init__(self, wire: Wire, wheel: TimerWheel) -> None:
+    def __init__(self, wire: HttpConnection, wheel: TimerWheel) -> None:
         self.wire, self.wheel = wire, wheel
         self.begun = False  # whether anything of the answer has come
         self.chunked = False
-        self._wait: Limit | None = None  # at present, with nothing of a next part there
+        self._wait: Timeout | None = None  # at present, with nothing of a next part there
         self._nudged = False
         self._parts: list[bytes] = []
         self._tail = b""  # how the last whole chunk ended
@@ -78,7 +78,7 @@
         self._parts.append(bytes(event.data))
         self._size += len(event.data)
         if self._size > EVENT_MOST:  # guards against a chunk of gigabytes that keeps coming
-            raise Broken("a chunk that does not end")
+            raise HttpError("a chunk that does not end")
         if self.chunked and not event.chunk_end:
             return None
         # Guards against a chunk whose size does not fit: what follows is looked at before it is
@@ -100,7 +100,7 @@
             now_us = self.wheel.clock.now_us()
             if part and not self._due_us:
                 self._due_us = now_us + PART_US
-            limit = self.wheel.limit(self._due_us - now_us if part else quiet_us or 0)
+            limit = self.wheel.timeout(self._due_us - now_us if part else quiet_us or 0)
             try:
                 async with limit:
                     self._wait = None if part else limit
@@ -109,13 +109,15 @@
                 if self._nudged:
                     self._nudged = False
                     raise Nudged from None
-                raise Broken("a head or chunk that does not end" if part else "silence") from None
+                raise HttpError(
+                    "a head or chunk that does not end" if part else "silence"
+                ) from None
             finally:
                 self._wait = None
         self.begun = self.begun or self.wire.pending
 
 
-class Events:
+class EventSplitter:
     """Cuts a body into whole server-sent events, byte for byte; the first must be well formed."""
 
     def __init__(self, rest: bytes | None = None) -> None:
@@ -137,7 +139,7 @@
             self._sound = opens(bytes(self._rest[:end]))
         if not end or not self._sound:
             if len(self._rest) > EVENT_MOST:  # guards against an event without an end
-                raise Broken("an event that does not end")
+                raise HttpError("an event that does not end")
             return b""
         whole = bytes(self._rest[:end])
         del self._rest[:end]
@@ -150,18 +152,18 @@
         return min(BODY_LIMIT, int(told[-1])) if told else 0
 
     @property
-    def held(self) -> bytes:
+    def partial_event(self) -> bytes:
         """The part of the next event that has come."""
         return bytes(self._rest)
 
     @property
-    def rest(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Whether an event has begun and not ended."""
         return bool(self._rest)
 
 
 def opens(text: bytes) -> bool:
-    """Whether these whole events hold one with data yet. Broken: they are no events of an
+    """Whether these whole events hold one with data yet. HttpError: they are no events of an
     answer.
     """
     data: list[str] = []
@@ -172,7 +174,7 @@
         for line in lines.split("\n"):
             name, _, value = line.partition(":")
             if line and name.encode() not in FIELDS:
-                raise Broken("not an event")
+                raise HttpError("not an event")
             if line and name == "data":
                 data.append(value.removeprefix(" "))
             elif not line and data:
@@ -181,9 +183,9 @@
             return False
         told = "\n".join(data)
         if told != "[DONE]" and not isinstance(json.loads(told), dict):
-            raise Broken("an event without an object")
+            raise HttpError("an event without an object")
     except (ValueError, RecursionError) as problem:
-        raise Broken(f"not an event: {type(problem).__name__}") from problem
+        raise HttpError(f"not an event: {type(problem).__name__}") from problem
     return True
 
 
