--- a/onyxpass/agent/api.py
+++ b/onyxpass/agent/api.py
@@ -180,7 +180,7 @@
             return _json_reply(202, known.to_dict())
         now_s = time.monotonic()
         if (lock := self._locks.conflicting(parse_rollout(body), now_s)) is not None:
-            raise _locked_refusal(lock, now_s)
+            raise _locked_error(lock, now_s)
         if (running := self._operations.running_on(instance.name)) is not None:
             raise ApiError(409, str(InstanceBusyError(running)), operation=running.to_dict())
         on_end = self._admit_operation(request.lease, operation_id)
@@ -214,7 +214,7 @@
             self._admission.admit(request.lease, f"hold-{request.rollout}")
         lock = self._locks.acquire(request.rollout, request.holder, request.ttl_s, now_s)
         if lock.rollout != request.rollout:
-            raise _locked_refusal(lock, now_s)
+            raise _locked_error(lock, now_s)
         owner = (request.rollout, request.holder)
         if previous is None or (previous.rollout, previous.holder) != owner:
             self._record_lock(request)
@@ -260,6 +260,6 @@
     return status, json.dumps(body).encode() + b"\n"
 
 
-def _locked_refusal(lock: GrantedRolloutLock, now_s: float) -> ApiError:
+def _locked_error(lock: GrantedRolloutLock, now_s: float) -> ApiError:
     reason = f"rollout {lock.rollout} holds this agent"
     return ApiError(409, reason, hold=lock_view(lock, now_s))
--- a/onyxpass/agent/api_views.py
+++ b/onyxpass/agent/api_views.py
@@ -61,9 +61,9 @@
 
 async def _live_status(instance: Instance) -> dict[str, Any]:
     try:
-        answer = await instance.request("GET", "/status", timeout_s=LIVE_STATUS_TIMEOUT_S)
+        response = await instance.request("GET", "/status", timeout_s=LIVE_STATUS_TIMEOUT_S)
     except (RequestNotSentError, ResponseLostError) as error:
         return {"live_problem": str(error)}
-    if answer.status == 200:
-        return {"live": dict(answer.body)}
-    return {"live_problem": answer.reason}
+    if response.status == 200:
+        return {"live": dict(response.body)}
+    return {"live_problem": response.reason}
--- a/onyxpass/agent/operation_steps.py
+++ b/onyxpass/agent/operation_steps.py
@@ -196,7 +196,8 @@
     async def _drain_if_requested(self) -> Detail:
         """Drain the instance if it runs and the options ask for it.
 
-        If the drain fails, the instance is undrained and the operation fails, unless it is forced.
+        If the drain fails, the operation fails unless it is forced. The instance is undrained then,
+        except if it does not answer.
         """
         is_running = self._instance.lifecycle.state is InstanceState.RUNNING
         if not self._options.drain or not is_running:
@@ -250,10 +251,10 @@
         return OperationFailedError(f"{reason} {self._options.deadline_s:g} s after the order")
 
 
-def _successful_body(answer: ApiResponse) -> Detail:
-    if answer.status != 200:
-        raise OperationFailedError(answer.reason)
-    return answer.body
+def _successful_body(response: ApiResponse) -> Detail:
+    if response.status != 200:
+        raise OperationFailedError(response.reason)
+    return response.body
 
 
 def _abbreviated(keys: list[str]) -> str:
