--- a/onyxpass/fleet/cli.py
+++ b/onyxpass/fleet/cli.py
@@ -11,7 +11,7 @@
 from onyxpass.config.platform_file import ConfigError
 from onyxpass.fleet import config as fleet_config
 from onyxpass.fleet import render
-from onyxpass.fleet.config import Fleet, Member
+from onyxpass.fleet.config import FleetConfig, Member
 from onyxpass.fleet.controller import CommandRejectedError, FleetController, Report, with_limits
 from onyxpass.fleet.outcome import ExitCode
 from onyxpass.fleet.record import RolloutRecordError
@@ -22,59 +22,68 @@
 
 fleet_app = typer.Typer(
     no_args_is_help=True,
-    help="Many instances on many hosts. ExitCode codes: 0 all done, 1 some failed or were not tried, "
-    "2 bad input, 3 some unknown, 4 another rollout is under way.",
-)
-rollout_app = typer.Typer(
-    no_args_is_help=True, help="Bring a change to many instances, wave by wave."
+    help="Manage many instances on many hosts. Exit codes: 0 all done, 1 some failed or were not "
+    "tried, 2 bad input, 3 some unknown, 4 another rollout is in progress.",
 )
+rollout_app = typer.Typer(no_args_is_help=True, help="Change many instances wave by wave.")
 fleet_app.add_typer(rollout_app, name="rollout")
 
-Found = TypeVar("Found")
-File = Annotated[
+Result = TypeVar("Result")
+FleetFileOption = Annotated[
     Path, typer.Option("--fleet", envvar="ONYXPASS_FLEET", help="The fleet's TOML file.")
 ]
-Names = Annotated[
-    list[str] | None, typer.Argument(help="Instances by name, with * and ?; none: all.")
+NamesArgument = Annotated[
+    list[str] | None,
+    typer.Argument(help="Names of instances, with * and ?. Without names: all instances."),
 ]
-Where = Annotated[str, typer.Option("--where", help="hall=A|B,host=..,name=..,label.KEY!=..")]
-Json = Annotated[bool, typer.Option("--json", help="For programs.")]
-Deadline = Annotated[
-    float | None, typer.Option("--deadline", min=0.001, help="Seconds for each instance.")
+WhereOption = Annotated[str, typer.Option("--where", help="hall=A|B,host=..,name=..,label.KEY!=..")]
+JsonOption = Annotated[bool, typer.Option("--json", help="Print JSON.")]
+DeadlineOption = Annotated[
+    float | None,
+    typer.Option("--deadline", min=0.001, help="Time limit for each instance, in seconds."),
 ]
-Force = Annotated[
-    bool, typer.Option("--force", help="Cut short what is open at the deadline; reported.")
+ForceOption = Annotated[
+    bool,
+    typer.Option(
+        "--force", help="Abort requests that are still open at the deadline, and report them."
+    ),
 ]
-Regardless = Annotated[
-    bool, typer.Option("--regardless", help="Even if this passes the fleet's limits.")
+RegardlessOption = Annotated[
+    bool,
+    typer.Option("--regardless", help="Run the command even if it exceeds the fleet's limits."),
 ]
-Notice = Annotated[
-    float, typer.Option("--notice", min=0, help="Seconds for which what still comes is served.")
+NoticeOption = Annotated[
+    float, typer.Option("--notice", min=0, help="Seconds for which new requests are still served.")
 ]
-DEFAULT = Path("deploy/fleet.toml")
+DEFAULT_FLEET_FILE = Path("deploy/fleet.toml")
 
 
-def stop(text: str, code: ExitCode) -> typer.Exit:
+def error_exit(text: str, code: ExitCode) -> typer.Exit:
     typer.echo(f"onyxpass: {text}", err=True)
     return typer.Exit(int(code))
 
 
-def guarded(work: Callable[[], Found]) -> Found:
-    """Every fault of the input is one line and exit code 2, before anything is done."""
+def exit_on_input_error(work: Callable[[], Result]) -> Result:
+    """Return the result of ``work``; report bad input or a locked rollout in one line and exit.
+
+    The exit code is 2 for bad input and 4 for a rollout that another process holds.
+    """
     try:
         return work()
-    except (ConfigError, SelectorError, CommandRejectedError, RolloutRecordError) as problem:
-        raise stop(str(problem), ExitCode.BAD_INPUT) from problem
-    except RolloutLockedError as problem:
-        raise stop(str(problem), ExitCode.HELD) from problem
+    except (ConfigError, SelectorError, CommandRejectedError, RolloutRecordError) as error:
+        raise error_exit(str(error), ExitCode.BAD_INPUT) from error
+    except RolloutLockedError as error:
+        raise error_exit(str(error), ExitCode.HELD) from error
 
 
-def opened(path: Path, names: list[str] | None, where: str) -> tuple[Fleet, tuple[Member, ...]]:
+def load_selection(
+    path: Path, names: list[str] | None, where: str
+) -> tuple[FleetConfig, tuple[Member, ...]]:
     fleet = fleet_config.load(path)
     return fleet, select(fleet.members, names or (), where)
 
 
-def finish(report: Report, json: bool, show: Callable[[Report], None]) -> None:
+def report_and_exit(report: Report, json: bool, show: Callable[[Report], None]) -> None:
     if json:
         render.as_json(report.to_dict())
     else:
@@ -82,8 +91,8 @@
     raise typer.Exit(int(report.tally.exit_code()))
 
 
-def run(work: Coroutine[Any, Any, Found]) -> Found:
-    return guarded(lambda: asyncio.run(work))
+def run_async(work: Coroutine[Any, Any, Result]) -> Result:
+    return exit_on_input_error(lambda: asyncio.run(work))
 
 
 @fleet_app.callback()
@@ -95,29 +104,32 @@
 
 @fleet_app.command("list")
 def list_(
-    names: Names = None,
-    fleet: File = DEFAULT,
-    where: Where = "",
-    json: Json = False,
+    names: NamesArgument = None,
+    fleet: FleetFileOption = DEFAULT_FLEET_FILE,
+    where: WhereOption = "",
+    json: JsonOption = False,
     deadline: float = 3.0,
 ) -> None:
-    """How each instance stands: state, configuration, what is open, its drain."""
-    found, members = guarded(lambda: opened(fleet, names, where))
-    controller = guarded(lambda: FleetController(found))
-    finish(run(controller.survey(members, deadline)), json, render.survey)
+    """List the state, configuration, open requests and drain of each instance."""
+    loaded_fleet, members = exit_on_input_error(lambda: load_selection(fleet, names, where))
+    controller = exit_on_input_error(lambda: FleetController(loaded_fleet))
+    report_and_exit(run_async(controller.survey(members, deadline)), json, render.survey)
 
 
 @fleet_app.command("inspect")
 def inspect(
-    names: Names = None, fleet: File = DEFAULT, where: Where = "", deadline: float = 3.0
+    names: NamesArgument = None,
+    fleet: FleetFileOption = DEFAULT_FLEET_FILE,
+    where: WhereOption = "",
+    deadline: float = 3.0,
 ) -> None:
-    """All that is known of instances, as JSON: figures, configuration, last exits."""
-    found, members = guarded(lambda: opened(fleet, names, where))
-    controller = guarded(lambda: FleetController(found))
-    finish(run(controller.inspect(members, deadline)), True, render.survey)
+    """Show all that is known of instances, as JSON: figures, configuration, last exits."""
+    loaded_fleet, members = exit_on_input_error(lambda: load_selection(fleet, names, where))
+    controller = exit_on_input_error(lambda: FleetController(loaded_fleet))
+    report_and_exit(run_async(controller.inspect(members, deadline)), True, render.survey)
 
 
-def ordered(
+def run_order(
     kind: str,
     path: Path,
     names: list[str] | None,
@@ -127,128 +139,157 @@
     options: Mapping[str, Any],
     regardless: bool = False,
 ) -> None:
-    found, members = guarded(lambda: opened(path, names, where))
-    controller = guarded(lambda: FleetController(found))
-    deadline_s = deadline or found.limits.deadline_s
+    loaded_fleet, members = exit_on_input_error(lambda: load_selection(path, names, where))
+    controller = exit_on_input_error(lambda: FleetController(loaded_fleet))
+    deadline_s = deadline or loaded_fleet.limits.deadline_s
     order = controller.order(kind, members, deadline_s, options, regardless=regardless)
-    report = run(order if json else render.watched(controller, members, order))
-    finish(report, json, render.outcomes)
+    report = run_async(order if json else render.watched(controller, members, order))
+    report_and_exit(report, json, render.outcomes)
 
 
 @fleet_app.command("reload")
 def reload(
-    names: Names = None,
-    fleet: File = DEFAULT,
-    where: Where = "",
-    json: Json = False,
-    deadline: Deadline = None,
+    names: NamesArgument = None,
+    fleet: FleetFileOption = DEFAULT_FLEET_FILE,
+    where: WhereOption = "",
+    json: JsonOption = False,
+    deadline: DeadlineOption = None,
     restart: Annotated[
-        bool, typer.Option("--restart", help="Restart where that is needed.")
+        bool, typer.Option("--restart", help="Restart instances whose change needs a restart.")
     ] = False,
 ) -> None:
-    """Let instances read their files again. Done: the new digest was read back from the
-    instance.
+    """Have instances read their files again.
+
+    An instance is done once its new digest has been read back from it.
     """
-    ordered("reload", fleet, names, where, json, deadline, {"restart": restart})
+    run_order("reload", fleet, names, where, json, deadline, {"restart": restart})
 
 
 @fleet_app.command("drain")
 def drain(
-    names: Names = None,
-    fleet: File = DEFAULT,
-    where: Where = "",
-    json: Json = False,
-    deadline: Deadline = None,
-    notice: Notice = 1.0,
-    force: Force = False,
-    regardless: Regardless = False,
+    names: NamesArgument = None,
+    fleet: FleetFileOption = DEFAULT_FLEET_FILE,
+    where: WhereOption = "",
+    json: JsonOption = False,
+    deadline: DeadlineOption = None,
+    notice: NoticeOption = 1.0,
+    force: ForceOption = False,
+    regardless: RegardlessOption = False,
 ) -> None:
-    """Take nothing new, and wait till the last final answer has gone out."""
+    """Stop taking new requests and wait until the last final answer has been sent."""
     options = {"force": force, "notice_ms": round(notice * 1000)}
-    ordered("drain", fleet, names, where, json, deadline, options, regardless)
+    run_order("drain", fleet, names, where, json, deadline, options, regardless)
 
 
 @fleet_app.command("undrain")
 def undrain(
-    names: Names = None,
-    fleet: File = DEFAULT,
-    where: Where = "",
-    json: Json = False,
-    deadline: Deadline = None,
+    names: NamesArgument = None,
+    fleet: FleetFileOption = DEFAULT_FLEET_FILE,
+    where: WhereOption = "",
+    json: JsonOption = False,
+    deadline: DeadlineOption = None,
 ) -> None:
-    """Serve again."""
-    ordered("undrain", fleet, names, where, json, deadline, {})
+    """Serve again after a drain."""
+    run_order("undrain", fleet, names, where, json, deadline, {})
 
 
 @fleet_app.command("restart")
 def restart(
-    names: Names = None,
-    fleet: File = DEFAULT,
-    where: Where = "",
-    json: Json = False,
-    deadline: Deadline = None,
-    force: Force = False,
-    no_drain: Annotated[bool, typer.Option("--no-drain", help="SIGTERM at once.")] = False,
-    regardless: Regardless = False,
+    names: NamesArgument = None,
+    fleet: FleetFileOption = DEFAULT_FLEET_FILE,
+    where: WhereOption = "",
+    json: JsonOption = False,
+    deadline: DeadlineOption = None,
+    force: ForceOption = False,
+    no_drain: Annotated[
+        bool, typer.Option("--no-drain", help="Send SIGTERM without a drain.")
+    ] = False,
+    regardless: RegardlessOption = False,
 ) -> None:
-    """Drain and restart instances, all of the selected at once; a rollout goes by waves."""
+    """Drain and restart all selected instances at once; a rollout restarts them in waves."""
     options = {"force": force, "drain": not no_drain}
-    ordered("restart", fleet, names, where, json, deadline, options, regardless)
+    run_order("restart", fleet, names, where, json, deadline, options, regardless)
 
 
 @fleet_app.command("events")
 def events(
-    fleet: File = DEFAULT,
-    json: Json = False,
-    follow: Annotated[bool, typer.Option("--follow", help="Go on till Ctrl-C.")] = False,
+    fleet: FleetFileOption = DEFAULT_FLEET_FILE,
+    json: JsonOption = False,
+    follow: Annotated[
+        bool, typer.Option("--follow", help="Print new events until Ctrl-C.")
+    ] = False,
     deadline: float = 3.0,
 ) -> None:
-    """What has happened at all agents, by time."""
-    found = guarded(lambda: fleet_config.load(fleet))
-    controller = guarded(lambda: FleetController(found))
-    since: dict[str, int] = {}
-    silent: list[str] = []
+    """List the events of all agents, sorted by time."""
+    loaded_fleet = exit_on_input_error(lambda: fleet_config.load(fleet))
+    controller = exit_on_input_error(lambda: FleetController(loaded_fleet))
+    last_numbers: dict[str, int] = {}  # by host
+    errors: list[str] = []
     try:
         while True:
-            news, silent = run(controller.events(since, deadline))
-            for event in news:
-                since[event["host"]] = max(since.get(event["host"], 0), event["number"])
+            new_events, errors = run_async(controller.events(last_numbers, deadline))
+            for event in new_events:
+                last_numbers[event["host"]] = max(
+                    last_numbers.get(event["host"], 0), event["number"]
+                )
             if json:
-                for event in news:
+                for event in new_events:
                     render.as_json(event)
             else:
-                render.events(news)
+                render.events(new_events)
             if not follow:
                 break
             time.sleep(1.0)
     except KeyboardInterrupt:
         raise typer.Exit(0) from None
-    for problem in silent:
-        typer.echo(f"onyxpass: {problem}", err=True)
-    raise typer.Exit(int(ExitCode.UNKNOWN if silent else ExitCode.DONE))
+    for error in errors:
+        typer.echo(f"onyxpass: {error}", err=True)
+    raise typer.Exit(int(ExitCode.UNKNOWN if errors else ExitCode.DONE))
 
 
-Out = Annotated[
-    str | None, typer.Option("--out", help="At once in all: a number, or a share such as 25%.")
+OutOption = Annotated[
+    str | None,
+    typer.Option(
+        "--out",
+        help="Instances out of service at once in the fleet: a number, or a share such as 25%.",
+    ),
 ]
-OutHall = Annotated[str | None, typer.Option("--out-hall", help="At once in a hall.")]
-OutHost = Annotated[int | None, typer.Option("--out-host", help="At once on a host.")]
-Canaries = Annotated[int | None, typer.Option("--canaries", help="So many go first, alone.")]
-PauseS = Annotated[float | None, typer.Option("--pause", help="Seconds after each wave.")]
-AbortAfter = Annotated[
-    int | None, typer.Option("--abort-after", help="So many failed or unknown ones.")
+OutHallOption = Annotated[
+    str | None,
+    typer.Option(
+        "--out-hall",
+        help="Instances out of service at once in a hall: a number, or a share of the smallest hall.",
+    ),
+]
+OutHostOption = Annotated[
+    int | None, typer.Option("--out-host", help="Instances out of service at once on a host.")
+]
+CanariesOption = Annotated[
+    int | None,
+    typer.Option(
+        "--canaries", help="Number of instances that are changed first, before any others."
+    ),
+]
+PauseOption = Annotated[
+    float | None, typer.Option("--pause", help="Pause after each wave, in seconds.")
+]
+AbortAfterOption = Annotated[
+    int | None,
+    typer.Option(
+        "--abort-after", help="Abort once this many instances have failed or are unknown."
+    ),
 ]
 MethodOption = Annotated[
-    ChangeMethod, typer.Option("--method", help="auto: reload, and restart where needed.")
+    ChangeMethod, typer.Option("--method", help="auto: reload, and restart where that is needed.")
 ]
 
 
-def number_or_share(text: str | None) -> int | str | None:
+def parse_count_or_share(text: str | None) -> int | str | None:
     return int(text) if text is not None and text.isascii() and text.isdigit() else text
 
 
-def limited(
-    fleet: Fleet,
+def override_limits(
+    fleet: FleetConfig,
     out: str | None,
     out_hall: str | None,
     out_host: int | None,
@@ -256,11 +297,11 @@
     pause: float | None,
     abort_after: int | None,
     deadline: float | None,
-) -> Fleet:
+) -> FleetConfig:
     return with_limits(
         fleet,
-        out=number_or_share(out),
-        out_hall=number_or_share(out_hall),
+        out=parse_count_or_share(out),
+        out_hall=parse_count_or_share(out_hall),
         out_host=out_host,
         canaries=canaries,
         pause_s=pause,
@@ -271,93 +312,99 @@
 
 @rollout_app.command("plan")
 def rollout_plan(
-    names: Names = None,
-    fleet: File = DEFAULT,
-    where: Where = "",
-    json: Json = False,
+    names: NamesArgument = None,
+    fleet: FleetFileOption = DEFAULT_FLEET_FILE,
+    where: WhereOption = "",
+    json: JsonOption = False,
     method: MethodOption = ChangeMethod.AUTO,
-    out: Out = None,
-    out_hall: OutHall = None,
-    out_host: OutHost = None,
-    canaries: Canaries = None,
+    out: OutOption = None,
+    out_hall: OutHallOption = None,
+    out_host: OutHostOption = None,
+    canaries: CanariesOption = None,
 ) -> None:
-    """The waves as they would be if each change went well. Nothing is done."""
-    found, members = guarded(lambda: opened(fleet, names, where))
-    found = guarded(lambda: limited(found, out, out_hall, out_host, canaries, None, None, None))
-    controller = guarded(lambda: FleetController(found))
-    waves, targets, beside, _ = run(controller.plan_rollout(members, method))
-    changing = {unit.name for wave in waves.waves for unit in wave} | set(waves.impossible)
-    same = sorted(targets.keys() - changing)
+    """Show the waves that follow if each change succeeds. Nothing is changed."""
+    loaded_fleet, members = exit_on_input_error(lambda: load_selection(fleet, names, where))
+    loaded_fleet = exit_on_input_error(
+        lambda: override_limits(loaded_fleet, out, out_hall, out_host, canaries, None, None, None)
+    )
+    controller = exit_on_input_error(lambda: FleetController(loaded_fleet))
+    plan, targets, excluded, _ = run_async(controller.plan_rollout(members, method))
+    changing = {unit.name for wave in plan.waves for unit in wave} | set(plan.impossible)
+    unchanged = sorted(targets.keys() - changing)
     if json:
         render.as_json(
             {
-                "waves": [[unit.name for unit in wave] for wave in waves.waves],
-                "impossible": dict(waves.impossible),
-                "beside": {name: outcome.to_dict() for name, outcome in beside.items()},
-                "same": same,
+                "waves": [[unit.name for unit in wave] for wave in plan.waves],
+                "impossible": dict(plan.impossible),
+                "beside": {name: outcome.to_dict() for name, outcome in excluded.items()},
+                "same": unchanged,
             }
         )
     else:
-        render.plan(waves, beside, same)
-    raise typer.Exit(int(ExitCode.FAILED if beside or waves.impossible else ExitCode.DONE))
+        render.plan(plan, excluded, unchanged)
+    raise typer.Exit(int(ExitCode.FAILED if excluded or plan.impossible else ExitCode.DONE))
 
 
 @rollout_app.command("run")
 def rollout_run(
-    names: Names = None,
-    fleet: File = DEFAULT,
-    where: Where = "",
-    json: Json = False,
+    names: NamesArgument = None,
+    fleet: FleetFileOption = DEFAULT_FLEET_FILE,
+    where: WhereOption = "",
+    json: JsonOption = False,
     method: MethodOption = ChangeMethod.AUTO,
-    deadline: Deadline = None,
-    force: Force = False,
-    out: Out = None,
-    out_hall: OutHall = None,
-    out_host: OutHost = None,
-    canaries: Canaries = None,
-    pause: PauseS = None,
-    abort_after: AbortAfter = None,
+    deadline: DeadlineOption = None,
+    force: ForceOption = False,
+    out: OutOption = None,
+    out_hall: OutHallOption = None,
+    out_host: OutHostOption = None,
+    canaries: CanariesOption = None,
+    pause: PauseOption = None,
+    abort_after: AbortAfterOption = None,
 ) -> None:
-    """Bring the files as they are now to all selected instances, wave by wave."""
-    found, members = guarded(lambda: opened(fleet, names, where))
-    found = guarded(
-        lambda: limited(found, out, out_hall, out_host, canaries, pause, abort_after, deadline)
+    """Apply the present configuration files to all selected instances, wave by wave."""
+    loaded_fleet, members = exit_on_input_error(lambda: load_selection(fleet, names, where))
+    loaded_fleet = exit_on_input_error(
+        lambda: override_limits(
+            loaded_fleet, out, out_hall, out_host, canaries, pause, abort_after, deadline
+        )
     )
-    controller = guarded(lambda: FleetController(found))
-    order = ChangeOrder(method, found.limits.deadline_s, force)
-    id, report = run(
+    controller = exit_on_input_error(lambda: FleetController(loaded_fleet))
+    order = ChangeOrder(method, loaded_fleet.limits.deadline_s, force)
+    id, report = run_async(
         controller.run_rollout(members, order, (lambda *_: None) if json else render.step)
     )
     if not json:
         typer.echo(f"rollout {id}")
-    finish(report, json, render.outcomes)
+    report_and_exit(report, json, render.outcomes)
 
 
 @rollout_app.command("resume")
 def rollout_resume(
-    id: Annotated[str, typer.Argument(help="The rollout; the latest, if none is named.")] = "",
-    fleet: File = DEFAULT,
-    json: Json = False,
+    id: Annotated[str, typer.Argument(help="Id of the rollout; the latest by default.")] = "",
+    fleet: FleetFileOption = DEFAULT_FLEET_FILE,
+    json: JsonOption = False,
 ) -> None:
-    """Go on with a rollout whose tool was ended, from what is really so."""
-    found = guarded(lambda: fleet_config.load(fleet))
-    controller = guarded(lambda: FleetController(found))
-    id, report = run(controller.resume_rollout(id, (lambda *_: None) if json else render.step))
+    """Resume a rollout whose process has ended, from the present state of its instances."""
+    loaded_fleet = exit_on_input_error(lambda: fleet_config.load(fleet))
+    controller = exit_on_input_error(lambda: FleetController(loaded_fleet))
+    id, report = run_async(
+        controller.resume_rollout(id, (lambda *_: None) if json else render.step)
+    )
     if not json:
         typer.echo(f"rollout {id}")
-    finish(report, json, render.outcomes)
+    report_and_exit(report, json, render.outcomes)
 
 
 @rollout_app.command("status")
 def rollout_status(
-    id: Annotated[str, typer.Argument(help="The rollout; the latest, if none is named.")] = "",
-    fleet: File = DEFAULT,
-    json: Json = False,
+    id: Annotated[str, typer.Argument(help="Id of the rollout; the latest by default.")] = "",
+    fleet: FleetFileOption = DEFAULT_FLEET_FILE,
+    json: JsonOption = False,
 ) -> None:
-    """A rollout as it is on record, and who runs it."""
-    found = guarded(lambda: fleet_config.load(fleet))
-    controller = guarded(lambda: FleetController(found))
-    recorded, holder = guarded(lambda: controller.rollout_status(id))
+    """Show a recorded rollout, and who runs it."""
+    loaded_fleet = exit_on_input_error(lambda: fleet_config.load(fleet))
+    controller = exit_on_input_error(lambda: FleetController(loaded_fleet))
+    recorded, holder = exit_on_input_error(lambda: controller.rollout_status(id))
     if json:
         render.as_json(render.recorded_told(recorded, holder))
     else:
@@ -366,35 +413,38 @@
 
 @rollout_app.command("abort")
 def rollout_abort(
-    id: Annotated[str, typer.Argument(help="The rollout; the latest, if none is named.")] = "",
-    fleet: File = DEFAULT,
-    why: Annotated[str, typer.Option("--why", help="For the record.")] = "aborted by an operator",
+    id: Annotated[str, typer.Argument(help="Id of the rollout; the latest by default.")] = "",
+    fleet: FleetFileOption = DEFAULT_FLEET_FILE,
+    why: Annotated[
+        str, typer.Option("--why", help="Reason that is recorded.")
+    ] = "aborted by an operator",
 ) -> None:
-    """Order nothing more. What was ordered is waited for by the tool that runs the rollout."""
-    found = guarded(lambda: fleet_config.load(fleet))
-    controller = guarded(lambda: FleetController(found))
-    id, runs = run(controller.abort_rollout(id, why))
+    """Send no further orders. The process that runs the rollout waits for those already sent."""
+    loaded_fleet = exit_on_input_error(lambda: fleet_config.load(fleet))
+    controller = exit_on_input_error(lambda: FleetController(loaded_fleet))
+    id, is_running = run_async(controller.abort_rollout(id, why))
     typer.echo(
-        f"rollout {id}: " + ("its tool ends it before its next order" if runs else "aborted")
+        f"rollout {id}: "
+        + ("the process that runs it ends it before the next order" if is_running else "aborted")
     )
 
 
 @fleet_app.command("check")
-def check(fleet: File = DEFAULT) -> None:
-    """Read the file and say what it holds; exit code 2 if it is no use."""
-    found = guarded(lambda: fleet_config.load(fleet))
+def check(fleet: FleetFileOption = DEFAULT_FLEET_FILE) -> None:
+    """Check the fleet's file and print a summary; exit code 2 if the file is invalid."""
+    loaded_fleet = exit_on_input_error(lambda: fleet_config.load(fleet))
     halls = ", ".join(
-        f"{hall} ({sum(m.hall == hall for m in found.members)}, keeps {found.keep[hall]:g})"
-        for hall in found.halls
+        f"{hall} ({sum(m.hall == hall for m in loaded_fleet.members)}, keeps {loaded_fleet.keep[hall]:g})"
+        for hall in loaded_fleet.halls
     )
     typer.echo(
-        f"{found.name}: {len(found.members)} instances under {len(found.agents)} agents; halls: {halls}"
+        f"{loaded_fleet.name}: {len(loaded_fleet.members)} instances under {len(loaded_fleet.agents)} agents; halls: {halls}"
     )
 
 
 @fleet_app.command("schema")
 def schema() -> None:
-    """The JSON Schema of the fleet's file."""
+    """Print the JSON Schema of the fleet's file."""
     from onyxpass.config.toml_config import schema_text
 
     typer.echo(schema_text(fleet_config.FleetFile, "onyxpass fleet file"), nl=False)
--- a/onyxpass/fleet/config.py
+++ b/onyxpass/fleet/config.py
@@ -1,4 +1,4 @@
-"""The operators' file of the fleet: halls, agents, instances, and the limits of a rollout."""
+"""The fleet's configuration file: halls, agents, instances, and the limits of a rollout."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -19,7 +19,7 @@
 class HallTable(toml_config.Model):
     name: Name
     keep: Share | Annotated[float, Field(ge=0)] = (
-        "50%"  # of its capacity, or in units of it, always in service
+        "50%"  # capacity that always stays in service: a share of the hall's, or in its units
     )
 
 
@@ -33,7 +33,7 @@
     host: Name
     hall: Name
     address: toml_config.PlaceText
-    key: str | None = None  # else the fleet's
+    key: str | None = None  # file with the agent's key; the fleet's key by default
     instances: list[InstanceTable]
 
 
@@ -48,52 +48,54 @@
     out_hall: Share | Count = "34%"
     out_host: Count = 1
     canaries: Annotated[int, Field(ge=0, le=1_000)] = 1
-    pause_s: Seconds = 5.0  # after each wave
-    abort_after: Count = 1  # so many failed or unknown ones
-    deadline_s: Annotated[float, Field(gt=0, le=86_400)] = 60.0  # for each instance
+    pause_s: Seconds = 5.0  # pause after each wave
+    abort_after: Count = 1  # failed or unknown instances at which the rollout aborts
+    deadline_s: Annotated[float, Field(gt=0, le=86_400)] = 60.0  # time limit for each instance
 
 
 class StoreTable(toml_config.Model):
     """Where rollouts take their leases. Without it each agent alone holds them apart."""
 
     url: str
-    # a dead tool's lease is free again after it
+    # time to live of a lease; the lease of a process that has ended is free again after it
     lease_s: Annotated[float, Field(ge=0.2, le=600)] = 15.0
-    # no tool's is longer; alike in all files
+    # maximum of lease_s; must be the same in the files of all operators
     longest_s: Annotated[float, Field(ge=0.2, le=600)] = 30.0
-    wait_s: Annotated[float, Field(ge=0, le=86_400)] = 45.0  # for which a rollout waits for it
+    wait_s: Annotated[float, Field(ge=0, le=86_400)] = (
+        45.0  # maximum wait of a rollout for each lease
+    )
 
 
 class FleetFile(toml_config.Model):
     name: Name
-    key: str  # the file with the key of the agents
-    state: str = "fleet-state"  # the folder in which rollouts are recorded
+    key: str  # file with the agents' key
+    state: str = "fleet-state"  # folder in which rollouts are recorded
     limits: LimitsTable = Field(default_factory=LimitsTable)
     store: StoreTable | None = None
     halls: list[HallTable]
     agents: list[AgentTable]
 
     def faults(self) -> Iterable[tuple[tuple[toml_config.Step, ...], str]]:
-        """Names that stand twice, halls that are not named, and more to keep than there is."""
+        """Yield duplicate names, unknown halls, and halls that keep more than their capacity."""
         if self.store is not None and self.store.lease_s > self.store.longest_s:
             yield (
                 ("store", "lease_s"),
                 f"a lease of {self.store.lease_s:g} s, of {self.store.longest_s:g} at most",
             )
         halls = [hall.name for hall in self.halls]
-        named: list[tuple[str, str, tuple[toml_config.Step, ...]]] = [
+        names: list[tuple[str, str, tuple[toml_config.Step, ...]]] = [
             ("halls", name, ("halls", i, "name")) for i, name in enumerate(halls)
         ]
         for i, agent in enumerate(self.agents):
-            named.append(("hosts", agent.host, ("agents", i, "host")))
-            named.append(("agents' addresses", agent.address, ("agents", i, "address")))
+            names.append(("hosts", agent.host, ("agents", i, "host")))
+            names.append(("agents' addresses", agent.address, ("agents", i, "address")))
             for j, instance in enumerate(agent.instances):
-                named.append(("instances", instance.name, ("agents", i, "instances", j, "name")))
+                names.append(("instances", instance.name, ("agents", i, "instances", j, "name")))
             if agent.hall not in halls:
-                near = toml_config.likely(agent.hall, halls)
-                yield ("agents", i, "hall"), f"hall {agent.hall!r} is not named{near}"
+                hint = toml_config.likely(agent.hall, halls)
+                yield ("agents", i, "hall"), f"hall {agent.hall!r} is not named{hint}"
         seen: set[tuple[str, str]] = set()
-        for what, name, where in named:
+        for what, name, where in names:
             if (what, name) in seen:
                 yield where, f"{name!r} stands among the {what} twice"
             seen.add((what, name))
@@ -111,7 +113,7 @@
         )
 
     def keep(self, hall: HallTable) -> float:
-        """In units of capacity."""
+        """Return the capacity of a hall that must stay in service, in units of capacity."""
         if isinstance(hall.keep, str):
             return self.capacity(hall.name) * int(hall.keep.removesuffix("%")) / 100
         return hall.keep
@@ -127,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One instance of the fleet."""
+    """One instance of the fleet, and the agent that manages it."""
 
     name: str
     agent: AgentRef
@@ -144,10 +146,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fleet:
+class FleetConfig:
     name: str
     members: tuple[Member, ...]
-    keep: dict[str, float]  # by hall: capacity that must be in service
+    keep: dict[str, float]  # capacity that must stay in service, by hall
     limits: LimitsTable
     state: Path
     halls: tuple[str, ...] = field(default=())
@@ -158,28 +160,38 @@
         return tuple({member.agent.host: member.agent for member in self.members}.values())
 
 
-def count_of(share: str | int, whole: int) -> int:
-    """``"25%"`` of a number of instances, at least one; or the number that is told."""
+def count_of(share: str | int, total: int) -> int:
+    """Return a share, such as ``"25%"``, of ``total``, at least 1; a number is returned as is."""
     if isinstance(share, int):
         return share
-    return max(1, whole * int(share.removesuffix("%")) // 100)
+    return max(1, total * int(share.removesuffix("%")) // 100)
 
 
-def _fleet(file: FleetFile, base: Path) -> Fleet:
+def _fleet_config(file: FleetFile, base: Path) -> FleetConfig:
     members = []
     for table in file.agents:
         agent = AgentRef(
             table.host, table.hall, Address.parse(table.address), base / (table.key or file.key)
         )
-        for entry in table.instances:
+        for instance in table.instances:
             members.append(
-                Member(entry.name, agent, entry.capacity, tuple(sorted(entry.labels.items())))
+                Member(
+                    instance.name,
+                    agent,
+                    instance.capacity,
+                    tuple(sorted(instance.labels.items())),
+                )
             )
     keep = {hall.name: file.keep(hall) for hall in file.halls}
-    names = tuple(hall.name for hall in file.halls)
-    return Fleet(file.name, tuple(members), keep, file.limits, base / file.state, names, file.store)
+    halls = tuple(hall.name for hall in file.halls)
+    return FleetConfig(
+        file.name, tuple(members), keep, file.limits, base / file.state, halls, file.store
+    )
+
 
+def load(path: Path) -> FleetConfig:
+    """Read a fleet's file.
 
-def load(path: Path) -> Fleet:
-    """ConfigError with file, line and reason where it is no use."""
-    return _fleet(toml_config.read(FleetFile, path), path.parent)
+    Raises ConfigError with file, line and reason if the file is invalid.
+    """
+    return _fleet_config(toml_config.read(FleetFile, path), path.parent)
--- a/onyxpass/fleet/controller.py
+++ b/onyxpass/fleet/controller.py
@@ -9,7 +9,7 @@
 
 from onyxpass.config.platform_file import ConfigError
 from onyxpass.fleet.agent_client import AgentClient
-from onyxpass.fleet.config import Fleet, Member
+from onyxpass.fleet.config import FleetConfig, Member
 from onyxpass.fleet.outcome import InstanceOutcome, OutcomeTally, failed, not_tried, unknown
 from onyxpass.fleet.planner import Plan, Planner, plan
 from onyxpass.fleet.record import RecordedRollout, RolloutRecord, RolloutState
@@ -63,7 +63,7 @@
 
 
 class FleetController:
-    def __init__(self, fleet: Fleet) -> None:
+    def __init__(self, fleet: FleetConfig) -> None:
         """ConfigError where a key is no use."""
         self.fleet = fleet
         self.agent_client = AgentClient(fleet.agents)
@@ -345,7 +345,7 @@
             record.close()
 
 
-def with_limits(fleet: Fleet, **changes: Any) -> Fleet:
+def with_limits(fleet: FleetConfig, **changes: Any) -> FleetConfig:
     """The fleet with some of its limits told otherwise on the command line."""
     given = {key: value for key, value in changes.items() if value is not None}
     if not given:
--- a/onyxpass/fleet/leases.py
+++ b/onyxpass/fleet/leases.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from onyxpass.fleet.agent_client import AgentClient
-from onyxpass.fleet.config import AgentRef, Fleet, Member
+from onyxpass.fleet.config import AgentRef, FleetConfig, Member
 from onyxpass.fleet.rollout_lock import RolloutLockedError
 from onyxpass.leases.event_log import boottime_ms, record_event
 from onyxpass.leases.holder import LeaseHolder
@@ -34,7 +34,7 @@
     """
 
     def __init__(
-        self, fleet: Fleet, agents: AgentClient, reason: str, on_lost: Callable[[str], None]
+        self, fleet: FleetConfig, agents: AgentClient, reason: str, on_lost: Callable[[str], None]
     ) -> None:
         if fleet.store is None:
             raise ValueError(f"fleet {fleet.name} has no store for leases")
--- a/onyxpass/fleet/planner.py
+++ b/onyxpass/fleet/planner.py
@@ -1,18 +1,19 @@
-"""Which instances may be out of service together, without I/O.
+"""Plans which instances may be out of service together, without I/O.
 
-A planner is asked for the next wave, and told how each instance of it ended; so every wave is
-planned anew from what is really so. In each state, whatever the order of results:
+The planner returns one wave at a time and is told how each instance of the wave ended, so that each
+wave is planned from the present state. In each state, whatever the order of results:
 
 - at most ``out`` instances are out in all, ``out_hall`` of a hall, ``out_host`` of a host;
 - each hall has its ``keep`` of capacity in service.
 
-An instance is out while it changes, and for as long as it is not well. What breaks by itself may
-pass a limit; the planner then takes nothing more out there until it holds again. One that is out of
-service already costs its hall nothing, so it may be changed even where the hall has nothing to
-spare.
+An instance is out while it changes, and for as long as it is not in service. An instance that fails
+by itself may exceed a limit; the planner then takes nothing more out under that limit until it is
+met again. An instance that is already out of service costs its hall no capacity, so it may be
+changed even if the hall has no capacity to spare.
 
-The limits nest (hosts in halls in all), so taking first from where most turns are still needed
-gives, for instances of one capacity, no more waves than the tightest limit alone would.
+The limits are nested (hosts within halls within the fleet). Taking first from the halls and hosts
+that still need the most waves therefore gives, for instances of one capacity, no more waves than
+the tightest limit alone would.
 """
 
 import heapq
@@ -32,248 +33,295 @@
 
 @dataclass(frozen=True, slots=True)
 class DisruptionLimits:
+    """Limits on instances that are out of service together: in all, of a hall and of a host."""
+
     out: int
     out_hall: int
     out_host: int
-    keep: Mapping[str, float]  # by hall, in units of capacity
+    keep: Mapping[str, float]  # capacity that stays in service, by hall
 
 
-SLACK = 1e-9  # capacities are sums of fractions
+CAPACITY_TOLERANCE = 1e-9  # for rounding errors in sums of capacities
 
 
-class Host:
-    """The instances of one host that still wait for their turn, and are in service."""
+class HostState:
+    """The instances of one host that are in service and wait for their change."""
 
     __slots__ = ("name", "out", "waiting")
 
     def __init__(self, name: str) -> None:
         self.name, self.out = name, 0
-        self.waiting: list[PlannedInstance] = []  # the largest stands last
+        self.waiting: list[PlannedInstance] = []  # by capacity, the largest last
+
 
+class HallState:
+    """The state of one hall.
 
-class Hall:
-    """``queue``: its hosts with someone waiting, those first where most turns are needed."""
+    ``queue`` is a heap of the hosts with waiting instances; the host that needs the most waves
+    comes first.
+    """
 
-    __slots__ = ("broken", "hosts", "keep", "least", "left", "name", "out", "queue", "serving")
+    __slots__ = (
+        "hosts",
+        "keep",
+        "min_waiting_capacity",
+        "name",
+        "out",
+        "queue",
+        "serving_capacity",
+        "waiting_count",
+        "waiting_out",
+    )
 
     def __init__(self, name: str, keep: float) -> None:
         self.name, self.keep = name, keep
-        self.hosts: dict[str, Host] = {}
+        self.hosts: dict[str, HostState] = {}
         self.queue: list[tuple[int, str]] = []
-        self.broken: set[str] = set()  # out of service, and waiting for the change all the same
-        self.left = 0  # instances that wait for their turn
+        self.waiting_out: set[str] = set()  # out of service, and waiting for their change
+        self.waiting_count = 0  # instances that wait for their change
         self.out = 0
-        self.serving = 0.0  # capacity in service
-        self.least = math.inf  # no instance that waits has a smaller capacity
+        self.serving_capacity = 0.0
+        self.min_waiting_capacity = math.inf  # no waiting instance has a smaller capacity
 
-    def turns(self, limits: DisruptionLimits) -> int:
-        """Waves that are still needed here, at least."""
+    def min_remaining_waves(self, limits: DisruptionLimits) -> int:
+        """Return a lower bound on the waves that this hall still needs."""
         hosts = -self.queue[0][0] if self.queue else 0
-        return max(hosts, -(-self.left // limits.out_hall))
+        return max(hosts, -(-self.waiting_count // limits.out_hall))
 
-    def spares(self, capacity: float) -> bool:
-        return self.serving - capacity >= self.keep - SLACK
+    def can_spare(self, capacity: float) -> bool:
+        return self.serving_capacity - capacity >= self.keep - CAPACITY_TOLERANCE
 
 
 class Planner:
-    """``units``: all of the fleet, since what stands beside the change counts; ``change``: whom
-    to change.
+    """Plans the waves of one change.
+
+    ``instances`` are all of the fleet, because the limits also count those that are not changed;
+    ``to_change`` names those that are.
     """
 
     def __init__(
-        self, units: Iterable[PlannedInstance], change: Iterable[str], limits: DisruptionLimits
+        self,
+        instances: Iterable[PlannedInstance],
+        to_change: Iterable[str],
+        limits: DisruptionLimits,
     ) -> None:
         self.limits = limits
-        self.units = {unit.name: unit for unit in units}
-        self.halls: dict[str, Hall] = {}
+        self.instances = {instance.name: instance for instance in instances}
+        self.halls: dict[str, HallState] = {}
         self.out: set[str] = set()
         self.waiting: set[str] = set()
-        for unit in self.units.values():
+        for instance in self.instances.values():
             hall = self.halls.setdefault(
-                unit.hall, Hall(unit.hall, limits.keep.get(unit.hall, 0.0))
+                instance.hall, HallState(instance.hall, limits.keep.get(instance.hall, 0.0))
             )
-            host = hall.hosts.setdefault(unit.host, Host(unit.host))
-            if unit.serving:
-                hall.serving += unit.capacity
+            host = hall.hosts.setdefault(instance.host, HostState(instance.host))
+            if instance.serving:
+                hall.serving_capacity += instance.capacity
             else:
-                self._leave(unit, hall, host)
-        for name in change:
-            unit, hall, host = self._of(name)
-            hall.left += 1
+                self._take_out(instance, hall, host)
+        for name in to_change:
+            instance, hall, host = self._locate(name)
+            hall.waiting_count += 1
             self.waiting.add(name)
-            hall.least = min(hall.least, unit.capacity)
-            if unit.serving:
-                host.waiting.append(unit)
+            hall.min_waiting_capacity = min(hall.min_waiting_capacity, instance.capacity)
+            if instance.serving:
+                host.waiting.append(instance)
             else:
-                hall.broken.add(name)
+                hall.waiting_out.add(name)
         for hall in self.halls.values():
             for host in hall.hosts.values():
-                host.waiting.sort(key=lambda unit: (unit.capacity, unit.name))
-            hall.queue = [self._entry(host) for host in hall.hosts.values() if host.waiting]
+                host.waiting.sort(key=lambda instance: (instance.capacity, instance.name))
+            hall.queue = [self._queue_entry(host) for host in hall.hosts.values() if host.waiting]
             heapq.heapify(hall.queue)
 
-    def _entry(self, host: Host) -> tuple[int, str]:
+    def _queue_entry(self, host: HostState) -> tuple[int, str]:
         return -math.ceil(len(host.waiting) / self.limits.out_host), host.name
 
-    def _leave(self, unit: PlannedInstance, hall: Hall, host: Host) -> None:
-        self.out.add(unit.name)
+    def _take_out(self, instance: PlannedInstance, hall: HallState, host: HostState) -> None:
+        self.out.add(instance.name)
         hall.out += 1
         host.out += 1
 
-    def _of(self, name: str) -> tuple[PlannedInstance, Hall, Host]:
-        unit = self.units[name]
-        hall = self.halls[unit.hall]
-        return unit, hall, hall.hosts[unit.host]
+    def _locate(self, name: str) -> tuple[PlannedInstance, HallState, HostState]:
+        instance = self.instances[name]
+        hall = self.halls[instance.hall]
+        return instance, hall, hall.hosts[instance.host]
 
     def observe(self, name: str, serving: bool) -> None:
-        """How an instance stands, by itself or after its change: in service, or out."""
-        unit, hall, host = self._of(name)
-        if unit.serving != serving:
-            hall.serving += unit.capacity if serving else -unit.capacity
-            fresh = self.units[name] = replace(unit, serving=serving)
+        """Update whether an instance is in service, after its change or at any other time."""
+        instance, hall, host = self._locate(name)
+        if instance.serving != serving:
+            hall.serving_capacity += instance.capacity if serving else -instance.capacity
+            updated = self.instances[name] = replace(instance, serving=serving)
             if name in self.waiting and serving:
-                hall.broken.discard(name)
-                host.waiting.append(fresh)
-                host.waiting.sort(key=lambda unit: (unit.capacity, unit.name))
+                hall.waiting_out.discard(name)
+                host.waiting.append(updated)
+                host.waiting.sort(key=lambda instance: (instance.capacity, instance.name))
                 hall.queue = [entry for entry in hall.queue if entry[1] != host.name]
-                hall.queue.append(self._entry(host))
+                hall.queue.append(self._queue_entry(host))
                 heapq.heapify(hall.queue)
             elif name in self.waiting:
-                host.waiting.remove(unit)
-                hall.broken.add(name)
-            unit = fresh
+                host.waiting.remove(instance)
+                hall.waiting_out.add(name)
+            instance = updated
         if serving and name in self.out:
             self.out.discard(name)
             hall.out -= 1
             host.out -= 1
         elif not serving and name not in self.out:
-            self._leave(unit, hall, host)
+            self._take_out(instance, hall, host)
 
     def drop(self, name: str) -> None:
-        """It is not to be changed any more."""
+        """Remove an instance from those that wait for their change."""
         if name in self.waiting:
-            unit, hall, host = self._of(name)
-            if unit.serving:
-                host.waiting.remove(unit)
-            hall.broken.discard(name)
-            hall.left -= 1
+            instance, hall, host = self._locate(name)
+            if instance.serving:
+                host.waiting.remove(instance)
+            hall.waiting_out.discard(name)
+            hall.waiting_count -= 1
             self.waiting.discard(name)
 
-    def next_wave(self, most: int | None = None) -> tuple[PlannedInstance, ...]:
-        """Take out what may go together now, at most ``most``; nothing if no one may.
+    def next_wave(self, max_size: int | None = None) -> tuple[PlannedInstance, ...]:
+        """Return the instances that may be changed together now, at most ``max_size``.
 
-        The units are out from here on; ``observe`` brings them back, or leaves them out.
+        The wave is empty if the limits allow none. Its instances count as out of service until
+        ``observe`` reports them as serving.
         """
         taken: list[PlannedInstance] = []
-        aside: list[tuple[Hall, Host]] = []  # hosts that have nothing for this wave
-        halls = [(-hall.turns(self.limits), name) for name, hall in self.halls.items() if hall.left]
+        skipped: list[tuple[HallState, HostState]] = []  # hosts without an instance for this wave
+        halls = [
+            (-hall.min_remaining_waves(self.limits), name)
+            for name, hall in self.halls.items()
+            if hall.waiting_count
+        ]
         heapq.heapify(halls)
-        while halls and (most is None or len(taken) < most):
+        while halls and (max_size is None or len(taken) < max_size):
             hall = self.halls[heapq.heappop(halls)[1]]
-            if (unit := self._take(hall, aside)) is None:
+            if (instance := self._take_next(hall, skipped)) is None:
                 continue
-            hall.left -= 1
-            self.waiting.discard(unit.name)
-            taken.append(self.units[unit.name])
-            if hall.left:
-                heapq.heappush(halls, (-hall.turns(self.limits), hall.name))
-        for hall, host in aside:
+            hall.waiting_count -= 1
+            self.waiting.discard(instance.name)
+            taken.append(self.instances[instance.name])
+            if hall.waiting_count:
+                heapq.heappush(halls, (-hall.min_remaining_waves(self.limits), hall.name))
+        for hall, host in skipped:
             if host.waiting:
-                heapq.heappush(hall.queue, self._entry(host))
+                heapq.heappush(hall.queue, self._queue_entry(host))
         return tuple(taken)
 
-    def _take(self, hall: Hall, aside: list[tuple[Hall, Host]]) -> PlannedInstance | None:
-        """The next one of this hall that the limits allow. Whoever is out already takes nothing
-        more out.
+    def _take_next(
+        self, hall: HallState, skipped: list[tuple[HallState, HostState]]
+    ) -> PlannedInstance | None:
+        """Return the next instance of this hall that the limits allow; None if there is none.
+
+        An instance that is already out of service comes first: its change takes no capacity out.
         """
-        if hall.broken:
-            name = min(hall.broken)
-            hall.broken.discard(name)
-            return self.units[name]
+        if hall.waiting_out:
+            name = min(hall.waiting_out)
+            hall.waiting_out.discard(name)
+            return self.instances[name]
         if len(self.out) >= self.limits.out or hall.out >= self.limits.out_hall:
             return None
-        if not hall.spares(hall.least):
+        if not hall.can_spare(hall.min_waiting_capacity):
             return None
         while hall.queue:
             host = hall.hosts[hall.queue[0][1]]
-            unit = None
+            instance = None
             if host.out < self.limits.out_host:
-                unit = next(
-                    (unit for unit in reversed(host.waiting) if hall.spares(unit.capacity)), None
+                instance = next(
+                    (
+                        instance
+                        for instance in reversed(host.waiting)
+                        if hall.can_spare(instance.capacity)
+                    ),
+                    None,
                 )
-            if unit is None:
+            if instance is None:
                 heapq.heappop(hall.queue)
-                aside.append((hall, host))
+                skipped.append((hall, host))
                 continue
-            host.waiting.remove(unit)
+            host.waiting.remove(instance)
             if host.waiting:
-                heapq.heapreplace(hall.queue, self._entry(host))
+                heapq.heapreplace(hall.queue, self._queue_entry(host))
             else:
                 heapq.heappop(hall.queue)
-            self._leave(unit, hall, host)
-            hall.serving -= unit.capacity
-            self.units[unit.name] = replace(unit, serving=False)
-            return unit
+            self._take_out(instance, hall, host)
+            hall.serving_capacity -= instance.capacity
+            self.instances[instance.name] = replace(instance, serving=False)
+            return instance
         return None
 
-    def stuck(self) -> dict[str, str]:
-        """Of those that still wait, whom the limits would bar with all others in service, and
-        why.
+    def blocked(self) -> dict[str, str]:
+        """Return the waiting instances that ``keep`` excludes, by name, with the reason.
+
+        They could not be taken out even if all other instances were in service.
         """
-        whole: dict[str, float] = {}
-        for unit in self.units.values():
-            whole[unit.hall] = whole.get(unit.hall, 0.0) + unit.capacity
+        total_capacity: dict[str, float] = {}
+        for instance in self.instances.values():
+            total_capacity[instance.hall] = (
+                total_capacity.get(instance.hall, 0.0) + instance.capacity
+            )
         found = {}
         for name in sorted(self.waiting):
-            unit, hall, _ = self._of(name)
-            if unit.serving and whole[hall.name] - unit.capacity < hall.keep - SLACK:
-                found[name] = f"hall {hall.name} must keep {hall.keep:g} of {whole[hall.name]:g}"
+            instance, hall, _ = self._locate(name)
+            if (
+                instance.serving
+                and total_capacity[hall.name] - instance.capacity < hall.keep - CAPACITY_TOLERANCE
+            ):
+                found[name] = (
+                    f"hall {hall.name} must keep {hall.keep:g} of {total_capacity[hall.name]:g}"
+                )
         return found
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
     waves: tuple[tuple[PlannedInstance, ...], ...]
-    impossible: Mapping[str, str]  # by name, why
+    impossible: Mapping[str, str]  # reason, by name
 
 
 def plan(
-    units: Iterable[PlannedInstance],
-    change: Iterable[str],
+    instances: Iterable[PlannedInstance],
+    to_change: Iterable[str],
     limits: DisruptionLimits,
     canaries: int = 0,
 ) -> Plan:
-    """The waves if every change goes well; the canaries are waves of their own, first."""
-    planner = Planner(units, change, limits)
+    """Return the waves that follow if each change succeeds.
+
+    The canaries come first, in waves of their own.
+    """
+    planner = Planner(instances, to_change, limits)
     waves: list[tuple[PlannedInstance, ...]] = []
     while canaries > 0 and (wave := planner.next_wave(canaries)):
         canaries -= len(wave)
         waves.append(wave)
-        for unit in wave:
-            planner.observe(unit.name, True)
+        for instance in wave:
+            planner.observe(instance.name, True)
     while wave := planner.next_wave():
         waves.append(wave)
-        for unit in wave:
-            planner.observe(unit.name, True)
-    return Plan(tuple(waves), planner.stuck())
+        for instance in wave:
+            planner.observe(instance.name, True)
+    return Plan(tuple(waves), planner.blocked())
 
 
 def fewest_waves(
-    units: Iterable[PlannedInstance], change: Iterable[str], limits: DisruptionLimits
+    instances: Iterable[PlannedInstance], to_change: Iterable[str], limits: DisruptionLimits
 ) -> int:
-    """No order needs fewer: the tightest limit alone, where all are in service and of one
+    """Return a lower bound on the number of waves.
+
+    It is what the tightest limit alone requires if all instances are in service and have the same
     capacity.
     """
-    wanted, by_hall, by_host = set(change), dict[str, list[PlannedInstance]](), dict[str, int]()
-    whole: dict[str, float] = {}
-    for unit in units:
-        whole[unit.hall] = whole.get(unit.hall, 0.0) + unit.capacity
-        if unit.name in wanted:
-            by_hall.setdefault(unit.hall, []).append(unit)
-            by_host[unit.host] = by_host.get(unit.host, 0) + 1
-    least = math.ceil(len(wanted) / limits.out)
+    wanted, by_hall, by_host = set(to_change), dict[str, list[PlannedInstance]](), dict[str, int]()
+    total_capacity: dict[str, float] = {}
+    for instance in instances:
+        total_capacity[instance.hall] = total_capacity.get(instance.hall, 0.0) + instance.capacity
+        if instance.name in wanted:
+            by_hall.setdefault(instance.hall, []).append(instance)
+            by_host[instance.host] = by_host.get(instance.host, 0) + 1
+    minimum = math.ceil(len(wanted) / limits.out)
     for hall, found in by_hall.items():
-        spare = whole[hall] - limits.keep.get(hall, 0.0) + SLACK
-        at_once = min(limits.out_hall, int(spare / min(unit.capacity for unit in found)))
-        least = max(least, math.ceil(len(found) / at_once) if at_once else 0)
-    return max([least, *(math.ceil(n / limits.out_host) for n in by_host.values())])
+        spare = total_capacity[hall] - limits.keep.get(hall, 0.0) + CAPACITY_TOLERANCE
+        at_once = min(limits.out_hall, int(spare / min(instance.capacity for instance in found)))
+        minimum = max(minimum, math.ceil(len(found) / at_once) if at_once else 0)
+    return max([minimum, *(math.ceil(n / limits.out_host) for n in by_host.values())])
--- a/onyxpass/fleet/rollout.py
+++ b/onyxpass/fleet/rollout.py
@@ -258,7 +258,7 @@
     def _finish(self) -> list[RolloutAction]:
         """Settle who was never ordered, and look at all that is done once more."""
         if self.planner is not None:
-            stuck = self.planner.stuck()
+            stuck = self.planner.blocked()
             for name in sorted(self.planner.waiting):
                 reason = (
                     self.aborted
--- a/onyxpass/fleet/runner.py
+++ b/onyxpass/fleet/runner.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, Any
 
 from onyxpass.fleet.agent_client import AgentClient
-from onyxpass.fleet.config import AgentRef, Fleet, Member, count_of
+from onyxpass.fleet.config import AgentRef, FleetConfig, Member, count_of
 from onyxpass.fleet.outcome import InstanceOutcome, OutcomeKind, not_tried
 from onyxpass.fleet.planner import DisruptionLimits, PlannedInstance
 from onyxpass.fleet.record import RolloutRecord
@@ -40,7 +40,7 @@
 ABORT_POLL_S = 0.5
 
 
-def limits_of(fleet: Fleet) -> DisruptionLimits:
+def limits_of(fleet: FleetConfig) -> DisruptionLimits:
     """The file's shares as numbers; a hall's share is of the smallest hall, so that it holds in
     each.
     """
@@ -290,5 +290,5 @@
         self._carry_out(self.rollout.seen(name, observation, self.now_s))
 
 
-def pace_of(fleet: Fleet) -> RolloutPace:
+def pace_of(fleet: FleetConfig) -> RolloutPace:
     return RolloutPace(fleet.limits.canaries, fleet.limits.pause_s, fleet.limits.abort_after)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -22,7 +22,7 @@
 from onyxpass.agent.state_store import StateStore, StateStoreError
 from onyxpass.fleet import config as fleet_config
 from onyxpass.fleet.cli import fleet_app
-from onyxpass.fleet.config import Fleet
+from onyxpass.fleet.config import FleetConfig
 from onyxpass.fleet.controller import CommandRejectedError, FleetController, Report
 from onyxpass.fleet.outcome import ExitCode, OutcomeKind
 from onyxpass.fleet.record import RolloutRecord
@@ -47,7 +47,7 @@
 
     def __init__(self, site: Site) -> None:
         self.site = site
-        self.fleet: Fleet = fleet_config.load(site.folder / "fleet.toml")
+        self.fleet: FleetConfig = fleet_config.load(site.folder / "fleet.toml")
         self.controller = FleetController(self.fleet)
         self.trace = site.fleet.trace
         self.ends: Counter[str] = Counter()
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -9,7 +9,7 @@
 
 from onyxpass.fleet.outcome import ExitCode, OutcomeKind, done, failed, unknown
 from onyxpass.fleet.planner import (
-    SLACK,
+    CAPACITY_TOLERANCE,
     DisruptionLimits,
     PlannedInstance,
     Planner,
@@ -78,13 +78,13 @@
         return
     assert len(out) <= planner.limits.out
     for unit in fresh:
-        in_hall = [n for n in out if planner.units[n].hall == unit.hall]
-        on_host = [n for n in out if planner.units[n].host == unit.host]
+        in_hall = [n for n in out if planner.instances[n].hall == unit.hall]
+        on_host = [n for n in out if planner.instances[n].host == unit.host]
         assert len(in_hall) <= planner.limits.out_hall and len(on_host) <= planner.limits.out_host
         serving = sum(
-            u.capacity for u in planner.units.values() if u.hall == unit.hall and u.serving
+            u.capacity for u in planner.instances.values() if u.hall == unit.hall and u.serving
         )
-        assert serving >= planner.limits.keep.get(unit.hall, 0.0) - SLACK
+        assert serving >= planner.limits.keep.get(unit.hall, 0.0) - CAPACITY_TOLERANCE
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
@@ -98,7 +98,7 @@
     seen: list[str] = []
     for _ in range(60):
         if chance.random() < 0.5:
-            before = Planner(planner.units.values(), (), bound)
+            before = Planner(planner.instances.values(), (), bound)
             before.out = set(planner.out)
             wave = planner.next_wave(chance.choice((None, 1, 2)))
             held(planner, before, wave)
@@ -107,12 +107,12 @@
         elif pending and chance.random() < 0.7:
             planner.observe(pending.pop(chance.randrange(len(pending))), chance.random() < 0.8)
         else:  # something breaks, or mends, by itself
-            name = chance.choice(sorted(planner.units))
+            name = chance.choice(sorted(planner.instances))
             if name not in pending:
                 planner.observe(name, chance.random() < 0.5)
         for hall in planner.halls.values():
-            mine = [u for u in planner.units.values() if u.hall == hall.name]
-            assert abs(hall.serving - sum(u.capacity for u in mine if u.serving)) < 1e-6
+            mine = [u for u in planner.instances.values() if u.hall == hall.name]
+            assert abs(hall.serving_capacity - sum(u.capacity for u in mine if u.serving)) < 1e-6
             assert hall.out == sum(u.name in planner.out for u in mine)
     assert len(seen) == len(set(seen)) and set(seen) <= set(change), (
         "each is taken once, and no other"
