--- a/onyxpass/fleet/cli.py
+++ b/onyxpass/fleet/cli.py
@@ -85,7 +85,7 @@
 
 def report_and_exit(report: Report, json: bool, show: Callable[[Report], None]) -> None:
     if json:
-        render.as_json(report.to_dict())
+        render.print_json(report.to_dict())
     else:
         show(report)
     raise typer.Exit(int(report.tally.exit_code()))
@@ -143,7 +143,7 @@
     controller = exit_on_input_error(lambda: FleetController(loaded_fleet))
     deadline_s = deadline or loaded_fleet.limits.deadline_s
     order = controller.order(kind, members, deadline_s, options, regardless=regardless)
-    report = run_async(order if json else render.watched(controller, members, order))
+    report = run_async(order if json else render.run_with_progress(controller, members, order))
     report_and_exit(report, json, render.outcomes)
 
 
@@ -234,7 +234,7 @@
                 )
             if json:
                 for event in new_events:
-                    render.as_json(event)
+                    render.print_json(event)
             else:
                 render.events(new_events)
             if not follow:
@@ -329,12 +329,12 @@
     )
     controller = exit_on_input_error(lambda: FleetController(loaded_fleet))
     plan, targets, excluded, _ = run_async(controller.plan_rollout(members, method))
-    changing = {unit.name for wave in plan.waves for unit in wave} | set(plan.impossible)
+    changing = {instance.name for wave in plan.waves for instance in wave} | set(plan.impossible)
     unchanged = sorted(targets.keys() - changing)
     if json:
-        render.as_json(
+        render.print_json(
             {
-                "waves": [[unit.name for unit in wave] for wave in plan.waves],
+                "waves": [[instance.name for instance in wave] for wave in plan.waves],
                 "impossible": dict(plan.impossible),
                 "beside": {name: outcome.to_dict() for name, outcome in excluded.items()},
                 "same": unchanged,
@@ -406,9 +406,9 @@
     controller = exit_on_input_error(lambda: FleetController(loaded_fleet))
     recorded, holder = exit_on_input_error(lambda: controller.rollout_status(id))
     if json:
-        render.as_json(render.recorded_told(recorded, holder))
+        render.print_json(render.recorded_rollout_dict(recorded, holder))
     else:
-        render.recorded(recorded, holder)
+        render.recorded_rollout(recorded, holder)
 
 
 @rollout_app.command("abort")
--- a/onyxpass/fleet/controller.py
+++ b/onyxpass/fleet/controller.py
@@ -1,4 +1,4 @@
-"""What the commands of ``onyxpass fleet`` do, apart from how it is shown."""
+"""The operations behind the commands of ``onyxpass fleet``, without their output."""
 
 import asyncio
 import secrets
@@ -14,31 +14,38 @@
 from onyxpass.fleet.planner import Plan, Planner, plan
 from onyxpass.fleet.record import RecordedRollout, RolloutRecord, RolloutState
 from onyxpass.fleet.rollout import ChangeMethod, InstanceTarget, Rollout
-from onyxpass.fleet.runner import ChangeOrder, RolloutRunner, Told, limits_of, pace_of, units_of
-from onyxpass.fleet.views import View, gather, look
+from onyxpass.fleet.runner import (
+    ChangeOrder,
+    RolloutRunner,
+    StepListener,
+    disruption_limits,
+    planned_instances,
+    rollout_pace,
+)
+from onyxpass.fleet.views import InstanceView, fetch_view, fetch_views
 from onyxpass.net.http_client import RequestNotSentError, ResponseLostError
 
 if TYPE_CHECKING:
     from onyxpass.fleet.leases import RolloutLeases
 
-LIST_S = 3.0
-SETTLE_S = 3.0  # past an order's deadline, for a last look
+VIEW_TIMEOUT_S = 3.0
+FINAL_VIEW_TIMEOUT_S = 3.0  # for reading the instances' state after an order
 
 
 class CommandRejectedError(ValueError):
-    """Nothing was done; the message says why."""
+    """The command was rejected before anything was done; the message says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """How a command ended, for each selected instance."""
+    """The outcome of a command for each selected instance."""
 
     command: str
     members: Sequence[Member]
     tally: OutcomeTally
-    views: Mapping[str, View] = field(default_factory=dict)
+    views: Mapping[str, InstanceView] = field(default_factory=dict)
     seconds: float = 0.0
-    peak_connections: int = 0  # connections at once
+    peak_connections: int = 0  # most connections open at once
 
     def to_dict(self) -> dict[str, Any]:
         rows = []
@@ -50,7 +57,7 @@
             }
             row |= self.tally.outcomes()[member.name].to_dict()
             if (view := self.views.get(member.name)) is not None:
-                row |= {"told": dict(view.told) if view.told is not None else None}
+                row |= {"told": dict(view.report) if view.report is not None else None}
             rows.append(row)
         return {
             "command": self.command,
@@ -63,8 +70,10 @@
 
 
 class FleetController:
+    """Carries out commands on a fleet through the agents of its instances."""
+
     def __init__(self, fleet: FleetConfig) -> None:
-        """ConfigError where a key is no use."""
+        """Read the agents' keys; ConfigError if one can't be used."""
         self.fleet = fleet
         self.agent_client = AgentClient(fleet.agents)
         self.leases: RolloutLeases | None = None
@@ -74,7 +83,7 @@
         command: str,
         members: Sequence[Member],
         tally: OutcomeTally,
-        views: Mapping[str, View],
+        views: Mapping[str, InstanceView],
         began_s: float,
     ) -> Report:
         return Report(
@@ -86,19 +95,22 @@
             self.agent_client.peak_connections,
         )
 
-    async def survey(self, members: Sequence[Member], within_s: float = LIST_S) -> Report:
-        """How each one stands. Done: it was seen in its own words; unknown: it was not."""
+    async def survey(self, members: Sequence[Member], within_s: float = VIEW_TIMEOUT_S) -> Report:
+        """Read the state of each member.
+
+        The outcome is done if the member's state was read, else unknown.
+        """
         began_s, tally = time.monotonic(), OutcomeTally(member.name for member in members)
-        views = await gather(self.agent_client, members, within_s)
+        views = await fetch_views(self.agent_client, members, within_s)
         for name, view in views.items():
             tally.settle(name, view.outcome)
         return self._report("list", members, tally, views, began_s)
 
-    async def inspect(self, members: Sequence[Member], within_s: float = LIST_S) -> Report:
-        """As ``list``, one by one, with the last exits."""
+    async def inspect(self, members: Sequence[Member], within_s: float = VIEW_TIMEOUT_S) -> Report:
+        """Read the state of each member with a call of its own, which adds the last exits."""
         began_s, tally = time.monotonic(), OutcomeTally(member.name for member in members)
         found = await asyncio.gather(
-            *(look(self.agent_client, member, within_s) for member in members)
+            *(fetch_view(self.agent_client, member, within_s) for member in members)
         )
         views = {view.member.name: view for view in found}
         for name, view in views.items():
@@ -113,125 +125,150 @@
         options: Mapping[str, Any],
         *,
         regardless: bool = False,
-        heard: Callable[[str, Mapping[str, Any]], None] = lambda _name, _body: None,
+        on_answer: Callable[[str, Mapping[str, Any]], None] = lambda _name, _body: None,
     ) -> Report:
-        """One order to all of the selected at once. Refused where that would pass the fleet's
-        limits.
+        """Send one order to all members at once.
+
+        Raises CommandRejectedError if that would exceed the fleet's limits, unless ``regardless``.
+        ``on_answer`` is called with an instance's name and the body of each answer.
         """
         began_s, tally = time.monotonic(), OutcomeTally(member.name for member in members)
         if kind in ("drain", "restart", "stop") and not regardless:
-            await self._guard(kind, members)
+            await self._check_limits(kind, members)
 
-        async def one(member: Member) -> tuple[str, InstanceOutcome]:
+        async def order_one(member: Member) -> tuple[str, InstanceOutcome]:
             operation = secrets.token_hex(8)
-            told = lambda body: heard(member.name, body)  # noqa: E731
+            listener = lambda body: on_answer(member.name, body)  # noqa: E731
             try:
                 return member.name, await self.agent_client.order(
-                    member, kind, operation, options, deadline_s, told
+                    member, kind, operation, options, deadline_s, listener
                 )
-            # guards against one instance's fault that hides all the others
-            except Exception as problem:
-                return member.name, unknown(f"the tool's own fault: {problem!r}")
+            # prevents a fault with one instance from hiding the outcomes of all others
+            except Exception as error:
+                return member.name, unknown(f"internal error: {error!r}")
 
-        for name, outcome in await asyncio.gather(*(one(member) for member in members)):
+        for name, outcome in await asyncio.gather(*(order_one(member) for member in members)):
             tally.settle(name, outcome)
-        views = await gather(self.agent_client, members, SETTLE_S)
+        views = await fetch_views(self.agent_client, members, FINAL_VIEW_TIMEOUT_S)
         return self._report(kind, members, tally, views, began_s)
 
-    async def _guard(self, kind: str, members: Sequence[Member]) -> None:
-        views = await gather(self.agent_client, self.fleet.members, LIST_S)
+    async def _check_limits(self, kind: str, members: Sequence[Member]) -> None:
+        views = await fetch_views(self.agent_client, self.fleet.members, VIEW_TIMEOUT_S)
         planner = Planner(
-            units_of(views), [member.name for member in members], limits_of(self.fleet)
+            planned_instances(views),
+            [member.name for member in members],
+            disruption_limits(self.fleet),
         )
-        wave = {unit.name for unit in planner.next_wave()}
-        if barred := sorted({member.name for member in members} - wave):
+        wave = {instance.name for instance in planner.next_wave()}
+        if excluded := sorted({member.name for member in members} - wave):
             raise CommandRejectedError(
-                f"{kind} of {len(members)} at once passes the fleet's limits (as it stands, {len(wave)} may "
-                f"go together; not {barred[0]}): use a rollout, fewer instances, or --regardless"
+                f"{kind} of {len(members)} at once exceeds the fleet's limits (in its present state {len(wave)} may "
+                f"go together; not {excluded[0]}): use a rollout, fewer instances, or --regardless"
             )
 
     async def events(
-        self, since: Mapping[str, int], within_s: float = LIST_S
+        self, since: Mapping[str, int], within_s: float = VIEW_TIMEOUT_S
     ) -> tuple[list[dict[str, Any]], list[str]]:
-        """What has happened at every agent after the numbers in ``since``, by time; and who was
-        silent.
+        """Return the events of all agents, sorted by time, and an error line for each failed call.
+
+        ``since`` is the number of the last known event by host; only later events are returned.
         """
 
-        async def of(host: str) -> tuple[list[dict[str, Any]], str]:
+        async def fetch_events(host: str) -> tuple[list[dict[str, Any]], str]:
             agent = next(agent for agent in self.fleet.agents if agent.host == host)
             try:
                 target = f"/v1/events?since={since.get(host, 0)}"
                 answer = await self.agent_client.call(agent, "GET", target, None, within_s)
-            except (RequestNotSentError, ResponseLostError) as problem:
-                return [], f"{host}: {problem}"
+            except (RequestNotSentError, ResponseLostError) as error:
+                return [], f"{host}: {error}"
             if answer.status != 200:
                 return [], f"{host}: {answer.reason}"
             return [{"host": host, **event} for event in answer.body.get("events", ())], ""
 
-        answers = await asyncio.gather(*(of(agent.host) for agent in self.fleet.agents))
+        answers = await asyncio.gather(*(fetch_events(agent.host) for agent in self.fleet.agents))
         events = sorted(
-            (e for found, _ in answers for e in found),
-            key=lambda e: (e["at"], e["host"], e["number"]),
+            (event for host_events, _ in answers for event in host_events),
+            key=lambda event: (event["at"], event["host"], event["number"]),
         )
-        return events, [problem for _, problem in answers if problem]
+        return events, [error for _, error in answers if error]
 
     # Rollouts
 
     async def plan_rollout(
         self, members: Sequence[Member], method: ChangeMethod
-    ) -> tuple[Plan, dict[str, InstanceTarget], dict[str, InstanceOutcome], dict[str, View]]:
-        """The waves if all goes well, the targets, and who can't be or need not be changed."""
-        views = await gather(self.agent_client, self.fleet.members, LIST_S)
-        targets, beside = {}, {}
+    ) -> tuple[
+        Plan, dict[str, InstanceTarget], dict[str, InstanceOutcome], dict[str, InstanceView]
+    ]:
+        """Return the waves if each change succeeds, the targets, the excluded members and all views.
+
+        A member is excluded, with its outcome, if its agent reports no state of it or no digest of
+        its file.
+        """
+        views = await fetch_views(self.agent_client, self.fleet.members, VIEW_TIMEOUT_S)
+        targets, excluded = {}, {}
         for member in members:
             view = views[member.name]
-            if view.told is None:
-                beside[member.name] = not_tried(view.problem)
-            elif not view.file:
-                beside[member.name] = failed(
-                    str(view.told.get("file_problem") or "its file can't be read")
+            if view.report is None:
+                excluded[member.name] = not_tried(view.error)
+            elif not view.file_digest:
+                excluded[member.name] = failed(
+                    str(view.report.get("file_problem") or "its file can't be read")
                 )
             else:
-                targets[member.name] = InstanceTarget(view.file, str(view.at("launch") or ""))
-        change = [
+                targets[member.name] = InstanceTarget(
+                    view.file_digest, str(view.live_value("launch") or "")
+                )
+        to_change = [
             name
             for name, target in targets.items()
-            if method is ChangeMethod.RESTART or views[name].at("config", "digest") != target.digest
+            if method is ChangeMethod.RESTART
+            or views[name].live_value("config", "digest") != target.digest
         ]
-        waves = plan(units_of(views), change, limits_of(self.fleet), self.fleet.limits.canaries)
-        return waves, targets, beside, views
+        wave_plan = plan(
+            planned_instances(views),
+            to_change,
+            disruption_limits(self.fleet),
+            self.fleet.limits.canaries,
+        )
+        return wave_plan, targets, excluded, views
 
     async def run_rollout(
         self,
         members: Sequence[Member],
         order: ChangeOrder,
-        told: Told = lambda _what, _detail: None,
+        on_step: StepListener = lambda _what, _detail: None,
     ) -> tuple[str, Report]:
-        """A new rollout, to its end. Held where another one is under way."""
+        """Run a new rollout to its end; return its id and report.
+
+        Raises RolloutLockedError if another rollout is in progress.
+        """
         began_s, record = time.monotonic(), RolloutRecord(self.fleet.state)
         try:
             id = time.strftime("%Y%m%d-%H%M%S-") + secrets.token_hex(3)
             record.lock(id)
-            _, targets, beside, views = await self.plan_rollout(members, order.method)
-            everybody = {m.name: targets.get(m.name, InstanceTarget("")) for m in members}
-            runner = self._runner(id, everybody, order, views, record, told)
-            runner.rollout.barred = beside
-            await self._leased(runner, members)
-            await runner.take_agents()
+            _, targets, excluded, views = await self.plan_rollout(members, order.method)
+            all_targets = {m.name: targets.get(m.name, InstanceTarget("")) for m in members}
+            runner = self._runner(id, all_targets, order, views, record, on_step)
+            runner.rollout.excluded = excluded
+            await self._acquire_leases(runner, members)
+            await runner.acquire_agents()
             options = {key: value for key, value in asdict(order).items() if key != "method"}
-            record.begin(id, order.method, options, everybody)
+            record.begin(id, order.method, options, all_targets)
             return id, await self._finish(runner, record, members, began_s, {})
         finally:
-            await self._given_back()
+            await self._release_leases()
             record.close()
 
-    async def _given_back(self) -> None:
+    async def _release_leases(self) -> None:
         leases, self.leases = self.leases, None
         if leases is not None:
             await leases.close()
 
-    async def _leased(self, runner: RolloutRunner, members: Sequence[Member]) -> None:
-        """Where a store is told: Held unless the leases of all its halls are had."""
+    async def _acquire_leases(self, runner: RolloutRunner, members: Sequence[Member]) -> None:
+        """Acquire the leases of the members' halls if the fleet has a store.
+
+        Raises RolloutLockedError if one of them is not available.
+        """
         if self.fleet.store is None:
             return
         from onyxpass.fleet.leases import RolloutLeases
@@ -242,10 +279,11 @@
         await self.leases.acquire(members, self.fleet.store.wait_s)
 
     async def resume_rollout(
-        self, id: str, told: Told = lambda _what, _detail: None
+        self, id: str, on_step: StepListener = lambda _what, _detail: None
     ) -> tuple[str, Report]:
-        """Go on with a rollout whose tool ended too early: from what is so, not from what is on
-        record.
+        """Resume a rollout whose process ended early; return its id and report.
+
+        It continues from the present state of the instances, not from the recorded one.
         """
         began_s, record = time.monotonic(), RolloutRecord(self.fleet.state)
         try:
@@ -257,23 +295,23 @@
                 raise CommandRejectedError(f"rollout {found.id} has {found.state}")
             record.lock(found.id)
             by_name = {member.name: member for member in self.fleet.members}
-            if gone := sorted(found.instances.keys() - by_name.keys()):
+            if missing := sorted(found.instances.keys() - by_name.keys()):
                 raise CommandRejectedError(
-                    f"{gone[0]} is in rollout {found.id}, and no more in the fleet"
+                    f"{missing[0]} is in rollout {found.id}, but no longer in the fleet"
                 )
             members = [by_name[name] for name in found.instances]
             order = ChangeOrder(found.method, **found.options)
-            views = await gather(self.agent_client, self.fleet.members, LIST_S)
+            views = await fetch_views(self.agent_client, self.fleet.members, VIEW_TIMEOUT_S)
             targets = {name: entry.target for name, entry in found.instances.items()}
-            runner = self._runner(found.id, targets, order, views, record, told)
-            await self._leased(runner, members)
-            await runner.take_agents()
+            runner = self._runner(found.id, targets, order, views, record, on_step)
+            await self._acquire_leases(runner, members)
+            await runner.acquire_agents()
             operations = {
                 name: entry.operation for name, entry in found.instances.items() if entry.operation
             }
             return found.id, await self._finish(runner, record, members, began_s, operations)
         finally:
-            await self._given_back()
+            await self._release_leases()
             record.close()
 
     def _runner(
@@ -281,15 +319,19 @@
         id: str,
         targets: Mapping[str, InstanceTarget],
         order: ChangeOrder,
-        views: Mapping[str, View],
+        views: Mapping[str, InstanceView],
         record: RolloutRecord,
-        told: Told,
+        on_step: StepListener,
     ) -> RolloutRunner:
         rollout = Rollout(
-            units_of(views), targets, order.method, limits_of(self.fleet), pace_of(self.fleet)
+            planned_instances(views),
+            targets,
+            order.method,
+            disruption_limits(self.fleet),
+            rollout_pace(self.fleet),
         )
         members = {member.name: member for member in self.fleet.members}
-        return RolloutRunner(id, rollout, order, members, self.agent_client, record, told)
+        return RolloutRunner(id, rollout, order, members, self.agent_client, record, on_step)
 
     async def _finish(
         self,
@@ -300,17 +342,17 @@
         operations: Mapping[str, str],
     ) -> Report:
         rollout = await runner.run(operations)
-        await runner.give_agents_back()
+        await runner.release_agents()
         record.end(
             runner.id,
-            RolloutState.ABORTED if rollout.aborted else RolloutState.ENDED,
-            rollout.aborted,
+            RolloutState.ABORTED if rollout.abort_reason else RolloutState.ENDED,
+            rollout.abort_reason,
         )
-        views = await gather(self.agent_client, members, SETTLE_S)
+        views = await fetch_views(self.agent_client, members, FINAL_VIEW_TIMEOUT_S)
         return self._report("rollout", members, rollout.tally, views, began_s)
 
     def rollout_status(self, id: str = "") -> tuple[RecordedRollout, str]:
-        """A rollout as it is on record, and who runs it now."""
+        """Return a recorded rollout, and who runs a rollout now; the latter is empty if nobody does."""
         record = RolloutRecord(self.fleet.state)
         try:
             if (found := record.find(id)) is None:
@@ -322,8 +364,9 @@
             record.close()
 
     async def abort_rollout(self, id: str, why: str) -> tuple[str, bool]:
-        """The rollout's id, and whether a tool still runs it: that one ends it before its next
-        order.
+        """Abort a rollout; return its id, and whether another process still runs it.
+
+        Such a process ends the rollout before its next order.
         """
         record = RolloutRecord(self.fleet.state)
         try:
@@ -346,15 +389,15 @@
 
 
 def with_limits(fleet: FleetConfig, **changes: Any) -> FleetConfig:
-    """The fleet with some of its limits told otherwise on the command line."""
-    given = {key: value for key, value in changes.items() if value is not None}
-    if not given:
+    """Return the fleet with the limits that the command line sets instead of its own."""
+    overrides = {key: value for key, value in changes.items() if value is not None}
+    if not overrides:
         return fleet
     from onyxpass.config import toml_config
     from onyxpass.fleet.config import LimitsTable
 
-    raw = {**fleet.limits.model_dump(), **given}
+    raw = {**fleet.limits.model_dump(), **overrides}
     try:
         return replace(fleet, limits=toml_config.check(LimitsTable, raw, where="the command line"))
-    except ConfigError as problem:
-        raise CommandRejectedError(str(problem)) from problem
+    except ConfigError as error:
+        raise CommandRejectedError(str(error)) from error
--- a/onyxpass/fleet/render.py
+++ b/onyxpass/fleet/render.py
@@ -1,6 +1,4 @@
-"""Reports on a terminal, through rich. Nothing is decided or left out: each selected instance
-has a row.
-"""
+"""Prints reports on a terminal with rich; each selected instance has a row."""
 
 import asyncio
 import json
@@ -18,75 +16,81 @@
 from onyxpass.fleet.outcome import OutcomeKind
 from onyxpass.fleet.planner import Plan
 from onyxpass.fleet.record import RecordedRollout
-from onyxpass.fleet.views import View
+from onyxpass.fleet.views import InstanceView
 
-COLOURS = {
+OUTCOME_COLOURS = {
     OutcomeKind.DONE: "green",
     OutcomeKind.FAILED: "red",
     OutcomeKind.UNKNOWN: "yellow",
     OutcomeKind.NOT_TRIED: "magenta",
 }
-SURVEY = (
+SURVEY_COLUMNS = (
     *("instance", "hall", "host", "state", "pid", "configuration"),
     *("open", "streams", "oldest", "drain", "restarts", "outcome"),
 )
-WATCH_S = 0.5  # between looks while an order runs
-SHORT = 12  # characters of a digest that are shown
+PROGRESS_INTERVAL_S = 0.5  # between updates while an order runs
+SHORT_DIGEST_LENGTH = 12  # characters of a digest that are printed
 
 
 def console() -> Console:
-    """Wide enough for a row a line where the output is no terminal."""
-    found = Console(highlight=False, soft_wrap=False)
-    return found if found.is_terminal else Console(highlight=False, width=200)
+    """Return a console that is wide enough for one line per row if the output is no terminal."""
+    terminal = Console(highlight=False, soft_wrap=False)
+    return terminal if terminal.is_terminal else Console(highlight=False, width=200)
 
 
-def as_json(value: Any) -> None:
+def print_json(value: Any) -> None:
     print(json.dumps(value, indent=2))
 
 
-def _drain(view: View) -> str:
-    phase = view.at("drain", "phase")
+def _drain(view: InstanceView) -> str:
+    phase = view.live_value("drain", "phase")
     if phase is None:
         return "-"
     if phase == "serving":
         return "no"
-    late = ", late" if view.at("drain", "late") else ""
-    return f"{phase}{late}, {(view.at('drain', 'left_ms') or 0) / 1000:.1f} s left"
+    late = ", late" if view.live_value("drain", "late") else ""
+    return f"{phase}{late}, {(view.live_value('drain', 'left_ms') or 0) / 1000:.1f} s left"
 
 
-def _config(view: View) -> str:
-    digest = view.at("config", "digest")
+def _config(view: InstanceView) -> str:
+    digest = view.live_value("config", "digest")
     if digest is None:
         return "-"
-    told = f"{digest[:SHORT]} gen {view.at('config', 'generation')}"
-    if keys := view.at("config", "needs_restart"):
-        return f"{told}, needs a restart ({len(keys)} keys)"
-    return told if not view.file or view.file == digest else f"{told}, file {view.file[:SHORT]}"
+    text = f"{digest[:SHORT_DIGEST_LENGTH]} gen {view.live_value('config', 'generation')}"
+    if keys := view.live_value("config", "needs_restart"):
+        return f"{text}, needs a restart ({len(keys)} keys)"
+    return (
+        text
+        if not view.file_digest or view.file_digest == digest
+        else f"{text}, file {view.file_digest[:SHORT_DIGEST_LENGTH]}"
+    )
 
 
 def survey(report: Report) -> None:
-    """One row an instance: how it stands, or why that is not known."""
-    table = Table(*SURVEY)
+    """Print a row for each instance: its state, or why the state is unknown."""
+    table = Table(*SURVEY_COLUMNS)
     outcomes = report.tally.outcomes()
     for member in report.members:
         view, outcome = report.views[member.name], outcomes[member.name]
-        told = view.told or {}
-        state = str(told.get("state", "?")) + (", not ready" if view.at("ready") is False else "")
-        oldest_ms = view.at("drain", "oldest_ms")
-        colour = COLOURS[outcome.kind]
+        agent_report = view.report or {}
+        state = str(agent_report.get("state", "?")) + (
+            ", not ready" if view.live_value("ready") is False else ""
+        )
+        oldest_ms = view.live_value("drain", "oldest_ms")
+        colour = OUTCOME_COLOURS[outcome.kind]
         reason = f": {outcome.reason}" if outcome.kind is not OutcomeKind.DONE else ""
         table.add_row(
             member.name,
             member.hall,
             member.host,
             state,
-            str(told.get("pid") or "-"),
+            str(agent_report.get("pid") or "-"),
             _config(view),
-            str(view.at("drain", "requests") if view.live else "-"),
-            str(view.at("drain", "streams") if view.live else "-"),
+            str(view.live_value("drain", "requests") if view.live_report else "-"),
+            str(view.live_value("drain", "streams") if view.live_report else "-"),
             f"{oldest_ms / 1000:.1f} s" if oldest_ms else "-",
             _drain(view),
-            str(told.get("restarts", "-")),
+            str(agent_report.get("restarts", "-")),
             f"[{colour}]{outcome.kind.value}[/]{escape(reason)}",
         )
     out = console()
@@ -95,12 +99,12 @@
 
 
 def outcomes(report: Report) -> None:
-    """One row an instance: how its order ended, and why."""
+    """Print a row for each instance: the outcome of its order, and the reason."""
     table = Table("instance", "hall", "host", "outcome", "reason")
-    found = report.tally.outcomes()
+    outcomes_by_name = report.tally.outcomes()
     for member in report.members:
-        outcome = found[member.name]
-        colour = COLOURS[outcome.kind]
+        outcome = outcomes_by_name[member.name]
+        colour = OUTCOME_COLOURS[outcome.kind]
         table.add_row(
             member.name,
             member.hall,
@@ -112,11 +116,12 @@
     summary(report)
 
 
-async def watched(
+async def run_with_progress(
     controller: FleetController, members: Sequence[Member], order: Coroutine[Any, Any, Report]
 ) -> Report:
-    """The order, and on a terminal meanwhile how each instance stands: what is open, how old,
-    how long.
+    """Run the order and return its report; on a terminal, show each instance's state meanwhile.
+
+    The table has the open requests, the age of the oldest one, and the drain of each instance.
     """
     out = console()
     if not out.is_terminal:
@@ -124,82 +129,83 @@
     running = asyncio.ensure_future(order)
     with Live(console=out, transient=True, refresh_per_second=4) as live:
         while not running.done():
-            report = await controller.survey(members, WATCH_S)
-            live.update(progress(report))
-            await asyncio.wait([running], timeout=WATCH_S)
+            report = await controller.survey(members, PROGRESS_INTERVAL_S)
+            live.update(progress_table(report))
+            await asyncio.wait([running], timeout=PROGRESS_INTERVAL_S)
     return await running
 
 
-def progress(report: Report) -> Table:
+def progress_table(report: Report) -> Table:
     table = Table("instance", "state", "open", "streams", "oldest", "drain")
     for member in report.members:
         view = report.views[member.name]
         counts = [
-            str(view.at("drain", key) if view.live else "?") for key in ("requests", "streams")
+            str(view.live_value("drain", key) if view.live_report else "?")
+            for key in ("requests", "streams")
         ]
-        oldest_s = (view.at("drain", "oldest_ms") or 0) / 1000
-        state = str((view.told or {}).get("state", "?"))
+        oldest_s = (view.live_value("drain", "oldest_ms") or 0) / 1000
+        state = str((view.report or {}).get("state", "?"))
         table.add_row(member.name, state, *counts, f"{oldest_s:.1f} s", escape(_drain(view)))
     return table
 
 
 def summary(report: Report) -> None:
     counts = report.tally.counts()
-    told = ", ".join(f"{count} {kind}" for kind, count in counts.items())
+    counts_text = ", ".join(f"{count} {kind}" for kind, count in counts.items())
     console().print(
-        f"{report.command}: {len(report.members)} selected: {told}; {report.seconds:.1f} s"
+        f"{report.command}: {len(report.members)} selected: {counts_text}; {report.seconds:.1f} s"
     )
 
 
-def plan(found: Plan, beside: Mapping[str, Any], same: Sequence[str]) -> None:
+def plan(wave_plan: Plan, excluded: Mapping[str, Any], unchanged: Sequence[str]) -> None:
     table = Table("wave", "instances")
-    for number, wave in enumerate(found.waves, 1):
-        table.add_row(str(number), ", ".join(unit.name for unit in wave))
+    for number, wave in enumerate(wave_plan.waves, 1):
+        table.add_row(str(number), ", ".join(instance.name for instance in wave))
     out = console()
     out.print(table)
-    for name, outcome in beside.items():
+    for name, outcome in excluded.items():
         out.print(f"{name}: {outcome.kind.value}: {escape(outcome.reason)}")
-    for name, reason in found.impossible.items():
+    for name, reason in wave_plan.impossible.items():
         out.print(f"{name}: can't be changed within the limits: {escape(reason)}")
-    for name in same:
-        out.print(f"{name}: runs on its file already")
-    count = sum(len(wave) for wave in found.waves)
-    out.print(f"{count} to change in {len(found.waves)} waves")
+    for name in unchanged:
+        out.print(f"{name}: already runs on its file")
+    count = sum(len(wave) for wave in wave_plan.waves)
+    out.print(f"{count} to change in {len(wave_plan.waves)} waves")
 
 
-def recorded(found: RecordedRollout, holder: str) -> None:
+def recorded_rollout(rollout: RecordedRollout, holder: str) -> None:
     table = Table("instance", "target", "ordered", "outcome", "reason")
-    for entry in found.instances.values():
+    for entry in rollout.instances.values():
         outcome = entry.outcome
         table.add_row(
             entry.name,
-            entry.target.digest[:SHORT] or "-",
+            entry.target.digest[:SHORT_DIGEST_LENGTH] or "-",
             "yes" if entry.operation else "no",
             outcome.kind.value if outcome else "-",
             escape(outcome.reason if outcome else ""),
         )
     out = console()
     out.print(table)
-    out.print(f"rollout {found.id}: {found.method.value}, {state_of(found, holder)}")
+    out.print(f"rollout {rollout.id}: {rollout.method.value}, {describe_state(rollout, holder)}")
 
 
-def state_of(found: RecordedRollout, holder: str) -> str:
-    """What a record's state means, given who holds the lock."""
-    if found.state in ("running", "aborting"):
+def describe_state(rollout: RecordedRollout, holder: str) -> str:
+    """Describe the state of a recorded rollout; ``holder`` runs a rollout now, if not empty."""
+    if rollout.state in ("running", "aborting"):
         return (
-            f"{found.state}: {holder}"
+            f"{rollout.state}: {holder}"
             if holder
-            else "cut off: its tool ended; `rollout resume` goes on with it"
+            else "interrupted: the process that ran it has ended; `rollout resume` continues it"
         )
-    return f"{found.state}: {found.why}" if found.why else found.state
+    return f"{rollout.state}: {rollout.why}" if rollout.why else rollout.state
 
 
-def recorded_told(found: RecordedRollout, holder: str) -> dict[str, Any]:
+def recorded_rollout_dict(rollout: RecordedRollout, holder: str) -> dict[str, Any]:
     return {
-        "rollout": found.id,
-        "method": found.method.value,
-        "state": found.state,
-        "why": found.why,
+        "rollout": rollout.id,
+        "method": rollout.method.value,
+        "state": rollout.state,
+        "why": rollout.why,
         "holder": holder,
         "instances": [
             {
@@ -208,30 +214,30 @@
                 "operation": entry.operation,
                 **(entry.outcome.to_dict() if entry.outcome else {"outcome": None, "reason": ""}),
             }
-            for entry in found.instances.values()
+            for entry in rollout.instances.values()
         ],
     }
 
 
-def events(found: Iterable[Mapping[str, Any]]) -> None:
+def events(rows: Iterable[Mapping[str, Any]]) -> None:
     out = console()
-    for event in found:
+    for event in rows:
         at = time.strftime("%Y-%m-%d %H:%M:%S", time.localtime(float(event["at"])))
-        known = ("host", "number", "at", "instance", "what")
-        more = " ".join(
+        shown_first = ("host", "number", "at", "instance", "what")
+        details = " ".join(
             f"{key}={value}"
             for key, value in event.items()
-            if key not in known and value not in ("", None)
+            if key not in shown_first and value not in ("", None)
         )
         out.print(
             escape(
-                f"{at} {event['host']} {event['instance'] or '-'} {event['what']} {more}".rstrip()
+                f"{at} {event['host']} {event['instance'] or '-'} {event['what']} {details}".rstrip()
             )
         )
 
 
 def step(what: str, detail: Mapping[str, Any]) -> None:
-    """A rollout's steps, one line each, as they happen."""
+    """Print a line for one step of a rollout."""
     out = console()
     match what:
         case "wave":
@@ -242,4 +248,4 @@
         case "pause":
             out.print(f"pause of {detail['seconds']:g} s")
         case "release":
-            out.print(escape(f"{detail['host']} could not be given back: {detail['problem']}"))
+            out.print(escape(f"{detail['host']} could not be released: {detail['problem']}"))
--- a/onyxpass/fleet/rollout.py
+++ b/onyxpass/fleet/rollout.py
@@ -1,8 +1,9 @@
-"""A change brought to many instances wave by wave, as a state machine without I/O.
+"""A change of many instances, wave by wave, as a state machine without I/O.
 
-It is told what was observed and how each order ended, and says what to do next. Nothing that a
-record holds is believed: a rollout that goes on after its tool was killed first asks every instance
-how it really stands. Times are seconds of one monotonic clock.
+Its inputs are observations of instances and the outcomes of orders; its outputs are the actions to
+take next. The record of a rollout is no proof of an instance's state: a rollout that is resumed
+after its process was killed first observes every instance. Times are seconds of one monotonic
+clock.
 """
 
 from collections.abc import Iterable, Mapping
@@ -22,15 +23,18 @@
 
 
 class ChangeMethod(Enum):
-    RELOAD = "reload"  # what needs a restart fails
+    """How an instance takes its change."""
+
+    RELOAD = "reload"  # a change that needs a restart fails
     RESTART = "restart"
     AUTO = "auto"  # reload, and restart only where that is needed
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceTarget:
-    """What an instance must run on. ``launch``: of the process before; a restart must have
-    replaced it.
+    """The configuration that an instance must run on.
+
+    ``launch`` is the launch id of the process before the change; a restart must replace it.
     """
 
     digest: str
@@ -39,49 +43,53 @@
 
 @dataclass(frozen=True, slots=True)
 class Observation:
-    """What an instance was last seen to be; None where nothing could be seen."""
+    """The observed state of an instance; ``digest`` and ``launch`` are None if it was not read."""
 
     digest: str | None = None
     launch: str | None = None
     serving: bool = False
-    under_way: str = ""  # an operation that its agent carries out now
-    problem: str = ""
+    under_way: str = ""  # id of the operation that its agent carries out now
+    error: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutPace:
+    """Number of canaries, pause between waves, and failures after which the rollout aborts."""
+
     canaries: int = 1
     pause_s: float = 5.0
     abort_after: int = 1
 
 
 class RolloutStage(Enum):
-    ASKING = "asking"  # how all instances stand, before anything is done
+    """The stages of a rollout, in this order; changing and pausing alternate."""
+
+    ASKING = "asking"  # all instances are observed before the first order
     CHANGING = "changing"
     PAUSING = "pausing"
-    VERIFYING = "verifying"  # once more, whether what was done still holds
+    VERIFYING = "verifying"  # changed instances are observed once more
     ENDED = "ended"
 
 
 @dataclass(frozen=True, slots=True)
 class ApplyChange:
-    """Order the change; ends in ``ended``."""
+    """Order the change of an instance; its end is passed to ``on_change_ended``."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class ObserveInstance:
-    """Ask how it stands; ends in ``seen``."""
+    """Observe an instance; the result is passed to ``on_observed``."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class WakeAfter:
-    """Call ``tick`` after so long."""
+    """Call ``on_timer`` after this time."""
 
-    after_s: float
+    delay_s: float
 
 
 RolloutAction = ApplyChange | ObserveInstance | WakeAfter
@@ -89,28 +97,31 @@
 
 @dataclass(slots=True)
 class Rollout:
-    """``units``: the whole fleet, as last seen; ``targets``: those to change."""
+    """The state of one rollout.
+
+    ``instances`` are all instances of the fleet as last observed, ``targets`` those to change.
+    """
 
-    units: Iterable[PlannedInstance]
+    instances: Iterable[PlannedInstance]
     targets: Mapping[str, InstanceTarget]
     method: ChangeMethod
     limits: DisruptionLimits
     pace: RolloutPace
-    barred: Mapping[str, InstanceOutcome] = field(
+    excluded: Mapping[str, InstanceOutcome] = field(
         default_factory=dict
-    )  # whom no order may go to, and why
+    )  # outcomes of instances that get no order
     tally: OutcomeTally = field(init=False)
     planner: Planner | None = None
     stage: RolloutStage = RolloutStage.ASKING
     waves: list[tuple[str, ...]] = field(default_factory=list)
-    out: set[str] = field(default_factory=set)  # ordered, and not ended
-    looking: set[str] = field(default_factory=set)
-    seen_last: dict[str, Observation] = field(default_factory=dict)
-    # ordered by this rollout, now or before it was resumed
-    touched: set[str] = field(default_factory=set)
+    in_progress: set[str] = field(default_factory=set)  # ordered, and not ended
+    awaiting_observation: set[str] = field(default_factory=set)
+    last_observations: dict[str, Observation] = field(default_factory=dict)
+    # instances ordered by this rollout, including before it was resumed
+    ordered: set[str] = field(default_factory=set)
     canaries_left: int = 0
-    aborted: str = ""
-    due_s: float = 0.0
+    abort_reason: str = ""
+    pause_until_s: float = 0.0
 
     def __post_init__(self) -> None:
         self.tally = OutcomeTally(self.targets)
@@ -118,70 +129,73 @@
 
     # Events
 
-    def begin(self, touched: Iterable[str] = ()) -> list[RolloutAction]:
-        """Ask all. ``touched``: whom a tool before this one had ordered, by its record."""
-        self.touched |= set(touched)
-        self.looking = set(self.targets)
+    def begin(self, already_ordered: Iterable[str] = ()) -> list[RolloutAction]:
+        """Observe all instances to change.
+
+        ``already_ordered`` names those that an earlier process ordered, according to the record.
+        """
+        self.ordered |= set(already_ordered)
+        self.awaiting_observation = set(self.targets)
         return [ObserveInstance(name) for name in self.targets]
 
-    def seen(self, name: str, observation: Observation, now_s: float) -> list[RolloutAction]:
-        if name not in self.looking:
+    def on_observed(self, name: str, observation: Observation, now_s: float) -> list[RolloutAction]:
+        if name not in self.awaiting_observation:
             return []
-        self.looking.discard(name)
-        self.seen_last[name] = observation
+        self.awaiting_observation.discard(name)
+        self.last_observations[name] = observation
         if self.stage is RolloutStage.VERIFYING:
             self._verify(name, observation)
-        if self.looking:
+        if self.awaiting_observation:
             return []
         if self.stage is RolloutStage.ASKING:
-            return self._planned(now_s)
+            return self._plan(now_s)
         if self.stage is RolloutStage.VERIFYING:
             self.stage = RolloutStage.ENDED
         return []
 
-    def ended(
+    def on_change_ended(
         self, name: str, outcome: InstanceOutcome, observation: Observation, now_s: float
     ) -> list[RolloutAction]:
-        """An order has ended, and this is how the instance was seen after it.
+        """Handle the end of an order; the observation was made after it.
 
-        Guards against a word that is not true any more: done is what runs on the target, whatever
-        was told.
+        An instance is done if it is observed to run on its target, whatever outcome was reported:
+        the report may be outdated.
         """
-        if name not in self.out:
+        if name not in self.in_progress:
             return []
-        self.out.discard(name)
-        self.seen_last[name] = observation
-        if outcome.kind is OutcomeKind.DONE and not self._holds(name, observation):
-            outcome = self._missed(observation)
-        elif outcome.kind is not OutcomeKind.DONE and self._holds(name, observation):
+        self.in_progress.discard(name)
+        self.last_observations[name] = observation
+        if outcome.kind is OutcomeKind.DONE and not self._is_on_target(name, observation):
+            outcome = self._off_target_outcome(observation)
+        elif outcome.kind is not OutcomeKind.DONE and self._is_on_target(name, observation):
             outcome = done(
-                f"it runs on the change, though its order ended otherwise: {outcome.reason}"
+                f"it runs on its target, though its order ended otherwise: {outcome.reason}"
             )
         self.tally.settle(name, outcome)
         if self.planner is not None:
             self.planner.observe(name, observation.serving)
-        self._judge()
-        if self.out:
+        self._check_abort_threshold()
+        if self.in_progress:
             return []
         return self._after_wave(now_s)
 
-    def tick(self, now_s: float) -> list[RolloutAction]:
-        if self.stage is RolloutStage.PAUSING and now_s >= self.due_s:
-            return self._wave(now_s)
+    def on_timer(self, now_s: float) -> list[RolloutAction]:
+        if self.stage is RolloutStage.PAUSING and now_s >= self.pause_until_s:
+            return self._start_wave(now_s)
         if self.stage is RolloutStage.PAUSING:
-            return [WakeAfter(self.due_s - now_s)]
+            return [WakeAfter(self.pause_until_s - now_s)]
         return []
 
     def abort(self, reason: str, now_s: float) -> list[RolloutAction]:
-        """No more orders; those that are out are waited for."""
-        self.aborted = self.aborted or reason
-        if self.stage in (RolloutStage.PAUSING, RolloutStage.CHANGING) and not self.out:
+        """Send no further orders; those in progress are waited for."""
+        self.abort_reason = self.abort_reason or reason
+        if self.stage in (RolloutStage.PAUSING, RolloutStage.CHANGING) and not self.in_progress:
             return self._finish()
         return []
 
-    # What follows from them
+    # Transitions
 
-    def _holds(self, name: str, observation: Observation) -> bool:
+    def _is_on_target(self, name: str, observation: Observation) -> bool:
         target = self.targets[name]
         if observation.digest != target.digest or not observation.serving:
             return False
@@ -191,96 +205,108 @@
         )
 
     @staticmethod
-    def _missed(observation: Observation) -> InstanceOutcome:
+    def _off_target_outcome(observation: Observation) -> InstanceOutcome:
         if observation.digest is None:
-            return unknown(f"it can't be asked what it runs on: {observation.problem or 'no word'}")
+            return unknown(f"its configuration can't be read: {observation.error or 'no answer'}")
         if not observation.serving:
-            return failed(f"it is not in service: {observation.problem or 'not ready'}")
+            return failed(f"it is not in service: {observation.error or 'not ready'}")
         return failed(f"it runs on {observation.digest}")
 
-    def _planned(self, now_s: float) -> list[RolloutAction]:
-        """All have been asked: whoever runs on the target already is done, and needs no order."""
-        change, units = [], []
-        for unit in self.units:
-            found = self.seen_last.get(unit.name)
-            serving = found.serving if found is not None else unit.serving
-            units.append(PlannedInstance(unit.name, unit.hall, unit.host, unit.capacity, serving))
+    def _plan(self, now_s: float) -> list[RolloutAction]:
+        """Plan the changes once all instances are observed; those already on target need no order."""
+        to_change, instances = [], []
+        for instance in self.instances:
+            observation = self.last_observations.get(instance.name)
+            serving = observation.serving if observation is not None else instance.serving
+            instances.append(
+                PlannedInstance(
+                    instance.name, instance.hall, instance.host, instance.capacity, serving
+                )
+            )
         for name in self.targets:
-            found = self.seen_last[name]
-            if self._holds(name, found) and (
-                self.method is not ChangeMethod.RESTART or name in self.touched
+            observation = self.last_observations[name]
+            if self._is_on_target(name, observation) and (
+                self.method is not ChangeMethod.RESTART or name in self.ordered
             ):
-                self.tally.settle(name, done("it runs on the change already"))
-            elif (bar := self.barred.get(name)) is not None:
-                self.tally.settle(name, bar)
-            elif found.digest is None and name in self.touched:
+                self.tally.settle(name, done("it runs on its target already"))
+            elif (exclusion := self.excluded.get(name)) is not None:
+                self.tally.settle(name, exclusion)
+            elif observation.digest is None and name in self.ordered:
                 self.tally.settle(
-                    name, unknown(f"it was ordered before: {found.problem or 'no word'}")
+                    name,
+                    unknown(
+                        f"it was ordered before, and its state can't be read: {observation.error or 'no answer'}"
+                    ),
                 )
-            elif found.digest is None:
+            elif observation.digest is None:
                 self.tally.settle(
-                    name, not_tried(f"it can't be asked: {found.problem or 'no word'}")
+                    name, not_tried(f"its state can't be read: {observation.error or 'no answer'}")
                 )
             else:
-                change.append(name)
-        self.planner = Planner(units, change, self.limits)
-        self._judge()
-        return self._wave(now_s)
+                to_change.append(name)
+        self.planner = Planner(instances, to_change, self.limits)
+        self._check_abort_threshold()
+        return self._start_wave(now_s)
 
-    def _judge(self) -> None:
+    def _check_abort_threshold(self) -> None:
         counts = self.tally.counts()
-        if not self.aborted and counts["failed"] + counts["unknown"] >= self.pace.abort_after:
-            self.aborted = (
+        if not self.abort_reason and counts["failed"] + counts["unknown"] >= self.pace.abort_after:
+            self.abort_reason = (
                 f"aborted after {counts['failed']} failed and {counts['unknown']} unknown"
             )
 
-    def _wave(self, now_s: float) -> list[RolloutAction]:
-        if self.aborted or self.planner is None:
+    def _start_wave(self, now_s: float) -> list[RolloutAction]:
+        if self.abort_reason or self.planner is None:
             return self._finish()
-        most = self.canaries_left if self.canaries_left > 0 else None
-        wave = self.planner.next_wave(most)
+        max_size = self.canaries_left if self.canaries_left > 0 else None
+        wave = self.planner.next_wave(max_size)
         if not wave:
             return self._finish()
         self.canaries_left = max(0, self.canaries_left - len(wave))
         self.stage = RolloutStage.CHANGING
-        names = tuple(unit.name for unit in wave)
+        names = tuple(instance.name for instance in wave)
         self.waves.append(names)
-        self.out |= set(names)
-        self.touched |= set(names)
+        self.in_progress |= set(names)
+        self.ordered |= set(names)
         return [ApplyChange(name) for name in names]
 
     def _after_wave(self, now_s: float) -> list[RolloutAction]:
-        if self.aborted or self.planner is None or not self.planner.waiting:
+        if self.abort_reason or self.planner is None or not self.planner.waiting:
             return self._finish()
-        self.stage, self.due_s = RolloutStage.PAUSING, now_s + self.pace.pause_s
+        self.stage, self.pause_until_s = RolloutStage.PAUSING, now_s + self.pace.pause_s
         return [WakeAfter(self.pace.pause_s)]
 
     def _finish(self) -> list[RolloutAction]:
-        """Settle who was never ordered, and look at all that is done once more."""
+        """Settle the instances that were never ordered, and observe all changed ones once more."""
         if self.planner is not None:
-            stuck = self.planner.blocked()
+            blocked = self.planner.blocked()
             for name in sorted(self.planner.waiting):
                 reason = (
-                    self.aborted
-                    or stuck.get(name)
-                    or "no wave could take it: others are out of service"
+                    self.abort_reason
+                    or blocked.get(name)
+                    or "no wave could include it: others are out of service"
                 )
                 self.tally.settle(name, not_tried(reason))
-        self.looking = {
-            name for name, o in self.tally.outcomes().items() if o.kind is OutcomeKind.DONE
+        self.awaiting_observation = {
+            name
+            for name, outcome in self.tally.outcomes().items()
+            if outcome.kind is OutcomeKind.DONE
         }
-        if not self.looking:
+        if not self.awaiting_observation:
             self.stage = RolloutStage.ENDED
             return []
         self.stage = RolloutStage.VERIFYING
-        return [ObserveInstance(name) for name in sorted(self.looking)]
+        return [ObserveInstance(name) for name in sorted(self.awaiting_observation)]
 
     def _verify(self, name: str, observation: Observation) -> None:
-        if not self._holds(name, observation):
-            before = "it had taken the change"
+        if not self._is_on_target(name, observation):
+            history = "it had taken the change"
             if observation.digest is None:
                 self.tally.settle(
-                    name, unknown(f"{before}, and can't be asked now: {observation.problem}")
+                    name,
+                    unknown(f"{history}, and its state can't be read now: {observation.error}"),
                 )
             else:
-                self.tally.settle(name, failed(f"{before}; now {self._missed(observation).reason}"))
+                self.tally.settle(
+                    name, failed(f"{history}; now {self._off_target_outcome(observation).reason}")
+                )
--- a/onyxpass/fleet/runner.py
+++ b/onyxpass/fleet/runner.py
@@ -1,6 +1,4 @@
-"""Runs a rollout: carries out what ``rollout`` asks for, and keeps the record and the agents'
-holds.
-"""
+"""Runs a rollout: performs its actions, writes its record and renews its locks on the agents."""
 
 import asyncio
 import secrets
@@ -26,36 +24,37 @@
     WakeAfter,
 )
 from onyxpass.fleet.rollout_lock import RolloutLockedError, process_identity
-from onyxpass.fleet.views import View, look
+from onyxpass.fleet.views import InstanceView, fetch_view
 from onyxpass.net.http_client import RequestNotSentError, ResponseLostError
 
-if TYPE_CHECKING:  # Redis comes with it, and only where a store is told
+if TYPE_CHECKING:  # the module imports Redis, which is needed only with a configured store
     from onyxpass.fleet.leases import RolloutLeases
 
-HOLD_MS = 60_000  # an agent is free again so long after the last word of a rollout's tool
-RENEW_S = 15.0
-LOOK_S = 3.0  # one look at an instance
-VERIFY_S = 5.0  # for one that can't be asked in the last look to be back
-UNDER_WAY_PAUSE_S = 0.2
+HOLD_TTL_MS = 60_000  # after which an agent releases a rollout's lock that is not renewed
+HOLD_RENEWAL_S = 15.0
+CALL_TIMEOUT_S = 3.0  # for reading an instance's state or taking an agent's lock
+VERIFY_TIMEOUT_S = 5.0  # for an instance to answer while changes are verified
+IN_PROGRESS_POLL_S = 0.2
 ABORT_POLL_S = 0.5
 
 
-def limits_of(fleet: FleetConfig) -> DisruptionLimits:
-    """The file's shares as numbers; a hall's share is of the smallest hall, so that it holds in
-    each.
+def disruption_limits(fleet: FleetConfig) -> DisruptionLimits:
+    """Return the fleet's limits as numbers of instances.
+
+    A hall's share is taken of the smallest hall, so that it holds in each hall.
     """
-    by_hall: dict[str, int] = {}
+    hall_sizes: dict[str, int] = {}
     for member in fleet.members:
-        by_hall[member.hall] = by_hall.get(member.hall, 0) + 1
+        hall_sizes[member.hall] = hall_sizes.get(member.hall, 0) + 1
     return DisruptionLimits(
         out=count_of(fleet.limits.out, len(fleet.members)),
-        out_hall=count_of(fleet.limits.out_hall, min(by_hall.values(), default=1)),
+        out_hall=count_of(fleet.limits.out_hall, min(hall_sizes.values(), default=1)),
         out_host=fleet.limits.out_host,
         keep=fleet.keep,
     )
 
 
-def units_of(views: Mapping[str, View]) -> list[PlannedInstance]:
+def planned_instances(views: Mapping[str, InstanceView]) -> list[PlannedInstance]:
     return [
         PlannedInstance(
             name, view.member.hall, view.member.host, view.member.capacity, view.serving
@@ -66,15 +65,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeOrder:
-    """How each instance is ordered to change."""
+    """How each instance is changed: the method, its time limit, and the options of the order."""
 
     method: ChangeMethod = ChangeMethod.AUTO
     deadline_s: float = 60.0
     force: bool = False
     drain: bool = True
 
-    def call(self, target: InstanceTarget, rollout: str) -> tuple[str, dict[str, Any]]:
-        """The kind of operation, and what its call holds."""
+    def request(self, target: InstanceTarget, rollout: str) -> tuple[str, dict[str, Any]]:
+        """Return the kind of operation and the body of its request."""
         body: dict[str, Any] = {
             "rollout": rollout,
             "expect": target.digest,
@@ -86,11 +85,15 @@
         return "reload", {**body, "restart": self.method is ChangeMethod.AUTO}
 
 
-Told = Callable[[str, Mapping[str, Any]], None]
+StepListener = Callable[[str, Mapping[str, Any]], None]
+"""Called with the name of a step and its details."""
 
 
 class RolloutRunner:
-    """``told`` hears of each step: ``wave``, ``ordered``, ``settled``, ``stage``."""
+    """Runs one rollout.
+
+    ``on_step`` is called for each step: ``wave``, ``ordered``, ``settled``, ``pause``, ``release``.
+    """
 
     def __init__(
         self,
@@ -100,7 +103,7 @@
         members: Mapping[str, Member],
         agent_client: AgentClient,
         record: RolloutRecord,
-        told: Told = lambda _what, _detail: None,
+        on_step: StepListener = lambda _what, _detail: None,
         leases: "RolloutLeases | None" = None,
     ) -> None:
         self.id, self.rollout, self.order, self.members, self.leases = (
@@ -110,26 +113,28 @@
             members,
             leases,
         )
-        self.agent_client, self.record, self.told = agent_client, record, told
+        self.agent_client, self.record, self.on_step = agent_client, record, on_step
         self.tasks: set[asyncio.Task[None]] = set()
         self.changed = asyncio.Event()
-        self.known: dict[str, InstanceOutcome] = {}
-        self.operations: dict[str, str] = {}  # by name, as they stand on record
+        self.reported_outcomes: dict[str, InstanceOutcome] = {}
+        self.operations: dict[str, str] = {}  # operation ids on record, by instance
 
     @property
     def now_s(self) -> float:
         return asyncio.get_running_loop().time()
 
-    # Holds
+    # Locks on agents
 
-    async def take_agents(self) -> None:
-        """Held, with nothing done, where an agent is another rollout's. A silent agent is no
-        hindrance.
+    async def acquire_agents(self) -> None:
+        """Lock all agents of the instances to change for this rollout.
+
+        Raises RolloutLockedError, and releases all of them, if another rollout holds one. An agent
+        that does not answer is ignored.
         """
         agents = self._agents()
-        answers = await asyncio.gather(*(self._hold(agent) for agent in agents))
+        answers = await asyncio.gather(*(self._acquire_agent(agent) for agent in agents))
         if reasons := [reason for reason in answers if reason]:
-            await self.give_agents_back()
+            await self.release_agents()
             raise RolloutLockedError(reasons[0])
 
     def _agents(self) -> list[AgentRef]:
@@ -139,19 +144,26 @@
             }.values()
         )
 
-    async def _hold(self, agent: AgentRef) -> str:
-        body: dict[str, Any] = {"rollout": self.id, "holder": process_identity(), "ttl_ms": HOLD_MS}
+    async def _acquire_agent(self, agent: AgentRef) -> str:
+        """Lock an agent, or renew its lock; return why that was refused, else an empty text."""
+        body: dict[str, Any] = {
+            "rollout": self.id,
+            "holder": process_identity(),
+            "ttl_ms": HOLD_TTL_MS,
+        }
         if self.leases is not None:
-            if (shown := self.leases.proof_for(agent)) is None:
-                return f"{agent.host}: the lease of its hall is gone"
-            body["lease"] = shown
+            if (proof := self.leases.proof_for(agent)) is None:
+                return f"{agent.host}: the lease of its hall is lost"
+            body["lease"] = proof
         due_s = self.now_s + self.order.deadline_s
         try:
-            answer = await self.agent_client.call(agent, "POST", "/v1/hold", body, LOOK_S)
-            # by whoever had the lease before
+            answer = await self.agent_client.call(agent, "POST", "/v1/hold", body, CALL_TIMEOUT_S)
+            # an operation that the previous holder of the lease ordered
             while answer.body.get("under_way") and self.now_s < due_s:
-                await asyncio.sleep(UNDER_WAY_PAUSE_S)
-                answer = await self.agent_client.call(agent, "POST", "/v1/hold", body, LOOK_S)
+                await asyncio.sleep(IN_PROGRESS_POLL_S)
+                answer = await self.agent_client.call(
+                    agent, "POST", "/v1/hold", body, CALL_TIMEOUT_S
+                )
         except (RequestNotSentError, ResponseLostError):
             return ""
         if answer.status != 409:
@@ -161,39 +173,43 @@
         hold = answer.body.get("hold") or {}
         return f"{agent.host}: rollout {hold.get('rollout')} is held by {hold.get('holder')}"
 
-    async def give_agents_back(self) -> None:
+    async def release_agents(self) -> None:
+        """Release all agents; a failure is passed to ``on_step``."""
+
         async def release(agent: AgentRef) -> None:
-            if problem := await self.agent_client.release(agent, self.id):
-                self.told("release", {"host": agent.host, "problem": problem})
+            if error := await self.agent_client.release(agent, self.id):
+                self.on_step("release", {"host": agent.host, "problem": error})
 
         await asyncio.gather(*(release(agent) for agent in self._agents()))
 
-    async def _keep_agents(self) -> None:
+    async def _renew_agents(self) -> None:
         while True:
-            await asyncio.sleep(RENEW_S)
-            await asyncio.gather(*(self._hold(agent) for agent in self._agents()))
+            await asyncio.sleep(HOLD_RENEWAL_S)
+            await asyncio.gather(*(self._acquire_agent(agent) for agent in self._agents()))
 
     # The run
 
     async def run(self, operations: Mapping[str, str] | None = None) -> Rollout:
-        """To the end. ``operations``: what a tool before this one ordered, by instance, from the
-        record.
+        """Run the rollout to its end.
+
+        ``operations`` are the ids of the operations that an earlier process ordered, by instance,
+        from the record.
         """
         self.operations.update(operations or {})
-        beside = [
-            asyncio.create_task(self._keep_agents()),
+        background = [
+            asyncio.create_task(self._renew_agents()),
             asyncio.create_task(self._watch_for_abort()),
         ]
         try:
-            self._carry_out(self.rollout.begin(self.operations))
+            self._perform(self.rollout.begin(self.operations))
             while self.rollout.stage is not RolloutStage.ENDED:
                 self.changed.clear()
                 await self.changed.wait()
         finally:
-            for task in (*beside, *self.tasks):
+            for task in (*background, *self.tasks):
                 task.cancel()
-            await asyncio.gather(*beside, *self.tasks, return_exceptions=True)
-        self._settled()
+            await asyncio.gather(*background, *self.tasks, return_exceptions=True)
+        self._report_settled()
         return self.rollout
 
     async def _watch_for_abort(self) -> None:
@@ -204,91 +220,93 @@
                 return
 
     def abort(self, reason: str) -> None:
-        self._carry_out(self.rollout.abort(reason, self.now_s))
+        self._perform(self.rollout.abort(reason, self.now_s))
 
-    def _carry_out(self, actions: list[RolloutAction]) -> None:
+    def _perform(self, actions: list[RolloutAction]) -> None:
         orders = [action.name for action in actions if isinstance(action, ApplyChange)]
         if orders:
-            self.told("wave", {"number": len(self.rollout.waves), "instances": orders})
+            self.on_step("wave", {"number": len(self.rollout.waves), "instances": orders})
         for action in actions:
             match action:
                 case ApplyChange(name):
-                    self._beside(self._apply(name))
+                    self._start_task(self._apply(name))
                 case ObserveInstance(name):
-                    self._beside(self._look(name))
-                case WakeAfter(after_s):
-                    self.told("pause", {"seconds": after_s})
-                    self._beside(self._wake(after_s))
-        self._settled()
+                    self._start_task(self._observe(name))
+                case WakeAfter(delay_s):
+                    self.on_step("pause", {"seconds": delay_s})
+                    self._start_task(self._wake(delay_s))
+        self._report_settled()
         self.changed.set()
 
-    def _settled(self) -> None:
-        """Put on record, and tell, what has become known."""
+    def _report_settled(self) -> None:
+        """Record and report the outcomes that are new or have changed."""
         for name, outcome in self.rollout.tally.outcomes().items():
-            final = outcome.kind is not OutcomeKind.NOT_TRIED or self.rollout.stage in (
+            is_settled = outcome.kind is not OutcomeKind.NOT_TRIED or self.rollout.stage in (
                 RolloutStage.VERIFYING,
                 RolloutStage.ENDED,
             )
-            if final and self.known.get(name) != outcome:
-                self.known[name] = outcome
+            if is_settled and self.reported_outcomes.get(name) != outcome:
+                self.reported_outcomes[name] = outcome
                 self.record.record_outcome(self.id, name, outcome)
-                self.told("settled", {"instance": name, **outcome.to_dict()})
+                self.on_step("settled", {"instance": name, **outcome.to_dict()})
 
-    def _beside(self, work: Coroutine[Any, Any, None]) -> None:
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(work)
         self.tasks.add(task)
-        task.add_done_callback(self._over)
+        task.add_done_callback(self._on_task_done)
 
-    def _over(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self.tasks.discard(task)
-        if not task.cancelled() and (problem := task.exception()) is not None:
-            # Guards against a rollout that waits for ever for a step that failed here.
-            self.rollout.abort(f"the tool's own fault: {problem!r}", self.now_s)
+        if not task.cancelled() and (error := task.exception()) is not None:
+            # Prevents the rollout from waiting forever for the step that failed.
+            self.rollout.abort(f"internal error: {error!r}", self.now_s)
             self.rollout.stage = RolloutStage.ENDED
             self.changed.set()
 
-    async def _wake(self, after_s: float) -> None:
-        await asyncio.sleep(after_s)
-        self._carry_out(self.rollout.tick(self.now_s))
+    async def _wake(self, delay_s: float) -> None:
+        await asyncio.sleep(delay_s)
+        self._perform(self.rollout.on_timer(self.now_s))
 
     async def _apply(self, name: str) -> None:
         lease = self.leases.proof_for(self.members[name].agent) if self.leases is not None else None
         if self.leases is not None and lease is None:
-            # Guards against orders by a tool that stood still while its lease went to another.
-            self.abort(reason := "its lease is gone")
-            self._carry_out(self.rollout.ended(name, not_tried(reason), Observation(), self.now_s))
+            # Prevents an order by a process that was suspended while another took over its lease.
+            self.abort(reason := "the lease of its hall is lost")
+            self._perform(
+                self.rollout.on_change_ended(name, not_tried(reason), Observation(), self.now_s)
+            )
             return
         operation = secrets.token_hex(8)
         self.record.record_order(self.id, name, operation)
         self.operations[name] = operation
-        kind, body = self.order.call(self.rollout.targets[name], self.id)
+        kind, body = self.order.request(self.rollout.targets[name], self.id)
         body |= {"lease": lease} if lease is not None else {}
-        self.told("ordered", {"instance": name, "kind": kind, "operation": operation})
+        self.on_step("ordered", {"instance": name, "kind": kind, "operation": operation})
         outcome = await self.agent_client.order(
             self.members[name], kind, operation, body, self.order.deadline_s
         )
-        view = await look(self.agent_client, self.members[name], LOOK_S)
-        self._carry_out(self.rollout.ended(name, outcome, view.observation(), self.now_s))
+        view = await fetch_view(self.agent_client, self.members[name], CALL_TIMEOUT_S)
+        self._perform(self.rollout.on_change_ended(name, outcome, view.observation(), self.now_s))
+
+    async def _observe(self, name: str) -> None:
+        """Observe an instance once its agent has no operation in progress on it.
 
-    async def _look(self, name: str) -> None:
-        """How it stands; what its agent is still carrying out is waited for, within the order's
-        own time.
+        The wait is limited to the order's deadline.
         """
         began_s = self.now_s
         due_s = began_s + self.order.deadline_s
         while True:
-            view = await look(self.agent_client, self.members[name], LOOK_S)
+            view = await fetch_view(self.agent_client, self.members[name], CALL_TIMEOUT_S)
             observation: Observation = view.observation()
-            waits = bool(observation.under_way)
+            must_wait = bool(observation.under_way)
             if self.rollout.stage is RolloutStage.VERIFYING and observation.digest is None:
-                # Guards against one that is just starting being called unknown: it soon says what
-                # it is.
-                waits, due_s = True, min(due_s, began_s + VERIFY_S)
-            if not waits or self.now_s >= due_s:
+                # Prevents an instance that is just starting from being reported as unknown.
+                must_wait, due_s = True, min(due_s, began_s + VERIFY_TIMEOUT_S)
+            if not must_wait or self.now_s >= due_s:
                 break
-            await asyncio.sleep(UNDER_WAY_PAUSE_S)
-        self._carry_out(self.rollout.seen(name, observation, self.now_s))
+            await asyncio.sleep(IN_PROGRESS_POLL_S)
+        self._perform(self.rollout.on_observed(name, observation, self.now_s))
 
 
-def pace_of(fleet: FleetConfig) -> RolloutPace:
+def rollout_pace(fleet: FleetConfig) -> RolloutPace:
     return RolloutPace(fleet.limits.canaries, fleet.limits.pause_s, fleet.limits.abort_after)
--- a/onyxpass/fleet/selector.py
+++ b/onyxpass/fleet/selector.py
@@ -1,9 +1,9 @@
-"""Which instances a command is for, without I/O.
+"""Selects the instances that a command applies to, without I/O.
 
     hall=derby|boa-vista,name=*-1,label.front!=http
 
-Terms are joined by ``,`` (all must hold), values by ``|`` (one must); a value may hold ``*``, ``?``
-and ``[...]``. Keys are ``hall``, ``host``, ``name`` and ``label.KEY``.
+Terms are separated by ``,`` (all must match), values by ``|`` (one must match); a value may contain
+``*``, ``?`` and ``[...]``. Keys are ``hall``, ``host``, ``name`` and ``label.KEY``.
 """
 
 import re
@@ -19,7 +19,7 @@
 
 
 class SelectorError(ValueError):
-    """The text is no selector, or selects nothing; the message says where."""
+    """The selector is invalid or selects nothing; the message says where."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,17 +28,17 @@
     values: tuple[str, ...]
     negated: bool = False
 
-    def holds(self, member: Member) -> bool:
+    def matches(self, member: Member) -> bool:
         if self.key.startswith("label."):
             found = dict(member.labels).get(self.key.removeprefix("label."))
         else:
             found = {"hall": member.hall, "host": member.host, "name": member.name}[self.key]
-        fits = found is not None and any(fnmatchcase(found, value) for value in self.values)
-        return fits is not self.negated
+        is_match = found is not None and any(fnmatchcase(found, value) for value in self.values)
+        return is_match is not self.negated
 
 
 def parse(text: str) -> tuple[Term, ...]:
-    """SelectorError names the column, from 1 on."""
+    """Parse a selector; SelectorError names the column of a fault, counted from 1."""
     terms, column = [], 1
     for part in text.split(","):
         if (found := TERM.match(part)) is None:
@@ -57,11 +57,10 @@
 def select(
     members: Sequence[Member], names: Iterable[str] = (), where: str = ""
 ) -> tuple[Member, ...]:
-    """Those that match one of ``names`` (all, if none is given) and every term, in the file's
-    order.
+    """Return the members that match one of ``names`` and every term, in the file's order.
 
-    Guards against a command for nobody that looks like success: a name or a selector without a
-    match fails.
+    Without names all members match. Raises SelectorError for a name or a selector without a match,
+    so that a command for no instance doesn't look like success.
     """
     wanted = list(names)
     known = [member.name for member in members]
@@ -73,7 +72,7 @@
         member
         for member in members
         if (not wanted or any(fnmatchcase(member.name, name) for name in wanted))
-        and all(term.holds(member) for term in terms)
+        and all(term.matches(member) for term in terms)
     )
     if not found:
         raise SelectorError("no instance is selected")
--- a/onyxpass/fleet/views.py
+++ b/onyxpass/fleet/views.py
@@ -1,5 +1,6 @@
-"""How instances stand, as their agents tell it: gathered from all at once, and read without
-trust.
+"""The state of instances as their agents report it, fetched from all agents at once.
+
+A report is read without trust: a field that is absent or of the wrong type is treated as unknown.
 """
 
 import asyncio
@@ -15,108 +16,111 @@
 
 
 @dataclass(frozen=True, slots=True)
-class View:
-    """One instance as it was seen. ``told``: its agent's words; ``problem``: why they are not
-    all there.
+class InstanceView:
+    """The state of one instance as it was read.
+
+    ``report`` is what its agent reported; ``error`` says why the report is absent or incomplete.
     """
 
     member: Member
-    told: Mapping[str, Any] | None = None
-    problem: str = ""
+    report: Mapping[str, Any] | None = None
+    error: str = ""
 
     @property
-    def live(self) -> Mapping[str, Any] | None:
-        found = self.told.get("live") if self.told is not None else None
-        return found if isinstance(found, Mapping) else None
+    def live_report(self) -> Mapping[str, Any] | None:
+        report = self.report.get("live") if self.report is not None else None
+        return report if isinstance(report, Mapping) else None
 
-    def at(self, *path: str) -> Any:
-        """What stands there in the instance's own words; None if nothing does."""
-        found: Any = self.live
+    def live_value(self, *path: str) -> Any:
+        """Return the value at this path of the instance's live report; None if there is none."""
+        value: Any = self.live_report
         for key in path:
-            if not isinstance(found, Mapping):
+            if not isinstance(value, Mapping):
                 return None
-            found = found.get(key)
-        return found
+            value = value.get(key)
+        return value
 
     @property
     def outcome(self) -> InstanceOutcome:
-        if self.told is None:
-            return unknown(self.problem)
-        if self.live is None and self.told.get("wanted") is not False:
-            return unknown(self.problem or f"it is {self.told.get('state')}")
-        return done(str(self.told.get("state")))
+        if self.report is None:
+            return unknown(self.error)
+        if self.live_report is None and self.report.get("wanted") is not False:
+            return unknown(self.error or f"it is {self.report.get('state')}")
+        return done(str(self.report.get("state")))
 
     @property
     def serving(self) -> bool:
-        return self.at("ready") is True and self.at("drain", "phase") == "serving"
+        return self.live_value("ready") is True and self.live_value("drain", "phase") == "serving"
 
     @property
-    def file(self) -> str:
-        return str((self.told or {}).get("file") or "")
+    def file_digest(self) -> str:
+        return str((self.report or {}).get("file") or "")
 
     def observation(self) -> Observation:
-        told = self.told or {}
-        operation = told.get("operation")
+        report = self.report or {}
+        operation = report.get("operation")
         return Observation(
-            digest=self.at("config", "digest"),
-            launch=self.at("launch"),
+            digest=self.live_value("config", "digest"),
+            launch=self.live_value("launch"),
             serving=self.serving,
             under_way=str(operation.get("id")) if isinstance(operation, Mapping) else "",
-            problem=self.problem or str(told.get("live_problem") or ""),
+            error=self.error or str(report.get("live_problem") or ""),
         )
 
 
-async def of_agent(
+async def fetch_agent_reports(
     agent_client: AgentClient, agent: AgentRef, within_s: float
 ) -> tuple[Mapping[str, Any], str]:
-    """What an agent tells of each of its instances, by name; or why it tells nothing."""
+    """Return an agent's report of each of its instances, by name, or why there is none."""
     try:
         answer = await agent_client.call(agent, "GET", "/v1/instances", None, within_s)
-    except RequestNotSentError as problem:
-        return {}, f"no agent on {agent.host} ({problem}); its instances may serve all the same"
-    except ResponseLostError as problem:
-        return {}, f"the agent on {agent.host} does not answer: {problem}"
+    except RequestNotSentError as error:
+        return {}, f"no agent on {agent.host} ({error}); its instances may still serve"
+    except ResponseLostError as error:
+        return {}, f"the agent on {agent.host} does not answer: {error}"
     if answer.status != 200:
-        return {}, f"the agent on {agent.host} refuses: {answer.reason}"
+        return {}, f"the agent on {agent.host} refused the call: {answer.reason}"
     rows = answer.body.get("instances")
-    found = {}
+    reports = {}
     for row in rows if isinstance(rows, list) else ():
         if isinstance(row, Mapping) and isinstance(row.get("name"), str):
-            found[row["name"]] = row
-    return found, ""
+            reports[row["name"]] = row
+    return reports, ""
 
 
-async def gather(
+async def fetch_views(
     agent_client: AgentClient, members: Iterable[Member], within_s: float
-) -> dict[str, View]:
-    """All of them at once; the whole takes ``within_s`` at most, however many are silent."""
-    wanted = list(members)
-    agents = list({member.host: member.agent for member in wanted}.values())
-    answers = await asyncio.gather(*(of_agent(agent_client, agent, within_s) for agent in agents))
+) -> dict[str, InstanceView]:
+    """Fetch the views of all members at once, within ``within_s`` however many agents are silent."""
+    selected = list(members)
+    agents = list({member.host: member.agent for member in selected}.values())
+    answers = await asyncio.gather(
+        *(fetch_agent_reports(agent_client, agent, within_s) for agent in agents)
+    )
     by_host = {agent.host: answer for agent, answer in zip(agents, answers, strict=True)}
     views = {}
-    for member in wanted:
-        rows, problem = by_host[member.host]
+    for member in selected:
+        rows, error = by_host[member.host]
         row = rows.get(member.name)
         if row is None:
-            views[member.name] = View(
-                member, None, problem or f"the agent on {member.host} has no such instance"
+            views[member.name] = InstanceView(
+                member, None, error or f"the agent on {member.host} has no such instance"
             )
         else:
-            views[member.name] = View(member, row, str(row.get("live_problem") or ""))
+            views[member.name] = InstanceView(member, row, str(row.get("live_problem") or ""))
     return views
 
 
-async def look(agent_client: AgentClient, member: Member, within_s: float) -> View:
-    """One instance alone."""
+async def fetch_view(agent_client: AgentClient, member: Member, within_s: float) -> InstanceView:
+    """Fetch the view of one instance."""
     try:
         answer = await agent_client.call(
             member.agent, "GET", f"/v1/instances/{member.name}", None, within_s
         )
-    except RequestNotSentError as problem:
-        return View(member, None, f"no agent on {member.host}: {problem}")
-    except ResponseLostError as problem:
-        return View(member, None, f"the agent on {member.host} does not answer: {problem}")
+    except RequestNotSentError as error:
+        return InstanceView(member, None, f"no agent on {member.host}: {error}")
+    except ResponseLostError as error:
+        return InstanceView(member, None, f"the agent on {member.host} does not answer: {error}")
     if answer.status != 200:
-        return View(member, None, answer.reason)
-    return View(member, answer.body, str(answer.body.get("live_problem") or ""))
+        return InstanceView(member, None, answer.reason)
+    return InstanceView(member, answer.body, str(answer.body.get("live_problem") or ""))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -63,7 +63,7 @@
         return dict((await self.controller.survey(self.fleet.members, 2.0)).views)
 
     async def pid(self, name: str) -> int:
-        return int((await self.views())[name].told["pid"])
+        return int((await self.views())[name].report["pid"])
 
     async def reported(self, report: Report, **counts: int) -> None:
         assert sum(report.tally.counts().values()) == len(report.members)
@@ -147,11 +147,15 @@
                 )
                 await t.reported(report, done=6)
                 reloaded = await t.views()
-                assert all(v.at("config", "digest") == v.file and v.file for v in reloaded.values())
-                assert all(reloaded[n].at("launch") == before[n].at("launch") for n in before), (
-                    "no restart"
+                assert all(
+                    v.live_value("config", "digest") == v.file_digest and v.file_digest
+                    for v in reloaded.values()
                 )
-                assert all(v.at("config", "generation") == 1 for v in reloaded.values())
+                assert all(
+                    reloaded[n].live_value("launch") == before[n].live_value("launch")
+                    for n in before
+                ), "no restart"
+                assert all(v.live_value("config", "generation") == 1 for v in reloaded.values())
                 for name in t.site.ports:
                     t.site.config(name, {"peers": 7})  # this can't be changed in flight
                 report = await t.controller.order("reload", t.fleet.members, 10.0, {})
@@ -162,8 +166,10 @@
                 )
                 await t.reported(report, done=6)
                 after = await t.views()
-                assert all(after[n].at("launch") != before[n].at("launch") for n in before)
-                assert all(after[n].told["restarts"] == 0 for n in after), (
+                assert all(
+                    after[n].live_value("launch") != before[n].live_value("launch") for n in before
+                )
+                assert all(after[n].report["restarts"] == 0 for n in after), (
                     "a planned restart is no failure"
                 )
             assert set(t.ends) <= {"served", "refused"}
@@ -211,7 +217,7 @@
     async def go() -> None:
         async with trial(tmp_path, hosts=1) as t:
             one, two = t.fleet.members
-            with pytest.raises(CommandRejectedError, match="passes the fleet's limits"):
+            with pytest.raises(CommandRejectedError, match="exceeds the fleet's limits"):
                 await t.controller.order("drain", t.fleet.members, 5.0, {})
             for replica in t.site.fleet.replicas.values():
                 replica.hold.clear()
@@ -220,7 +226,7 @@
             streams = [
                 asyncio.create_task(front.ask(f"d{i}", CLASSES[i % 3], "s")) for i in range(3)
             ]
-            while (await t.views())[one.name].at("drain", "streams") != 3:
+            while (await t.views())[one.name].live_value("drain", "streams") != 3:
                 await asyncio.sleep(0.02)
             report = await t.controller.order("drain", [one], 0.4, {"notice_ms": 100})
             await t.reported(report, failed=1)
@@ -228,8 +234,8 @@
             assert "3 requests open, 3 of them streaming" in reason and "goes on draining" in reason
             view = (await t.views())[one.name]
             assert (
-                view.at("drain", "oldest_ms") > 300
-                and view.at("drain", "late")
+                view.live_value("drain", "oldest_ms") > 300
+                and view.live_value("drain", "late")
                 and not view.serving
             )
             assert (await front.ask("late", "stock-booking", "s")).end == "refused"
@@ -245,7 +251,7 @@
             for replica in t.site.fleet.replicas.values():
                 replica.hold.clear()
             stream = asyncio.create_task(front.ask("cut", "stock-booking", "s"))
-            while (await t.views())[one.name].at("drain", "streams") != 1:
+            while (await t.views())[one.name].live_value("drain", "streams") != 1:
                 await asyncio.sleep(0.02)
             options = {"notice_ms": 0, "force": True}
             report = await t.controller.order("drain", [one], 0.2, options)
@@ -264,22 +270,22 @@
         async with trial(tmp_path, hosts=1) as t:
             host, (one, two) = t.host("h1"), t.fleet.members
             assert host.process is not None
-            before = {name: view.at("launch") for name, view in (await t.views()).items()}
+            before = {name: view.live_value("launch") for name, view in (await t.views()).items()}
             for replica in t.site.fleet.replicas.values():
                 replica.hold.clear()
             front = FrontLayer(t.trace, {one.name: t.site.ports[one.name]})
             front.ready.add(one.name)
             stream = asyncio.create_task(front.ask("r1", "shift-summary", "s"))
-            while (await t.views())[one.name].at("drain", "streams") != 1:
+            while (await t.views())[one.name].live_value("drain", "streams") != 1:
                 await asyncio.sleep(0.02)
             order = asyncio.create_task(t.controller.order("restart", [one], 6.0, {"notice_ms": 0}))
-            while (await t.views())[one.name].at("drain", "phase") != "draining":
+            while (await t.views())[one.name].live_value("drain", "phase") != "draining":
                 await asyncio.sleep(0.02)
             host.process.kill()
             await host.process.wait()
             gone = await t.controller.survey(t.fleet.members, 1.0)
             await t.reported(gone, unknown=2)
-            assert "its instances may serve all the same" in str(gone.to_dict())
+            assert "its instances may still serve" in str(gone.to_dict())
             direct = FrontLayer(t.trace, {two.name: t.site.ports[two.name]})
             direct.ready.add(two.name)
             for replica in t.site.fleet.replicas.values():
@@ -288,16 +294,16 @@
             assert (await direct.ask("r2", "stock-booking", "s")).end == "served"
             await t.site.start(host)
             await t.reported(await order, unknown=1)
-            while (found := await t.views())[two.name].live is None:
+            while (found := await t.views())[two.name].live_report is None:
                 await asyncio.sleep(0.05)
-            assert {name: view.at("launch") for name, view in found.items()} == before
+            assert {name: view.live_value("launch") for name, view in found.items()} == before
             assert all(
-                view.told["adopted"] and view.told["restarts"] == 0 for view in found.values()
+                view.report["adopted"] and view.report["restarts"] == 0 for view in found.values()
             )
             report = await t.controller.order("restart", [one], 10.0, {})
             await t.reported(report, done=1)
             os.kill(await t.pid(two.name), signal.SIGKILL)  # adopted, and still watched
-            while (await t.views())[two.name].at("launch") in (None, before[two.name]):
+            while (await t.views())[two.name].live_value("launch") in (None, before[two.name]):
                 await asyncio.sleep(0.05)
             assert not breaches(t.trace)
 
@@ -405,7 +411,7 @@
             os.kill(
                 process.pid, signal.SIGCONT
             )  # it takes the order after all: late, and found out by a look
-            while (await t.views())["santo-amaro-1"].at("config", "digest") in (None, ""):
+            while (await t.views())["santo-amaro-1"].live_value("config", "digest") in (None, ""):
                 await asyncio.sleep(0.05)
             await t.reported(await t.controller.order("reload", t.fleet.members, 10.0, {}), done=6)
 
