--- a/onyxpass/core/requests.py
+++ b/onyxpass/core/requests.py
@@ -99,7 +99,7 @@
     deadline_timer: Timer | None = None
 
 
-class Fleet(Protocol):
+class ServerFleet(Protocol):
     """Carries out attempts. Each started one ends in one ``AttemptOutcomes.attempt_ended``."""
 
     def start(self, attempt: Attempt) -> None:
@@ -108,10 +108,10 @@
     def stop(self, attempt: Attempt) -> None:
         """Close the attempt's connection, then report its end as CANCELLED."""
 
-    def release(self, request: Request, settle: bool) -> None:
+    def release(self, request: Request, prefill_interrupted: bool) -> None:
         """Release all reserved state that no attempt at a server waits for.
 
-        ``settle``: a prefill was just broken off, and may still be ending.
+        ``prefill_interrupted``: a prefill was just broken off, and may still be ending.
         """
 
     def check_health(self, server: str) -> None:
--- a/onyxpass/fleet/config.py
+++ b/onyxpass/fleet/config.py
@@ -32,7 +32,7 @@
 class AgentTable(toml_config.Model):
     host: Name
     hall: Name
-    address: toml_config.PlaceText
+    address: toml_config.ConnectAddress
     key: str | None = None  # file with the agent's key; the fleet's key by default
     instances: list[InstanceTable]
 
@@ -40,7 +40,7 @@
 class LimitsTable(toml_config.Model):
     """The limits of a rollout: how many instances may be out of service at once, and for how long."""
 
-    model_config = toml_config.published(
+    model_config = toml_config.schema_description(
         "What a rollout keeps to. ``out``: instances that are being changed or are not well, at once."
     )
 
@@ -75,7 +75,7 @@
     halls: list[HallTable]
     agents: list[AgentTable]
 
-    def faults(self) -> Iterable[tuple[tuple[toml_config.Step, ...], str]]:
+    def faults(self) -> Iterable[tuple[tuple[toml_config.PathPart, ...], str]]:
         """Yield duplicate names, unknown halls, and halls that keep more than their capacity."""
         if self.store is not None and self.store.lease_s > self.store.longest_s:
             yield (
@@ -83,7 +83,7 @@
                 f"a lease of {self.store.lease_s:g} s, of {self.store.longest_s:g} at most",
             )
         halls = [hall.name for hall in self.halls]
-        names: list[tuple[str, str, tuple[toml_config.Step, ...]]] = [
+        names: list[tuple[str, str, tuple[toml_config.PathPart, ...]]] = [
             ("halls", name, ("halls", i, "name")) for i, name in enumerate(halls)
         ]
         for i, agent in enumerate(self.agents):
@@ -92,7 +92,7 @@
             for j, instance in enumerate(agent.instances):
                 names.append(("instances", instance.name, ("agents", i, "instances", j, "name")))
             if agent.hall not in halls:
-                hint = toml_config.likely(agent.hall, halls)
+                hint = toml_config.suggestion(agent.hall, halls)
                 yield ("agents", i, "hall"), f"hall {agent.hall!r} is not named{hint}"
         seen: set[tuple[str, str]] = set()
         for what, name, where in names:
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -126,12 +126,13 @@
             assert w.dispatcher.control is not None
             port = w.dispatcher.control.port
             silent = [
-                await asyncio.open_connection("127.0.0.1", port) for _ in range(control.MOST + 4)
+                await asyncio.open_connection("127.0.0.1", port)
+                for _ in range(control.MAX_CALLS + 4)
             ]
             assert (await call(w, READY)).startswith(b"HTTP/1.1 200"), (
                 "a newcomer takes a silent one's place"
             )
-            monkeypatch.setattr(control, "CALL_US", 30_000)
+            monkeypatch.setattr(control, "CALL_TIMEOUT_US", 30_000)
             assert (await call(w, READY[:20])).startswith(b"HTTP/1.1 408")
             assert await call(w) == b""
             for _, writer in silent:
@@ -144,7 +145,8 @@
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM)], control=CONTROL) as w:
             found = w.dispatcher.list
-            found.move(Address("127.0.0.1", 1))  # nobody is there who could make it ready again
+            # nobody is there who could make it ready again
+            found.set_discovery(Address("127.0.0.1", 1))
             await until(found.mailbox.empty)
             await asyncio.sleep(0)
             found.ready = False
@@ -257,7 +259,11 @@
 
     assert parse(RAW, {}).control is None and parse(RAW, {}).folder is None
     told = parse({**RAW, "control": "127.0.0.1:5"}, {"ROUTER_PASSED_SOCKET": "4", "TMPDIR": "/tmp"})
-    assert (str(told.control), told.passed, str(told.folder)) == ("127.0.0.1:5", 4, "/tmp")
+    assert (str(told.control), told.listen_descriptor, str(told.folder)) == (
+        "127.0.0.1:5",
+        4,
+        "/tmp",
+    )
     assert (
         str(parse({**RAW, "control": "x:y"}, {"ROUTER_CONTROL": "127.0.0.1:6"}).control)
         == "127.0.0.1:6"
@@ -300,13 +306,15 @@
     async def go() -> None:
         hold = Held()
         passed = socket.create_server(("127.0.0.1", 0))
-        monkeypatch.setattr(front, "LAST_US", 0)
-        monkeypatch.setattr(front, "END_US", -2_900_000)  # all is answered soon
-        async with world([Replica(hold)], [Replica(STREAM)], passed=passed.detach()) as w:
+        monkeypatch.setattr(front, "REJECT_NEW_DELAY_US", 0)
+        monkeypatch.setattr(front, "SHUTDOWN_MARGIN_US", -2_900_000)  # all is answered soon
+        async with world(
+            [Replica(hold)], [Replica(STREAM)], listen_descriptor=passed.detach()
+        ) as w:
             open_one, stays = await w.send(ask("a1", ms=9000))
             await hold.there.wait()
             fresh, late = await asyncio.open_connection("127.0.0.1", w.port)
-            await until(lambda: len(w.dispatcher.front.open) == 2)
+            await until(lambda: len(w.dispatcher.front.connections) == 2)
             stopping = asyncio.create_task(w.dispatcher.stop())
             await until(lambda: w.dispatcher.core.shutdown.begun)
             late.write(ask("a2"))
@@ -336,7 +344,7 @@
             await until(lambda: not any(actor.tasks for actor in actors))
             assert budget.open >= 20
             w.dispatcher._share(20)
-            assert budget.open <= budget.most == w.dispatcher.front.most == 8
+            assert budget.open <= budget.limit == w.dispatcher.front.max_connections == 8
 
     run(go)
 
@@ -360,11 +368,13 @@
     assert fresh.expected_prefill_us(3_000, d.now) == 0.0, "by its own answers nothing is known"
     guessed = fresh.expected_prefill_us(3_000, d.now, known.us_per_token)
     assert guessed == pytest.approx(
-        known.us_per_token / SETTINGS.slow_start_initial_factor * (server_state.BASE_TOKENS + 6_000)
+        known.us_per_token
+        / SETTINGS.slow_start_initial_factor
+        * (server_state.PREFILL_OVERHEAD_TOKENS + 6_000)
     )
     fresh.record_success(known.us_per_token * 2, d.now)
     assert fresh.expected_prefill_us(3_000, d.now, known.us_per_token) == pytest.approx(
-        fresh.us_per_token * (server_state.BASE_TOKENS + 6_000)
+        fresh.us_per_token * (server_state.PREFILL_OVERHEAD_TOKENS + 6_000)
     )
     d.router.candidates.sample_warming = lambda request, servers, now_us, holder: servers  # type: ignore
     sent = []
