--- a/onyxpass/fleet/__init__.py
+++ b/onyxpass/fleet/__init__.py
@@ -1,3 +1,1 @@
-"""The operators' tool for many instances: who is selected, in what order they change, how each
-one ended.
-"""
+"""The command line for managing many instances: selection, waves of changes, and outcomes."""
--- a/onyxpass/fleet/agent_client.py
+++ b/onyxpass/fleet/agent_client.py
@@ -1,4 +1,4 @@
-"""Calls to many agents at once. A silent agent costs its own deadline and nobody else's."""
+"""Calls many agents at once; an agent that does not answer delays only its own calls."""
 
 import asyncio
 import resource
@@ -24,12 +24,12 @@
     tcp_opener,
 )
 
-SPARE_DESCRIPTORS = 64  # for all else than connections
+SPARE_DESCRIPTORS = 64  # file descriptors reserved for other uses than connections
 MIN_CONNECTIONS = 16
 CALL_TIMEOUT_S = 2.0
 MIN_TIMEOUT_S = 0.001
 RELEASE_TIMEOUT_S = 3.0
-MAX_POLL_WAIT_MS = 1_000  # for which an agent may hold back an answer that is not final
+MAX_POLL_WAIT_MS = 1_000  # for which an agent may delay an answer that is not final
 POLL_WAIT_MS_PER_TIMEOUT_S = 500  # half of a call's timeout
 
 OperationListener = Callable[[Mapping[str, Any]], None]
@@ -67,7 +67,7 @@
         message: Mapping[str, Any] | None = None,
         within_s: float = CALL_TIMEOUT_S,
     ) -> ApiResponse:
-        """Call one agent; the wait for a free descriptor counts towards ``within_s``.
+        """Call one agent; the wait for a free connection counts towards ``within_s``.
 
         Raises ``RequestNotSentError`` or ``ResponseLostError``.
         """
@@ -109,7 +109,10 @@
         deadline_s: float,
         on_answer: OperationListener = _ignore_answer,
     ) -> InstanceOutcome:
-        """Send an order to an instance's agent and poll it until its end is known, or too late."""
+        """Send an order to an instance's agent and poll it until its outcome is known or overdue.
+
+        ``deadline_s`` is the order's own limit; ``on_answer`` is called with each answer's body.
+        """
         loop = asyncio.get_running_loop()
         exchange = OrderExchange(loop.time(), deadline_s)
         body = {"operation": operation, "deadline_ms": max(1, round(deadline_s * 1000)), **message}
--- a/onyxpass/fleet/cli.py
+++ b/onyxpass/fleet/cli.py
@@ -419,13 +419,13 @@
         str, typer.Option("--why", help="Reason that is recorded.")
     ] = "aborted by an operator",
 ) -> None:
-    """Send no further orders. The process that runs the rollout waits for those already sent."""
+    """Abort a rollout. Its process sends no further orders and waits for those already sent."""
     loaded_fleet = exit_on_input_error(lambda: fleet_config.load(fleet))
     controller = exit_on_input_error(lambda: FleetController(loaded_fleet))
     id, is_running = run_async(controller.abort_rollout(id, why))
     typer.echo(
         f"rollout {id}: "
-        + ("the process that runs it ends it before the next order" if is_running else "aborted")
+        + ("abort requested; the process that runs it will end it" if is_running else "aborted")
     )
 
 
--- a/onyxpass/fleet/controller.py
+++ b/onyxpass/fleet/controller.py
@@ -366,7 +366,7 @@
     async def abort_rollout(self, id: str, why: str) -> tuple[str, bool]:
         """Abort a rollout; return its id, and whether another process still runs it.
 
-        Such a process ends the rollout before its next order.
+        Such a process polls for the request and then ends the rollout.
         """
         record = RolloutRecord(self.fleet.state)
         try:
--- a/onyxpass/fleet/leases.py
+++ b/onyxpass/fleet/leases.py
@@ -1,4 +1,4 @@
-"""A rollout's leases: one for each hall of its selection, acquired in order of name, all or none.
+"""The leases of a rollout, one for each hall of its selection: all are acquired, or none.
 
 ``RolloutLeases`` owns its lease clients and its connection to the store, until ``close``.
 """
@@ -21,16 +21,16 @@
 from onyxpass.net.http_client import RequestNotSentError, ResponseLostError
 from onyxpass.store.leases import LeaseStore
 
-SEEN_TOKEN_TIMEOUT_S = 2.0  # for an agent to tell which tokens it has admitted
+SEEN_TOKEN_TIMEOUT_S = 2.0  # for an agent to report the tokens that it has admitted
 MAX_HOST_NAME_LENGTH = 40  # in a holder's name
 NS_PER_MS = 1_000_000
 RELEASED_REASON = "given back"
 
 
 class RolloutLeases:
-    """Acquires, shows and releases the leases of one rollout.
+    """Acquires and releases the leases of one rollout, and provides the proofs that orders carry.
 
-    ``on_lost`` is called with the reason when a lease is gone before it was released.
+    ``on_lost`` is called with the reason when a lease is lost before it was released.
     """
 
     def __init__(
@@ -55,8 +55,8 @@
     async def acquire(self, members: Sequence[Member], timeout_s: float) -> None:
         """Acquire the lease of each member's hall, within ``timeout_s`` each.
 
-        Raises ``RolloutLockedError`` if one can't be had; none is kept then. The order of names
-        prevents two rollouts from waiting for each other.
+        Raises ``RolloutLockedError`` if one can't be acquired, and releases the others. Leases are
+        acquired in order of name, so that two rollouts never wait for each other.
         """
         for hall in sorted({member.hall for member in members}):
             client = self._clients[hall] = self._client(hall)
@@ -68,7 +68,7 @@
             raise RolloutLockedError(f"the lease {self.name(hall)}: {_explain(unavailable)}")
 
     def proof_for(self, agent: AgentRef) -> Mapping[str, Any] | None:
-        """Return what an order to this agent has to carry; None once the lease is gone."""
+        """Return the proof of the lease for an order to this agent; None once the lease is lost."""
         client = self._clients.get(agent.hall)
         if client is None or not (token := client.token):
             return None
@@ -108,9 +108,9 @@
         return on_change
 
     async def _highest_seen_token(self, hall: str) -> int:
-        """Return the highest token that an agent of this hall says it has admitted.
+        """Return the highest token that the agents of this hall report as admitted.
 
-        A silent agent does not matter: it rejects an older token itself.
+        An agent that does not answer is ignored, because it rejects an older token itself.
         """
         agents = {m.agent.host: m.agent for m in self._fleet.members if m.hall == hall}
         tokens = await asyncio.gather(
@@ -128,7 +128,7 @@
 
 
 def _recorded(lease: str, send: RequestSender) -> RequestSender:
-    """Return a sender that writes each request and its reply to the history."""
+    """Return a sender that writes each request and its reply to the event log."""
     numbers = itertools.count(1)
 
     async def send_recorded(request: LeaseRequest) -> LeaseReply:
@@ -146,5 +146,5 @@
     if unavailable is None:
         return "the store does not answer"
     if unavailable.holder:
-        return f"{unavailable.holder} has it ({unavailable.reason})"
-    return "others are before, or none yet"
+        return f"{unavailable.holder} holds it ({unavailable.reason})"
+    return "others wait ahead, or the store does not grant it yet"
--- a/onyxpass/fleet/order_exchange.py
+++ b/onyxpass/fleet/order_exchange.py
@@ -1,9 +1,9 @@
 """The exchange of one order with an instance's agent: a state machine without I/O.
 
 An order is sent and then polled until its end is known. It carries an operation id, under which the
-agent carries it out at most once; so it may be sent again. What is reported is what is known: an
-order of which nothing was sent has failed, one that may have arrived is unknown until the agent
-says how it stands.
+agent carries it out at most once, so it may be sent again. The outcome is what is known: an order
+of which nothing was sent has failed; an order that may have arrived is unknown until the agent
+reports its state.
 """
 
 from collections.abc import Mapping
@@ -17,7 +17,7 @@
 INITIAL_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 2.0
 MAX_BACKOFF_DOUBLINGS = 10
-LATE_END_S = 5.0  # past the deadline, for an agent to report the end
+LATE_END_S = 5.0  # time past the deadline for an agent to report the end
 
 
 class CallKind(Enum):
@@ -36,21 +36,21 @@
 
 @dataclass(frozen=True, slots=True)
 class PollOperation:
-    """Request how the operation stands, with this timeout."""
+    """Request the state of the operation, with this timeout."""
 
     timeout_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class BackOff:
-    """Do nothing for so long."""
+    """Wait for this time."""
 
     delay_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class ExchangeEnded:
-    """The time is over; this is what is known."""
+    """The exchange is over; ``outcome`` is what is known."""
 
     outcome: InstanceOutcome
 
@@ -106,21 +106,24 @@
             self.failures = 0
             return _outcome_of(body)
         if call is CallKind.POLL and status == 404:
-            # The agent has never had it, and its record outlives it: so it can be sent (again).
+            # The agent never had the order, and its record survives a restart of the agent, so the
+            # order can be sent (again).
             self.may_have_arrived = False
             self.known = False
             return None
-        if status == 409 and body.get("stale"):  # one admitted before would be reported instead
+        if status == 409 and body.get(
+            "stale"
+        ):  # an operation that was admitted would be reported instead
             return failed(f"refused: {reason}")
         is_busy = status == 409 and ("operation" in body or body.get("under_way"))
-        if is_busy:  # another order is in progress there; it ends some time
+        if is_busy:  # another operation is in progress; the order is sent again later
             self._fail_call(reason)
             return None
         if status >= 500:
             self.on_no_answer(reason)
             return None
         if self.may_have_arrived:
-            return unknown(f"it may have arrived, and now: {reason}")
+            return unknown(f"it may have arrived, and then the agent answered: {reason}")
         return failed(reason)
 
     def _fail_call(self, reason: str) -> None:
@@ -134,7 +137,9 @@
 
     def _outcome_at_deadline(self) -> InstanceOutcome:
         if self.known:
-            return unknown(f"the agent has not told its end: {self.reason or 'it is under way'}")
+            return unknown(
+                f"the agent has not reported its end: {self.reason or 'it is in progress'}"
+            )
         if self.may_have_arrived:
             return unknown(f"it may have arrived: {self.reason}")
         return failed(f"nothing was sent: {self.reason or 'no time was left'}")
@@ -154,7 +159,7 @@
 
 
 def describe_detail(detail: Mapping[str, Any]) -> str:
-    """Return what people have to know of an order that is done: above all what it cut short."""
+    """Describe a completed order for people: what it cut short, the new digest and a restart."""
     parts = []
     if detail.get("forced"):
         cause = detail.get("why") or f"{detail.get('cut', 0)} cut short"
--- a/onyxpass/fleet/outcome.py
+++ b/onyxpass/fleet/outcome.py
@@ -1,4 +1,4 @@
-"""How each selected instance ended, and the exit code that follows from it.
+"""The outcome of a command for each selected instance, and the exit code that follows from it.
 
 The counts of the four outcomes always add up to the number of selected instances.
 """
@@ -9,9 +9,9 @@
 
 
 class OutcomeKind(Enum):
-    """What is known of an instance at the end of a command; the values stand in reports."""
+    """What is known of an instance at the end of a command; the values appear in reports."""
 
-    DONE = "done"  # read back from the instance itself
+    DONE = "done"  # the change was read back from the instance itself
     FAILED = "failed"  # known not to have taken the change, or to have lost it again
     UNKNOWN = "unknown"  # it may have taken the change
     NOT_TRIED = "not tried"  # nothing was sent
@@ -20,7 +20,7 @@
 class ExitCode(IntEnum):
     """The tool's exit codes."""
 
-    DONE = 0  # every selected instance
+    DONE = 0  # every selected instance is done
     FAILED = 1  # at least one failed or was not tried
     BAD_INPUT = 2  # nothing was done
     UNKNOWN = 3  # none failed, and at least one is unknown
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceOutcome:
-    """How one instance ended, and why, for people."""
+    """The outcome of a command for one instance, with a reason for people."""
 
     kind: OutcomeKind
     reason: str = ""
@@ -60,7 +60,7 @@
 
 
 class OutcomeTally:
-    """One outcome for each selected instance, and for no other.
+    """Holds one outcome for each selected instance, and for no other.
 
     An instance that was never settled counts as not tried.
     """
@@ -77,19 +77,19 @@
     def outcomes(self) -> Mapping[str, InstanceOutcome]:
         """Return the outcome of each selected instance, by name."""
         return {
-            name: outcome or not_tried("it was never its turn")
+            name: outcome or not_tried("nothing was sent to it")
             for name, outcome in self._outcomes.items()
         }
 
     def counts(self) -> dict[str, int]:
-        """Return the number of instances by the outcome's value, also where it is 0."""
+        """Return the number of instances by the outcome's value, including those with none."""
         counts = {kind.value: 0 for kind in OutcomeKind}
         for outcome in self.outcomes().values():
             counts[outcome.kind.value] += 1
         return counts
 
     def exit_code(self) -> ExitCode:
-        """Return the exit code of a command that ended like this."""
+        """Return the exit code of a command with these outcomes."""
         kinds = {outcome.kind for outcome in self.outcomes().values()}
         if kinds & {OutcomeKind.FAILED, OutcomeKind.NOT_TRIED}:
             return ExitCode.FAILED
--- a/onyxpass/fleet/record.py
+++ b/onyxpass/fleet/record.py
@@ -1,9 +1,9 @@
 """The record of rollouts: what was planned, which orders were sent and how they ended.
 
-It is a SQLite database and a lock, one folder a fleet; the tool that runs a rollout owns both.
-Every order is durable in it before it is sent. The record tells a resumed rollout which operations
-to ask about; it is never proof of how an instance stands. This module holds the mapping between its
-tables and the names used in the code.
+It is a SQLite database and a lock in one folder per fleet; the process that runs a rollout owns
+both. Every order is durable in it before it is sent. The record tells a resumed rollout which
+instances were ordered; it is no proof of an instance's state. This module holds the mapping between
+its tables and the names used in the code.
 """
 
 import json
@@ -32,10 +32,7 @@
 
 
 class RolloutRecordError(RuntimeError):
-    """The record can't be used; one line says why.
-
-    ``folder`` is the record's, ``reason`` what is wrong with it.
-    """
+    """The record in ``folder`` can't be used; ``reason`` says why in one line."""
 
     def __init__(self, folder: Path, reason: str) -> None:
         super().__init__(f"{folder}: {reason}")
@@ -44,9 +41,9 @@
 
 
 class RolloutState(StrEnum):
-    """A rollout's state on record.
+    """The recorded state of a rollout.
 
-    One that is RUNNING or ABORTING while nobody holds the lock was cut off.
+    A rollout that is RUNNING or ABORTING while no process holds the lock was interrupted.
     """
 
     RUNNING = "running"
@@ -57,7 +54,7 @@
 
 @dataclass(slots=True)
 class RecordedInstance:
-    """One instance of a rollout. ``operation`` is empty until it was ordered."""
+    """One instance of a rollout; ``operation`` is the id of its order, empty before the order."""
 
     name: str
     target: InstanceTarget
@@ -67,7 +64,7 @@
 
 @dataclass(slots=True)
 class RecordedRollout:
-    """A rollout as it is on record. ``began`` and ``ended`` are seconds since the epoch."""
+    """A recorded rollout; ``began`` and ``ended`` are Unix times in seconds."""
 
     id: str
     method: ChangeMethod
@@ -80,7 +77,7 @@
 
 
 class RolloutRecord:
-    """The record of one fleet, as a context manager that closes it.
+    """The record of one fleet, a context manager that closes the record.
 
     Raises ``RolloutRecordError`` if the folder or the database can't be used.
     """
@@ -120,7 +117,7 @@
         elif version != SCHEMA_VERSION:
             raise RolloutRecordError(
                 self.folder,
-                f"the record is of version {version}; this tool knows {SCHEMA_VERSION}",
+                f"the record has version {version}; this program supports {SCHEMA_VERSION}",
             )
 
     def close(self) -> None:
@@ -131,7 +128,7 @@
     # The lock
 
     def lock(self, rollout: str) -> None:
-        """Lock the record for a rollout; ``RolloutLockedError`` if another process has it."""
+        """Lock the record for a rollout; ``RolloutLockedError`` if another process holds it."""
         self._lock.acquire(rollout)
 
     def lock_owner(self) -> str:
@@ -147,7 +144,7 @@
         options: Mapping[str, Any],
         targets: Mapping[str, InstanceTarget],
     ) -> None:
-        """Record a new rollout, as running."""
+        """Record a new rollout as running."""
         database = self._database
         database.execute("BEGIN")
         number = database.execute("SELECT coalesce(max(number), 0) + 1 FROM rollouts").fetchone()[0]
@@ -160,14 +157,14 @@
         database.execute("COMMIT")
 
     def record_order(self, rollout: str, name: str, operation: str) -> None:
-        """Record an operation; to be called before its order is sent."""
+        """Record the operation of an instance; must be called before the order is sent."""
         self._database.execute(
             "UPDATE members SET operation = ? WHERE rollout = ? AND name = ?",
             (operation, rollout, name),
         )
 
     def record_outcome(self, rollout: str, name: str, outcome: InstanceOutcome) -> None:
-        """Record how an instance ended."""
+        """Record the outcome of an instance."""
         self._database.execute(
             "UPDATE members SET outcome = ?, reason = ? WHERE rollout = ? AND name = ?",
             (outcome.kind.value, outcome.reason, rollout, name),
@@ -181,7 +178,7 @@
         )
 
     def request_abort(self, rollout: str, why: str) -> None:
-        """Record a request, which the tool that runs the rollout sees before its next order."""
+        """Record a request to abort, for which the process that runs the rollout polls."""
         self._database.execute(
             "UPDATE rollouts SET state = 'aborting', why = ? WHERE id = ? AND state = 'running'",
             (why, rollout),
--- a/onyxpass/fleet/rollout_lock.py
+++ b/onyxpass/fleet/rollout_lock.py
@@ -1,7 +1,7 @@
-"""The lock that excludes two rollouts of one fleet from one record's folder.
+"""The lock that prevents two processes from running rollouts on the same record.
 
-It is an advisory lock on a file, which the system releases with the process that holds it. The file
-says who that is. ``RolloutRecord`` owns the lock.
+It is an advisory lock on a file, which the operating system releases when its process ends. The
+file names the process that holds the lock. ``RolloutRecord`` owns the lock.
 """
 
 import fcntl
@@ -16,34 +16,34 @@
 
 
 class RolloutLockedError(RuntimeError):
-    """Another tool runs a rollout; the message says who."""
+    """Another process runs a rollout; the message says which."""
 
 
 def process_identity() -> str:
     """Return user, host and process id, for people."""
     try:
         user = getpass.getuser()
-    except (KeyError, OSError):  # no name for this user id
+    except (KeyError, OSError):  # the user id has no name
         user = str(os.getuid())
     return f"{user}@{socket.gethostname()} process {os.getpid()}"
 
 
 class RolloutLock:
-    """The lock of one folder; it owns the descriptor while it is held."""
+    """The lock of one folder; owns the file descriptor while the lock is held."""
 
     def __init__(self, folder: Path) -> None:
         self._path = folder / FILE_NAME
         self._descriptor = -1
 
     def acquire(self, rollout: str) -> None:
-        """Lock the folder for this rollout; ``RolloutLockedError`` if another process has it."""
+        """Lock the folder for this rollout; ``RolloutLockedError`` if another process holds it."""
         descriptor = os.open(self._path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError as error:
             owner = _read_owner(descriptor)
             os.close(descriptor)
-            raise RolloutLockedError(f"rollout {owner or 'of another tool'}") from error
+            raise RolloutLockedError(f"rollout {owner or 'of another process'}") from error
         since = time.strftime("%Y-%m-%d %H:%M:%S")
         owner = f"{rollout} is held by {process_identity()} since {since}\n"
         os.ftruncate(descriptor, 0)
@@ -66,7 +66,7 @@
             os.close(descriptor)
 
     def release(self) -> None:
-        """Release the lock, if it is held here."""
+        """Release the lock if this object holds it."""
         if self._descriptor >= 0:
             os.close(self._descriptor)
             self._descriptor = -1
--- a/onyxpass/fleet/runner.py
+++ b/onyxpass/fleet/runner.py
@@ -92,7 +92,8 @@
 class RolloutRunner:
     """Runs one rollout.
 
-    ``on_step`` is called for each step: ``wave``, ``ordered``, ``settled``, ``pause``, ``release``.
+    ``on_step`` is called with the steps ``wave``, ``ordered``, ``settled`` and ``pause``, and with
+    ``release`` for an agent that could not be released.
     """
 
     def __init__(
--- a/onyxpass/fleet/selector.py
+++ b/onyxpass/fleet/selector.py
@@ -19,7 +19,7 @@
 
 
 class SelectorError(ValueError):
-    """The selector is invalid or selects nothing; the message says where."""
+    """A selector is invalid, or nothing is selected; the message says why."""
 
 
 @dataclass(frozen=True, slots=True)
