--- a/onyxpass/desired/__init__.py
+++ b/onyxpass/desired/__init__.py
@@ -1,1 +1,1 @@
-"""Desired configuration: versioned, replicated by control machines, pulled down a tree by hosts."""
+"""The desired configuration: versioned, replicated among control nodes, pulled by hosts."""
--- a/onyxpass/desired/cli.py
+++ b/onyxpass/desired/cli.py
@@ -1,6 +1,4 @@
-"""``onyxpass desired``: run a node, change the desired configuration, show its state at several
-nodes.
-"""
+"""``onyxpass desired``: run a node, change the desired configuration, show the state of nodes."""
 
 import asyncio
 import json
@@ -20,22 +18,26 @@
     tcp_opener,
 )
 
-desired_app = typer.Typer(no_args_is_help=True, help="Configuration in force everywhere.")
-Nodes = Annotated[list[str], typer.Option("--at", help="A node's address; several times.")]
-Key = Annotated[Path, typer.Option("--key", help="The file with the key that agents share.")]
-CALL_S = 2.0
+desired_app = typer.Typer(
+    no_args_is_help=True, help="Distribute one desired configuration to all hosts."
+)
+NodesOption = Annotated[
+    list[str], typer.Option("--at", help="Address of a node; may be given several times.")
+]
+KeyOption = Annotated[Path, typer.Option("--key", help="File with the key that the agents share.")]
+CALL_TIMEOUT_S = 2.0
 
 
-def stop(text: str, code: int = 2) -> typer.Exit:
+def error_exit(text: str, code: int = 2) -> typer.Exit:
     typer.echo(f"onyxpass: {text}", err=True)
     return typer.Exit(code)
 
 
-async def called(
+async def call_node(
     address: str, key: str, method: str, path: str, message: Mapping[str, Any] | None
 ) -> ApiResponse:
     return await call_api(
-        tcp_opener(Address.parse(address)), method, path, message, key=key, timeout_s=CALL_S
+        tcp_opener(Address.parse(address)), method, path, message, key=key, timeout_s=CALL_TIMEOUT_S
     )
 
 
@@ -44,7 +46,7 @@
     config: Annotated[Path, typer.Option("--config", help="The node's TOML file.")],
     log_level: Annotated[str, typer.Option("--log-level")] = "info",
 ) -> None:
-    """Run one node in the foreground till SIGTERM."""
+    """Run one node in the foreground until SIGTERM."""
     from onyxpass import logs
     from onyxpass.desired import config as node_config
     from onyxpass.desired import node
@@ -52,70 +54,71 @@
     logs.configure(log_level)
     try:
         asyncio.run(node.run(node_config.load(config)))
-    except ConfigError as problem:
-        raise stop(str(problem)) from problem
+    except ConfigError as error:
+        raise error_exit(str(error)) from error
 
 
 @desired_app.command("set")
 def set_values(
     pairs: Annotated[list[str], typer.Argument(help="KEY=VALUE, the value as JSON.")],
-    at: Nodes,
-    key: Key,
+    at: NodesOption,
+    key: KeyOption,
 ) -> None:
-    """Order a change at the first of the named control nodes that takes it."""
+    """Send a change to the first named control node that can be reached."""
     values: dict[str, Any] = {}
     for pair in pairs:
         name, equals, text = pair.partition("=")
         try:
             values[name] = json.loads(text)
-        except ValueError as problem:
-            raise stop(f"{name}: no JSON value: {text!r}") from problem
+        except ValueError as error:
+            raise error_exit(f"{name}: not a JSON value: {text!r}") from error
         if not equals or not name:
-            raise stop(f"{pair!r} is not KEY=VALUE")
-    shown_key = guarded_key(key)
-    reasons = []
+            raise error_exit(f"{pair!r} is not KEY=VALUE")
+    key_text = read_key_or_exit(key)
+    errors = []
     for address in at:
         try:
             answer = asyncio.run(
-                called(address, shown_key, "POST", "/v1/change", {"values": values})
+                call_node(address, key_text, "POST", "/v1/change", {"values": values})
             )
-        except RequestNotSentError as problem:
-            reasons.append(f"{address}: {problem}")
+        except RequestNotSentError as error:
+            errors.append(f"{address}: {error}")
             continue
-        # it may have been taken: not ordered a second time
-        except (ResponseLostError, ConfigError) as problem:
-            raise stop(f"{address}: {problem}", 3) from problem
+        # The node may have received the change, so it is not sent to another one.
+        except (ResponseLostError, ConfigError) as error:
+            raise error_exit(f"{address}: {error}", 3) from error
         if answer.status != 200:
-            raise stop(f"{address}: {answer.reason}", 1)
+            raise error_exit(f"{address}: {answer.reason}", 1)
         typer.echo(json.dumps(dict(answer.body)))
         return
-    raise stop("; ".join(reasons), 1)
+    raise error_exit("; ".join(errors), 1)
 
 
 @desired_app.command("show")
-def show(at: Nodes, key: Key) -> None:
-    """A line for each node: its state, what is in force there, and conflicts. Exit code 1 if
-    they differ.
+def show(at: NodesOption, key: KeyOption) -> None:
+    """Print a line for each node: its state, its conflicts, and the digest applied there.
+
+    The exit code is 1 if the nodes differ.
     """
-    shown_key = guarded_key(key)
+    key_text = read_key_or_exit(key)
     digests = set()
     for address in at:
         try:
-            answer = asyncio.run(called(address, shown_key, "GET", "/v1/state", None))
-        except (RequestNotSentError, ResponseLostError, ConfigError) as problem:
-            typer.echo(json.dumps({"at": address, "problem": str(problem)}))
+            answer = asyncio.run(call_node(address, key_text, "GET", "/v1/state", None))
+        except (RequestNotSentError, ResponseLostError, ConfigError) as error:
+            typer.echo(json.dumps({"at": address, "problem": str(error)}))
             digests.add(f"unknown at {address}")
             continue
-        told = dict(answer.body)
-        digests.add(str(told.get("digest")))
-        if told.get("role") == "host":
-            digests.add(str(told.get("in_force")))
-        typer.echo(json.dumps({"at": address, **told}))
+        state = dict(answer.body)
+        digests.add(str(state.get("digest")))
+        if state.get("role") == "host":
+            digests.add(str(state.get("in_force")))
+        typer.echo(json.dumps({"at": address, **state}))
     raise typer.Exit(0 if len(digests) == 1 else 1)
 
 
-def guarded_key(path: Path) -> str:
+def read_key_or_exit(path: Path) -> str:
     try:
         return read_key(path)
-    except ConfigError as problem:
-        raise stop(str(problem)) from problem
+    except ConfigError as error:
+        raise error_exit(str(error)) from error
--- a/onyxpass/desired/config.py
+++ b/onyxpass/desired/config.py
@@ -1,4 +1,4 @@
-"""The operator's file of one node of the desired configuration."""
+"""The configuration file of one node that distributes the desired configuration."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -14,19 +14,17 @@
 
 class InstanceTable(toml_config.Model):
     name: Name
-    base: str  # the dispatcher's JSON without the desired values
-    config: str  # the file that its agent starts it with
+    base: str  # path of the dispatcher's JSON without the desired values
+    config: str  # path of the JSON file that its agent starts it with
 
 
 class NodeFile(toml_config.Model):
-    """``control`` takes operators' changes; ``relay`` passes on; ``host`` brings them into
-    dispatchers.
-    """
+    """A ``control`` node accepts changes, a ``relay`` forwards them, a ``host`` applies them."""
 
     name: Name
     role: Literal["control", "relay", "host"]
     listen: toml_config.ListenAddress
-    key: str  # the same file as the agents' key
+    key: str  # path of the key that the agents share
     folder: str
     upstreams: Annotated[list[toml_config.ConnectAddress], Field(max_length=32)] = Field(
         default_factory=list
@@ -42,7 +40,9 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Target:
+class InstanceFiles:
+    """The files of one dispatcher: its configuration without and with the desired values."""
+
     name: str
     base: Path
     config: Path
@@ -57,20 +57,22 @@
     folder: Path
     upstreams: tuple[Address, ...]
     agent: Address | None
-    targets: tuple[Target, ...]
+    instances: tuple[InstanceFiles, ...]
 
 
 def load(path: Path) -> NodeConfig:
-    """ConfigError with file, key and reason."""
+    """Read a node's file; ConfigError with file, key and reason if the file is invalid."""
     file = toml_config.read(NodeFile, path)
-    here = path.parent
+    base = path.parent
     return NodeConfig(
         file.name,
         file.role,
         Address.parse(file.listen),
-        here / file.key,
-        here / file.folder,
+        base / file.key,
+        base / file.folder,
         tuple(Address.parse(text) for text in file.upstreams),
         Address.parse(file.agent) if file.agent is not None else None,
-        tuple(Target(row.name, here / row.base, here / row.config) for row in file.instances),
+        tuple(
+            InstanceFiles(row.name, base / row.base, base / row.config) for row in file.instances
+        ),
     )
--- a/onyxpass/desired/config_rendering.py
+++ b/onyxpass/desired/config_rendering.py
@@ -1,8 +1,8 @@
-"""Brings the desired values into dispatchers' files. Pure but for the files that its caller writes.
+"""Renders a dispatcher's configuration from a base and the desired values, without I/O.
 
-A key names a value in the platform's JSON by its path, ``limits.sockets`` or
-``settings.grades.NAME.promiseUs``; rows of a list go by their ``name``.
-A key that fits nowhere is a fault, and then nothing is written.
+A key is the path of a value in the platform's JSON, such as ``limits.sockets`` or
+``settings.grades.NAME.promiseUs``; a row of a list is selected by its ``name``. A key without a
+place in the base raises StateError, so that nothing is rendered.
 """
 
 import copy
@@ -12,30 +12,30 @@
 from onyxpass.desired.state import StateError
 
 
-def rendered(base: Mapping[str, Any], values: Mapping[str, Any]) -> dict[str, Any]:
-    """A dispatcher's file with all values in it. StateError with the key that fits nowhere."""
-    made = copy.deepcopy(dict(base))
+def render_config(base: Mapping[str, Any], values: Mapping[str, Any]) -> dict[str, Any]:
+    """Return the base with all values set; StateError with the key that has no place in it."""
+    config = copy.deepcopy(dict(base))
     for key, value in values.items():
-        _put(made, key, value)
-    return made
+        _set_value(config, key, value)
+    return config
 
 
-def _put(whole: dict[str, Any], key: str, value: Any) -> None:
+def _set_value(config: dict[str, Any], key: str, value: Any) -> None:
     *path, last = key.split(".")
-    table: Any = whole
-    for step in path:
-        table = _step(table, step, key)
+    table: Any = config
+    for part in path:
+        table = _child(table, part, key)
     if not isinstance(table, dict):
-        raise StateError(key, "its table is none")
+        raise StateError(key, "its parent is not a table")
     table[last] = value
 
 
-def _step(table: Any, step: str, key: str) -> Any:
+def _child(table: Any, part: str, key: str) -> Any:
     if isinstance(table, list):
         for row in table:
-            if isinstance(row, dict) and row.get("name") == step:
+            if isinstance(row, dict) and row.get("name") == part:
                 return row
-        raise StateError(key, f"no row named {step!r}")
-    if isinstance(table, dict) and isinstance(table.get(step), dict | list):
-        return table[step]
-    raise StateError(key, f"no table {step!r}")
+        raise StateError(key, f"no row named {part!r}")
+    if isinstance(table, dict) and isinstance(table.get(part), dict | list):
+        return table[part]
+    raise StateError(key, f"no table {part!r}")
--- a/onyxpass/desired/node.py
+++ b/onyxpass/desired/node.py
@@ -1,6 +1,7 @@
-"""One node of the desired configuration as a process: what it serves, follows and brings in force.
+"""One node of the desired configuration as a process: it serves, pulls and applies the state.
 
-What is decided is in ``state`` and ``puller``; here are the sockets, the disk and the log.
+Decisions are in ``state`` and ``upstream_selection``; this module has the sockets, the disk and the
+log.
 """
 
 import asyncio
@@ -20,19 +21,19 @@
 from onyxpass.core.clock import Clock
 from onyxpass.core.timer_wheel import TimerWheel
 from onyxpass.desired import state_file
-from onyxpass.desired.config import NodeConfig, Target
-from onyxpass.desired.config_rendering import rendered
+from onyxpass.desired.config import InstanceFiles, NodeConfig
+from onyxpass.desired.config_rendering import render_config
 from onyxpass.desired.state import (
-    FORMAT,
-    State,
+    FORMAT_VERSION,
+    DesiredState,
     StateError,
     covers,
-    page_told,
-    read_page,
-    read_seen,
-    version_told,
+    page_to_json,
+    parse_page,
+    parse_version_vector,
+    version_to_json,
 )
-from onyxpass.desired.upstream_selection import ANSWER_S, HOLD_S, Puller
+from onyxpass.desired.upstream_selection import ANSWER_MARGIN_S, LONG_POLL_S, UpstreamSelector
 from onyxpass.net.http import header
 from onyxpass.net.http_client import RequestNotSentError, ResponseLostError, call_api, tcp_opener
 from onyxpass.net.http_server import (
@@ -47,50 +48,52 @@
 )
 from onyxpass.net.listen import Listener
 
-HOLD_MOST_MS = 10_000
-RELOAD_S = 10.0  # for an agent to carry a reload out
-AGAIN_S = 0.5  # till an instance that did not take its file is told again
+MAX_LONG_POLL_MS = 10_000
+RELOAD_TIMEOUT_S = 10.0  # for an agent to complete a reload
+RETRY_DELAY_S = 0.5  # before the state is applied again after a failure
 log = structlog.get_logger("desired")
 
 
 @dataclass(slots=True)
-class InForce:
-    """What the host's dispatchers were last brought to."""
+class AppliedState:
+    """The state that was last applied to the host's dispatchers."""
 
     digest: str = ""
     seen: dict[str, int] = field(default_factory=dict)
 
 
 class Node:
-    """Owns the state of this node; the server and the followers change it only through here."""
+    """Owns the state of this node; the server and the pulls change it only through this class."""
 
     def __init__(self, config: NodeConfig) -> None:
-        """ConfigError, with file, key and reason, where what is on disk is no use; it is left as
-        it is.
+        """Load the node's state from disk.
+
+        Raises ConfigError with file, key and reason if the state is invalid; its file is not
+        changed.
         """
         self.config = config
         config.folder.mkdir(parents=True, exist_ok=True)
-        self.file = config.folder / "state.json"
-        self.state = state_file.load(self.file)
-        self.in_force = self._load_in_force()
-        self.origin = f"{config.name}.{time.time_ns() // 1_000_000}"  # another one after each start
+        self.state_path = config.folder / "state.json"
+        self.state = state_file.load(self.state_path)
+        self.applied = self._load_applied()
+        self.origin = f"{config.name}.{time.time_ns() // 1_000_000}"  # unique to each start
         self.key = read_key(config.key)
         self.changed = asyncio.Event()
         self.caught_up = config.role == "control"
 
-    def _load_in_force(self) -> InForce:
+    def _load_applied(self) -> AppliedState:
         try:
-            told = json.loads((self.config.folder / "in-force.json").read_text())
-            return InForce(str(told["digest"]), read_seen(told["seen"]))
-        except (OSError, ValueError, KeyError, TypeError):  # then nothing is known to be in force
-            return InForce()
+            saved = json.loads((self.config.folder / "in-force.json").read_text())
+            return AppliedState(str(saved["digest"]), parse_version_vector(saved["seen"]))
+        except (OSError, ValueError, KeyError, TypeError):  # no state is known to be applied
+            return AppliedState()
 
-    def take_over(self, state: State) -> None:
-        """Keep a state, go on from it and wake all who wait for a change.
+    def replace_state(self, state: DesiredState) -> None:
+        """Save a state, make it this node's, and wake all pulls that wait for a change.
 
-        OSError if it can't be kept: then it is told to nobody, and the state before it holds.
+        Raises OSError if it can't be saved; the previous state then remains and nothing is sent.
         """
-        state_file.save(self.file, state)
+        state_file.save(self.state_path, state)
         self.state = state
         event, self.changed = self.changed, asyncio.Event()
         event.set()
@@ -98,82 +101,95 @@
     def change(self, values: Mapping[str, Any]) -> None:
         state = self.state.copy()
         version = state.change(self.origin, values)
-        self.take_over(state)
-        self.note("ordered", version=version.number)
+        self.replace_state(state)
+        self.log_state("ordered", version=version.number)
 
-    def note(self, what: str, **more: Any) -> None:
-        """A line of this node's history."""
+    def log_state(self, event: str, **fields: Any) -> None:
+        """Log an event with the digest and the version vector of the present state."""
         seen, digest = dict(self.state.seen), self.state.digest()
         log.info(
-            what, node=self.config.name, at_ns=time.monotonic_ns(), digest=digest, seen=seen, **more
+            event,
+            node=self.config.name,
+            at_ns=time.monotonic_ns(),
+            digest=digest,
+            seen=seen,
+            **fields,
         )
 
-    def told(self) -> dict[str, Any]:
-        """What an operator is shown."""
+    def to_dict(self) -> dict[str, Any]:
+        """Return the node's state as ``GET /v1/state`` reports it."""
         conflicts = [
-            {"key": c.key, "kept": version_told(c.kept), "dropped": version_told(c.dropped)}
-            for c in sorted(self.state.conflicts)
+            {
+                "key": conflict.key,
+                "kept": version_to_json(conflict.kept),
+                "dropped": version_to_json(conflict.dropped),
+            }
+            for conflict in sorted(self.state.conflicts)
         ]
         return {
             "node": self.config.name,
             "role": self.config.role,
             "digest": self.state.digest(),
-            "in_force": self.in_force.digest,
+            "in_force": self.applied.digest,
             "seen": self.state.seen,
             "values": self.state.values(),
             "conflicts": conflicts,
         }
 
-    # Following others
+    # Pulling from upstreams
 
-    async def follow(self, upstreams: tuple[Address, ...]) -> None:
-        puller = Puller(len(upstreams), random.Random(f"{self.config.name}{upstreams}"))
+    async def pull_forever(self, upstreams: tuple[Address, ...]) -> None:
+        selector = UpstreamSelector(len(upstreams), random.Random(f"{self.config.name}{upstreams}"))
         while True:
-            pull = puller.next(time.monotonic())
-            if pull.in_s:
-                await asyncio.sleep(pull.in_s)
+            pull = selector.next_pull(time.monotonic())
+            if pull.delay_s:
+                await asyncio.sleep(pull.delay_s)
             try:
                 await self._pull(upstreams[pull.upstream])
-            # OSError: it could not be kept
-            except (RequestNotSentError, ResponseLostError, StateError, OSError) as problem:
-                puller.failed(time.monotonic())
-                log.warning("pull_failed", upstream=str(upstreams[pull.upstream]), why=str(problem))
+            # An OSError means that the state could not be saved.
+            except (RequestNotSentError, ResponseLostError, StateError, OSError) as error:
+                selector.record_failure(time.monotonic())
+                log.warning("pull_failed", upstream=str(upstreams[pull.upstream]), why=str(error))
             else:
-                puller.answered()
+                selector.record_success()
 
     async def _pull(self, upstream: Address) -> None:
-        asked = {"format": FORMAT, "seen": self.state.seen, "wait_ms": round(HOLD_S * 1000)}
+        request = {
+            "format": FORMAT_VERSION,
+            "seen": self.state.seen,
+            "wait_ms": round(LONG_POLL_S * 1000),
+        }
         if not self.caught_up:
-            asked["wait_ms"] = 0
+            request["wait_ms"] = 0
         answer = await call_api(
             tcp_opener(upstream),
             "POST",
             "/v1/pull",
-            asked,
+            request,
             key=self.key,
-            timeout_s=HOLD_S + ANSWER_S,
+            timeout_s=LONG_POLL_S + ANSWER_MARGIN_S,
         )
         if answer.status != 200:
             raise ResponseLostError(answer.reason)
-        page = read_page(answer.body)
+        page = parse_page(answer.body)
         state = self.state.copy()
         if state.merge(page):
-            self.take_over(state)
-            self.note("merged")
+            self.replace_state(state)
+            self.log_state("merged")
         if not page.more and not self.caught_up:
-            self.take_over(self.state)
+            self.replace_state(self.state)
             self.caught_up = True
 
-    # Bringing it in force
+    # Applying the state
 
-    async def apply(self) -> None:
-        """Keep the host's dispatchers on the newest state that is known here."""
+    async def apply_forever(self) -> None:
+        """Keep the host's dispatchers on the newest state that this node knows."""
         while True:
             changed = self.changed
-            if self.caught_up and self.in_force.digest != self.state.digest():
+            if self.caught_up and self.applied.digest != self.state.digest():
                 if await self._apply_once():
                     continue
-                wait_s: float | None = AGAIN_S
+                wait_s: float | None = RETRY_DELAY_S
             else:
                 wait_s = None
             try:
@@ -183,73 +199,82 @@
                 continue
 
     async def _apply_once(self) -> bool:
-        """Whether it is in force now. What is in force is never replaced by less."""
+        """Apply the present state; return whether that succeeded.
+
+        An applied state is never replaced by one that lacks a change of it.
+        """
         state = self.state
-        if not covers(state.seen, self.in_force.seen):
+        if not covers(state.seen, self.applied.seen):
             log.warning("older_configuration_ignored", node=self.config.name)
             return False
-        wanted = InForce(state.digest(), dict(state.seen))
+        desired = AppliedState(state.digest(), dict(state.seen))
         try:
             files = [
-                (t, rendered(json.loads(t.base.read_text()), state.values()))
-                for t in self.config.targets
+                (instance, render_config(json.loads(instance.base.read_text()), state.values()))
+                for instance in self.config.instances
             ]
-        except (OSError, ValueError) as problem:  # nothing is written where one key fits nowhere
-            log.error("configuration_not_applied", why=str(problem))
+        # Nothing is written if a key has no place in one of the files.
+        except (OSError, ValueError) as error:
+            log.error("configuration_not_applied", why=str(error))
             return False
         try:
-            for target, told in files:
-                state_file.write_json(target.config, told)
-        except OSError as problem:
-            log.error("configuration_not_applied", why=str(problem))
+            for instance, rendered in files:
+                state_file.write_json(instance.config, rendered)
+        except OSError as error:
+            log.error("configuration_not_applied", why=str(error))
             return False
-        if not all([await self._reload(target, wanted.digest) for target in self.config.targets]):
+        if not all(
+            [await self._reload(instance, desired.digest) for instance in self.config.instances]
+        ):
             return False
-        if not self._keep_in_force(wanted):
+        if not self._save_applied(desired):
             return False
         log.info(
             "configuration_in_force",
             node=self.config.name,
             at_ns=time.monotonic_ns(),
-            digest=wanted.digest,
-            seen=wanted.seen,
+            digest=desired.digest,
+            seen=desired.seen,
         )
         return True
 
-    def _keep_in_force(self, wanted: InForce) -> bool:
-        """False where that can't be kept: it is brought in force again then, which does no harm."""
-        told = {"digest": wanted.digest, "seen": wanted.seen}
+    def _save_applied(self, desired: AppliedState) -> bool:
+        """Record what is applied; return whether that succeeded.
+
+        After a failure the state is applied once more, which is harmless.
+        """
+        record = {"digest": desired.digest, "seen": desired.seen}
         try:
-            state_file.write_json(self.config.folder / "in-force.json", told)
-        except OSError as problem:
-            log.error("state_not_saved", why=str(problem))
+            state_file.write_json(self.config.folder / "in-force.json", record)
+        except OSError as error:
+            log.error("state_not_saved", why=str(error))
             return False
-        self.in_force = wanted
+        self.applied = desired
         return True
 
-    async def _reload(self, target: Target, digest: str) -> bool:
+    async def _reload(self, instance: InstanceFiles, digest: str) -> bool:
         assert self.config.agent is not None
         agent, operation = tcp_opener(self.config.agent), f"desired.{digest}.{time.monotonic_ns()}"
-        path = f"/v1/instances/{target.name}/reload"
-        wait = f"/v1/operations/{operation}?wait_ms={round(RELOAD_S * 1000)}"
+        path = f"/v1/instances/{instance.name}/reload"
+        poll_path = f"/v1/operations/{operation}?wait_ms={round(RELOAD_TIMEOUT_S * 1000)}"
         try:
-            begun = await call_api(agent, "POST", path, {"operation": operation}, key=self.key)
-            if begun.status != 202:
-                raise ResponseLostError(begun.reason)
-            ended = await call_api(agent, "GET", wait, key=self.key, timeout_s=RELOAD_S + ANSWER_S)
-        except (RequestNotSentError, ResponseLostError) as problem:
-            log.warning("instance_not_reloaded", instance=target.name, why=str(problem))
+            accepted = await call_api(agent, "POST", path, {"operation": operation}, key=self.key)
+            if accepted.status != 202:
+                raise ResponseLostError(accepted.reason)
+            ended = await call_api(
+                agent, "GET", poll_path, key=self.key, timeout_s=RELOAD_TIMEOUT_S + ANSWER_MARGIN_S
+            )
+        except (RequestNotSentError, ResponseLostError) as error:
+            log.warning("instance_not_reloaded", instance=instance.name, why=str(error))
             return False
         if ended.body.get("state") != "done":
-            log.warning("instance_not_reloaded", instance=target.name, why=ended.body)
+            log.warning("instance_not_reloaded", instance=instance.name, why=ended.body)
             return False
         return True
 
 
 class NodeServer(CallServer):
-    """``POST /v1/pull`` for other nodes; ``POST /v1/change`` and ``GET /v1/state`` for
-    operators.
-    """
+    """Serves ``POST /v1/pull`` to nodes, and ``POST /v1/change`` and ``GET /v1/state`` to operators."""
 
     content_type = JSON
     max_calls = 512
@@ -278,25 +303,29 @@
             case b"POST", b"/v1/change":
                 return self._change(call)
             case b"GET", b"/v1/state":
-                return 200, json.dumps(self.node.told()).encode()
+                return 200, json.dumps(self.node.to_dict()).encode()
         raise ApiError(404, "no such call")
 
     async def _pull(self, call: dict[str, Any]) -> Reply:
         reject_unknown_fields(call, "format", "seen", "wait_ms")
-        if call.get("format") != FORMAT:
-            raise ApiError(400, f"format is {call.get('format')!r}; this node knows {FORMAT}")
+        if call.get("format") != FORMAT_VERSION:
+            raise ApiError(
+                400, f"format is {call.get('format')!r}; this node knows {FORMAT_VERSION}"
+            )
         try:
-            seen = read_seen(call.get("seen", {}))
-        except StateError as problem:
-            raise ApiError(400, str(problem)) from problem
+            seen = parse_version_vector(call.get("seen", {}))
+        except StateError as error:
+            raise ApiError(400, str(error)) from error
         state, changed = self.node.state, self.node.changed
         if covers(seen, state.seen):
             try:
-                async with asyncio.timeout(integer_field(call, "wait_ms", 0, HOLD_MOST_MS) / 1000):
+                async with asyncio.timeout(
+                    integer_field(call, "wait_ms", 0, MAX_LONG_POLL_MS) / 1000
+                ):
                     await changed.wait()
             except TimeoutError:
                 pass
-        return 200, json.dumps(page_told(state.since(seen))).encode()
+        return 200, json.dumps(page_to_json(state.page_since(seen))).encode()
 
     def _change(self, call: dict[str, Any]) -> Reply:
         reject_unknown_fields(call, "values")
@@ -307,34 +336,34 @@
             raise ApiError(400, "values must be an object with at least one key")
         try:
             self.node.change(values)
-        except StateError as problem:
-            raise ApiError(400, str(problem)) from problem
-        except OSError as problem:
-            raise ApiError(503, f"the change can't be kept: {problem.strerror}") from problem
+        except StateError as error:
+            raise ApiError(400, str(error)) from error
+        except OSError as error:
+            raise ApiError(503, f"the change can't be kept: {error.strerror}") from error
         return 200, json.dumps(
             {"digest": self.node.state.digest(), "seen": self.node.state.seen}
         ).encode()
 
 
 async def run(config: NodeConfig) -> None:
-    """Till SIGTERM or SIGINT."""
+    """Run a node until SIGTERM or SIGINT."""
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stopping.set)
     node, wheel = Node(config), TimerWheel(Clock())
-    works = [wheel.run(), NodeServer(node, wheel).run()]
+    coroutines = [wheel.run(), NodeServer(node, wheel).run()]
     if config.role == "control":
-        works += [node.follow((peer,)) for peer in config.upstreams]
+        coroutines += [node.pull_forever((peer,)) for peer in config.upstreams]
     else:
-        works.append(node.follow(config.upstreams))
+        coroutines.append(node.pull_forever(config.upstreams))
     if config.role == "host":
-        works.append(node.apply())
-    tasks = [asyncio.create_task(work) for work in works]
-    ended = asyncio.create_task(stopping.wait())
-    await asyncio.wait([ended, *tasks], return_when=asyncio.FIRST_COMPLETED)
+        coroutines.append(node.apply_forever())
+    tasks = [asyncio.create_task(coroutine) for coroutine in coroutines]
+    stop_task = asyncio.create_task(stopping.wait())
+    await asyncio.wait([stop_task, *tasks], return_when=asyncio.FIRST_COMPLETED)
     for task in tasks:
-        if task.done():  # guards against a node that lives on without one of its parts
+        if task.done():  # prevents a node from running on without one of its parts
             task.result()
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
--- a/onyxpass/desired/state.py
+++ b/onyxpass/desired/state.py
@@ -1,10 +1,10 @@
-"""The desired state as a join of changes, without I/O: any order of merges ends in the same state.
+"""The desired state as a merge of changes, without I/O: any order of merges gives the same state.
 
-Each change sets keys under one version. Of two changes to a key the higher version wins,
-everywhere; where neither had seen the other, both are kept on record as a conflict. ``seen`` holds,
-for each origin, the number up to which its changes are known, so that a pull names what it lacks by
-a few numbers. An origin is one life of one control machine: who comes back with an older disk never
-issues a version a second time.
+Each change sets keys under one version. Of two changes to a key the higher version wins on every
+node; if neither change had seen the other, both versions are recorded as a conflict. ``seen`` is a
+version vector: for each origin the number up to which its changes are known, so that a pull states
+what it lacks in a few numbers. An origin is one run of one control node's process, so that a node
+that returns with an older disk never issues a version a second time.
 """
 
 import hashlib
@@ -13,15 +13,19 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-FORMAT = 1
-KEY_MOST, VALUE_MOST = 256, 16_384
-PAGE_BYTES = 32_768
-CONFLICTS_MOST = 64
-Seen = Mapping[str, int]
+FORMAT_VERSION = 1
+MAX_KEY_LENGTH, MAX_VALUE_BYTES = 256, 16_384
+MAX_PAGE_BYTES = 32_768
+MAX_CONFLICTS = 64
+VersionVector = Mapping[str, int]
+"""The highest known change number of each origin."""
 
 
 class StateError(ValueError):
-    """A page or a file that is torn, of a newer form, or contradicts what is known."""
+    """A page, a file, a key or a value is invalid or contradicts the known state.
+
+    ``key`` names what is at fault.
+    """
 
     def __init__(self, key: str, reason: str) -> None:
         super().__init__(f"{key}: {reason}")
@@ -30,15 +34,18 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Version:
-    """Higher than all that its origin had seen; ``origin`` parts two of one number."""
+    """The version of a change; ``number`` is higher than all that its origin had seen.
+
+    ``origin`` orders two versions of the same number.
+    """
 
     number: int
     origin: str
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
-    """A key's value, and the version of it that its operator saw."""
+class VersionedEntry:
+    """A key's value and version; ``replaces`` is the version that the change replaced."""
 
     key: str
     value: Any
@@ -48,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Conflict:
-    """Two changes of a key that had not seen each other."""
+    """Two concurrent changes of a key: the versions that were kept and dropped."""
 
     key: str
     kept: Version
@@ -57,133 +64,153 @@
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """Part of a state. ``seen``: what is known once it is merged; ``more``: there is another."""
+    """Part of a state.
+
+    ``seen`` is what is known once the page is merged; ``more`` says that another page follows.
+    """
 
-    entries: tuple[Entry, ...]
-    seen: Seen
+    entries: tuple[VersionedEntry, ...]
+    seen: VersionVector
     conflicts: tuple[Conflict, ...] = ()
     more: bool = False
 
 
-def covers(known: Seen, other: Seen) -> bool:
-    """Whether all that ``other`` names is known."""
+def covers(known: VersionVector, other: VersionVector) -> bool:
+    """Return whether ``known`` includes all changes of ``other``."""
     return all(known.get(origin, 0) >= number for origin, number in other.items())
 
 
 @dataclass(slots=True)
-class State:
-    entries: dict[str, Entry] = field(default_factory=dict)
+class DesiredState:
+    """The entries by key, the version vector, and the recorded conflicts."""
+
+    entries: dict[str, VersionedEntry] = field(default_factory=dict)
     seen: dict[str, int] = field(default_factory=dict)
     conflicts: set[Conflict] = field(default_factory=set)
 
     def change(self, origin: str, values: Mapping[str, Any]) -> Version:
-        """An operator's order: all values under one version. StateError if a key or value is no
-        use.
+        """Set all values under one new version of ``origin``; return the version.
+
+        Raises StateError if a key or a value is invalid; nothing is changed then.
         """
         for key, value in values.items():
             check_value(key, value)
         version = Version(max(self.seen.values(), default=0) + 1, origin)
         for key, value in values.items():
             known = self.entries.get(key)
-            self.entries[key] = Entry(key, value, version, known.version if known else None)
+            self.entries[key] = VersionedEntry(
+                key, value, version, known.version if known else None
+            )
         self.seen[origin] = version.number
         return version
 
-    def copy(self) -> "State":
-        """One that may go on by itself; entries are never changed in place."""
+    def copy(self) -> "DesiredState":
+        """Return an independent copy; it shares the entries, which are never changed in place."""
         return replace(
             self, entries=dict(self.entries), seen=dict(self.seen), conflicts=set(self.conflicts)
         )
 
     def merge(self, page: Page) -> bool:
-        """Take in a page; whether anything was new. StateError, and nothing changed, if it
-        contradicts.
+        """Merge a page; return whether anything was new.
+
+        Raises StateError, with nothing changed, if the page has another value for a known version.
         """
         for entry in page.entries:
             known = self.entries.get(entry.key)
             if known is not None and known.version == entry.version and known != entry:
                 raise StateError(entry.key, f"two values under version {entry.version.number}")
-        before = len(self.conflicts)
-        news = False
+        known_conflicts = len(self.conflicts)
+        is_new = False
         for entry in page.entries:
-            news = self._take(entry) or news
+            is_new = self._merge_entry(entry) or is_new
         for origin, number in page.seen.items():
-            news = news or number > self.seen.get(origin, 0)
+            is_new = is_new or number > self.seen.get(origin, 0)
             self.seen[origin] = max(number, self.seen.get(origin, 0))
         self.conflicts.update(page.conflicts)
-        self.conflicts = set(sorted(self.conflicts, key=lambda c: c.kept)[-CONFLICTS_MOST:])
-        return news or len(self.conflicts) > before
+        self.conflicts = set(
+            sorted(self.conflicts, key=lambda conflict: conflict.kept)[-MAX_CONFLICTS:]
+        )
+        return is_new or len(self.conflicts) > known_conflicts
 
-    def _take(self, entry: Entry) -> bool:
+    def _merge_entry(self, entry: VersionedEntry) -> bool:
         known = self.entries.get(entry.key)
         if known is None:
             self.entries[entry.key] = entry
             return True
         if known.version == entry.version:
             return False
-        older, newer = sorted((known, entry), key=lambda found: found.version)
-        # Whoever issued the newer one knew of all up to what it replaces, and not of the older one
-        # after it.
+        older, newer = sorted((known, entry), key=lambda candidate: candidate.version)
+        # The newer change had seen the key only up to the version that it replaces. If there is none
+        # or it is lower than the older entry's version, the two changes are concurrent.
         if newer.replaces is None or newer.replaces < older.version:
             self.conflicts.add(Conflict(entry.key, newer.version, older.version))
         self.entries[entry.key] = newer
         return newer is entry
 
-    def since(self, seen: Seen, most_bytes: int = PAGE_BYTES) -> Page:
-        """What one who knows ``seen`` lacks, whole changes only, at most so many bytes but for
-        one change.
+    def page_since(self, seen: VersionVector, max_bytes: int = MAX_PAGE_BYTES) -> Page:
+        """Return the first page of what a node that knows ``seen`` lacks.
+
+        The page has whole changes only. The JSON of its entries has at most ``max_bytes``,
+        unless it is a single change.
         """
-        lacking = [
-            e for e in self.entries.values() if e.version.number > seen.get(e.version.origin, 0)
+        missing = [
+            entry
+            for entry in self.entries.values()
+            if entry.version.number > seen.get(entry.version.origin, 0)
         ]
-        lacking.sort(key=lambda entry: (entry.version.origin, entry.version.number, entry.key))
-        taken: list[Entry] = []
+        missing.sort(key=lambda entry: (entry.version.origin, entry.version.number, entry.key))
+        page_entries: list[VersionedEntry] = []
         size = 0
-        for entry in lacking:
-            size += len(json.dumps(entry_told(entry)))
-            if size > most_bytes and taken and taken[-1].version != entry.version:
-                told = {**seen, **{e.version.origin: e.version.number for e in taken}}
-                return Page(tuple(taken), told, (), True)
-            taken.append(entry)
-        return Page(tuple(taken), dict(self.seen), tuple(sorted(self.conflicts)))
+        for entry in missing:
+            size += len(json.dumps(entry_to_json(entry)))
+            if size > max_bytes and page_entries and page_entries[-1].version != entry.version:
+                known = {
+                    **seen,
+                    **{sent.version.origin: sent.version.number for sent in page_entries},
+                }
+                return Page(tuple(page_entries), known, (), True)
+            page_entries.append(entry)
+        return Page(tuple(page_entries), dict(self.seen), tuple(sorted(self.conflicts)))
 
     def digest(self) -> str:
-        """Names all keys, values and versions."""
-        told = [entry_told(self.entries[key]) for key in sorted(self.entries)]
-        return hashlib.blake2b(json.dumps(told).encode(), digest_size=12).hexdigest()
+        """Return a digest of all keys, values and versions."""
+        entries = [entry_to_json(self.entries[key]) for key in sorted(self.entries)]
+        return hashlib.blake2b(json.dumps(entries).encode(), digest_size=12).hexdigest()
 
     def values(self) -> dict[str, Any]:
         return {key: self.entries[key].value for key in sorted(self.entries)}
 
 
 def check_value(key: str, value: Any) -> None:
-    """StateError unless it is a key and a value as JSON has them, of bounded size."""
-    if not key or len(key) > KEY_MOST or not key.isprintable():
-        raise StateError(key[:80] or "key", f"must be 1 to {KEY_MOST} printable characters")
+    """Raise StateError unless key and value are valid: a JSON value, both of limited length."""
+    if not key or len(key) > MAX_KEY_LENGTH or not key.isprintable():
+        raise StateError(key[:80] or "key", f"must be 1 to {MAX_KEY_LENGTH} printable characters")
     try:
         size = len(json.dumps(value, allow_nan=False))
-    except (TypeError, ValueError, RecursionError) as problem:
-        raise StateError(key, f"no JSON value: {problem}") from problem
-    if size > VALUE_MOST:
-        raise StateError(key, f"a value of {size} bytes; {VALUE_MOST} are allowed")
+    except (TypeError, ValueError, RecursionError) as error:
+        raise StateError(key, f"no JSON value: {error}") from error
+    if size > MAX_VALUE_BYTES:
+        raise StateError(key, f"a value of {size} bytes; {MAX_VALUE_BYTES} are allowed")
 
 
-# As JSON
+# JSON
 
 
-def version_told(version: Version | None) -> list[Any] | None:
+def version_to_json(version: Version | None) -> list[Any] | None:
     return None if version is None else [version.number, version.origin]
 
 
-def entry_told(entry: Entry) -> list[Any]:
-    return [entry.key, entry.value, version_told(entry.version), version_told(entry.replaces)]
+def entry_to_json(entry: VersionedEntry) -> list[Any]:
+    return [entry.key, entry.value, version_to_json(entry.version), version_to_json(entry.replaces)]
 
 
-def page_told(page: Page) -> dict[str, Any]:
-    conflicts = [[c.key, version_told(c.kept), version_told(c.dropped)] for c in page.conflicts]
-    entries = [entry_told(entry) for entry in page.entries]
+def page_to_json(page: Page) -> dict[str, Any]:
+    conflicts = [
+        [c.key, version_to_json(c.kept), version_to_json(c.dropped)] for c in page.conflicts
+    ]
+    entries = [entry_to_json(entry) for entry in page.entries]
     return {
-        "format": FORMAT,
+        "format": FORMAT_VERSION,
         "entries": entries,
         "seen": dict(page.seen),
         "conflicts": conflicts,
@@ -192,66 +219,70 @@
     }
 
 
-def checksum(entries: Any, seen: Seen, conflicts: Any) -> str:
+def checksum(entries: Any, seen: VersionVector, conflicts: Any) -> str:
     text = json.dumps([entries, sorted(seen.items()), conflicts])
     return hashlib.blake2b(text.encode(), digest_size=12).hexdigest()
 
 
-def read_version(raw: Any, key: str) -> Version:
+def parse_version(raw: Any, key: str) -> Version:
     match raw:
         case [int(number), str(origin)] if not isinstance(number, bool) and number > 0 and origin:
             return Version(number, origin)
-    raise StateError(key, "no version")
+    raise StateError(key, "not a version")
 
 
-def read_seen(raw: Any) -> dict[str, int]:
-    """StateError unless it is a table of origins and whole numbers."""
+def parse_version_vector(raw: Any) -> dict[str, int]:
+    """Return a version vector; StateError unless it maps origins to integers of at least 0."""
     if not isinstance(raw, dict) or not all(type(n) is int and n >= 0 for n in raw.values()):
         raise StateError("seen", "must be a table of whole numbers")
     return dict(raw)
 
 
-def read_page(raw: Any) -> Page:
-    """StateError, with the key that is at fault, unless every part of it is sound."""
+def parse_page(raw: Any) -> Page:
+    """Return a page; StateError, with the key that is at fault, if any part is invalid."""
     if not isinstance(raw, dict):
-        raise StateError("page", "no object")
-    if raw.get("format") != FORMAT:
-        raise StateError("format", f"is {raw.get('format')!r}; this program knows {FORMAT}")
-    seen = read_seen(raw.get("seen"))
+        raise StateError("page", "not an object")
+    if raw.get("format") != FORMAT_VERSION:
+        raise StateError(
+            "format", f"is {raw.get('format')!r}; this program supports {FORMAT_VERSION}"
+        )
+    seen = parse_version_vector(raw.get("seen"))
     if raw.get("check") != checksum(raw.get("entries"), seen, raw.get("conflicts", [])):
-        raise StateError("check", "the checksum is wrong: it is torn or damaged")
-    entries = tuple(_read_entries(raw.get("entries"), seen))
-    conflicts = tuple(_read_conflicts(raw.get("conflicts", [])))
+        raise StateError("check", "the checksum does not match: the data is truncated or damaged")
+    entries = tuple(_parse_entries(raw.get("entries"), seen))
+    conflicts = tuple(_parse_conflicts(raw.get("conflicts", [])))
     return Page(entries, seen, conflicts, raw.get("more") is True)
 
 
-def _read_entries(raw: Any, seen: Seen) -> Iterable[Entry]:
+def _parse_entries(raw: Any, seen: VersionVector) -> Iterable[VersionedEntry]:
     if not isinstance(raw, list):
-        raise StateError("entries", "no list")
+        raise StateError("entries", "not a list")
     keys: set[str] = set()
     for row in raw:
         match row:
             case [str(key), value, version, replaces]:
                 check_value(key, value)
-                found = read_version(version, key)
+                found = parse_version(version, key)
                 if key in keys:
-                    raise StateError(key, "stands there twice")
+                    raise StateError(key, "occurs twice")
                 if found.number > seen.get(found.origin, 0):
-                    raise StateError(key, f"version {found.number} is beyond what it says is seen")
+                    raise StateError(
+                        key, f"version {found.number} is not covered by the page's seen numbers"
+                    )
                 keys.add(key)
-                yield Entry(
-                    key, value, found, None if replaces is None else read_version(replaces, key)
+                yield VersionedEntry(
+                    key, value, found, None if replaces is None else parse_version(replaces, key)
                 )
             case _:
-                raise StateError("entries", "a row that is no entry")
+                raise StateError("entries", "a row is not an entry")
 
 
-def _read_conflicts(raw: Any) -> Iterable[Conflict]:
+def _parse_conflicts(raw: Any) -> Iterable[Conflict]:
     if not isinstance(raw, list):
-        raise StateError("conflicts", "no list")
+        raise StateError("conflicts", "not a list")
     for row in raw:
         match row:
             case [str(key), kept, dropped]:
-                yield Conflict(key, read_version(kept, key), read_version(dropped, key))
+                yield Conflict(key, parse_version(kept, key), parse_version(dropped, key))
             case _:
-                raise StateError("conflicts", "a row that is no conflict")
+                raise StateError("conflicts", "a row is not a conflict")
--- a/onyxpass/desired/state_file.py
+++ b/onyxpass/desired/state_file.py
@@ -1,6 +1,4 @@
-"""The state of one node on disk: written beside and renamed, and refused whole if it is not
-sound.
-"""
+"""The state of one node on disk: replaced atomically, and rejected as a whole if it is invalid."""
 
 import json
 from pathlib import Path
@@ -8,34 +6,36 @@
 
 from onyxpass import atomic_file
 from onyxpass.config.platform_file import ConfigError
-from onyxpass.desired.state import Page, State, StateError, page_told, read_page
+from onyxpass.desired.state import DesiredState, Page, StateError, page_to_json, parse_page
 
 
-def write_json(path: Path, told: Any) -> None:
-    """Durable once this returns; the file before it stays whole till then. OSError if it can't
-    be.
+def write_json(path: Path, value: Any) -> None:
+    """Replace a file with a JSON value atomically; it is durable once this returns.
+
+    The previous file stays whole until it is replaced. Raises OSError on failure.
     """
-    atomic_file.replace(path, json.dumps(told).encode())
+    atomic_file.replace(path, json.dumps(value).encode())
+
 
+def save(path: Path, state: DesiredState) -> None:
+    page = Page(tuple(state.entries.values()), dict(state.seen), tuple(sorted(state.conflicts)))
+    write_json(path, page_to_json(page))
 
-def save(path: Path, state: State) -> None:
-    whole = Page(tuple(state.entries.values()), dict(state.seen), tuple(sorted(state.conflicts)))
-    write_json(path, page_told(whole))
 
+def load(path: Path) -> DesiredState:
+    """Read the state, which is empty if there is no file.
 
-def load(path: Path) -> State:
-    """An empty state where there is no file; ConfigError with file, key and reason where it is
-    no use.
+    Raises ConfigError with file, key and reason if the file is invalid.
     """
-    state = State()
+    state = DesiredState()
     try:
-        page = read_page(json.loads(path.read_text()))
+        page = parse_page(json.loads(path.read_text()))
     except FileNotFoundError:
         return state
-    except OSError as problem:
-        raise ConfigError(f"{path}: {problem.strerror}") from problem
-    except (ValueError, RecursionError) as problem:
-        reason = str(problem) if isinstance(problem, StateError) else f"page: no JSON: {problem}"
-        raise ConfigError(f"{path}: {reason}") from problem
+    except OSError as error:
+        raise ConfigError(f"{path}: {error.strerror}") from error
+    except (ValueError, RecursionError) as error:
+        reason = str(error) if isinstance(error, StateError) else f"page: not JSON: {error}"
+        raise ConfigError(f"{path}: {reason}") from error
     state.merge(page)
     return state
--- a/onyxpass/desired/upstream_selection.py
+++ b/onyxpass/desired/upstream_selection.py
@@ -1,52 +1,55 @@
-"""Which upstream is asked next and when, without I/O: events and a clock in, a decision out.
+"""Selects the upstream that is polled next, and when, without I/O.
 
-A pull is held by its upstream till there is something new, so that a change travels at once and
-rest costs little. Upstreams are listed by preference: those of the own zone, then of the region,
-then of the other one.
+A pull is a long poll: its upstream delays the answer until there is something new, so that a change
+is passed on at once and an idle node costs little. Upstreams are listed by preference: those of the
+node's zone first, then those of its region, then those of the other region.
 """
 
 import random
 from dataclasses import dataclass, field
 
-HOLD_S = 3.0  # that an upstream may hold a pull when it has nothing new
-ANSWER_S = 1.5  # beyond that till a pull is given up: two hops that stall still fit into 12 s
-PAUSE_S, PAUSE_MOST_S = 0.1, 2.0  # after all upstreams failed; it doubles
-PREFER_S = 10.0  # till a better upstream that failed is tried again
+LONG_POLL_S = 3.0  # for which an upstream may delay its answer when it has nothing new
+# time beyond LONG_POLL_S after which a pull fails; two hops that stall still fit into 12 s
+ANSWER_MARGIN_S = 1.5
+INITIAL_BACKOFF_S, MAX_BACKOFF_S = 0.1, 2.0  # doubles each time all upstreams have failed
+PREFERRED_RETRY_S = 10.0  # after which the preferred upstream is tried again
 
 
 @dataclass(frozen=True, slots=True)
-class Pull:
-    """Ask this upstream, in so many seconds."""
+class ScheduledPull:
+    """A pull from the upstream of this index, after ``delay_s``."""
 
     upstream: int
-    in_s: float
+    delay_s: float
 
 
 @dataclass(slots=True)
-class Puller:
-    """``upstreams``: how many there are, the best first."""
+class UpstreamSelector:
+    """Selects among ``upstream_count`` upstreams, which are ordered by preference."""
 
-    upstreams: int
-    chance: random.Random
+    upstream_count: int
+    rng: random.Random
     current: int = 0
-    failures: int = field(default=0, init=False)  # in a row, over all upstreams
-    _left_s: float = field(default=0.0, init=False)  # when the best one was last left
-
-    def next(self, now_s: float) -> Pull:
-        if self.current and now_s - self._left_s >= PREFER_S:
-            self.current, self._left_s = 0, now_s
-        if self.failures < self.upstreams:
-            return Pull(self.current, 0.0)
-        rounds = self.failures // self.upstreams
-        most_s = min(PAUSE_MOST_S, PAUSE_S * 2 ** min(10, rounds))
-        return Pull(self.current, self.chance.uniform(0.5, 1.0) * most_s)
-
-    def answered(self) -> None:
+    failures: int = field(default=0, init=False)  # consecutive ones, over all upstreams
+    _preferred_left_s: float = field(
+        default=0.0, init=False
+    )  # time of the last switch from or to the preferred upstream
+
+    def next_pull(self, now_s: float) -> ScheduledPull:
+        if self.current and now_s - self._preferred_left_s >= PREFERRED_RETRY_S:
+            self.current, self._preferred_left_s = 0, now_s
+        if self.failures < self.upstream_count:
+            return ScheduledPull(self.current, 0.0)
+        rounds = self.failures // self.upstream_count
+        backoff_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2 ** min(10, rounds))
+        return ScheduledPull(self.current, self.rng.uniform(0.5, 1.0) * backoff_s)
+
+    def record_success(self) -> None:
         self.failures = 0
 
-    def failed(self, now_s: float) -> None:
-        """No answer, or one that is no use: the next upstream is asked."""
+    def record_failure(self, now_s: float) -> None:
+        """Switch to the next upstream after a missing or invalid answer."""
         self.failures += 1
         if self.current == 0:
-            self._left_s = now_s
-        self.current = (self.current + 1) % max(1, self.upstreams)
+            self._preferred_left_s = now_s
+        self.current = (self.current + 1) % max(1, self.upstream_count)
--- a/onyxpass/fleet/rollout.py
+++ b/onyxpass/fleet/rollout.py
@@ -48,7 +48,7 @@
     digest: str | None = None
     launch: str | None = None
     serving: bool = False
-    under_way: str = ""  # id of the operation that its agent carries out now
+    operation_id: str = ""  # of the operation that its agent carries out now
     error: str = ""
 
 
--- a/onyxpass/fleet/runner.py
+++ b/onyxpass/fleet/runner.py
@@ -159,7 +159,7 @@
         due_s = self.now_s + self.order.deadline_s
         try:
             answer = await self.agent_client.call(agent, "POST", "/v1/hold", body, CALL_TIMEOUT_S)
-            # an operation that the previous holder of the lease ordered
+            # Waits for an operation that the previous holder of the lease ordered.
             while answer.body.get("under_way") and self.now_s < due_s:
                 await asyncio.sleep(IN_PROGRESS_POLL_S)
                 answer = await self.agent_client.call(
@@ -299,7 +299,7 @@
         while True:
             view = await fetch_view(self.agent_client, self.members[name], CALL_TIMEOUT_S)
             observation: Observation = view.observation()
-            must_wait = bool(observation.under_way)
+            must_wait = bool(observation.operation_id)
             if self.rollout.stage is RolloutStage.VERIFYING and observation.digest is None:
                 # Prevents an instance that is just starting from being reported as unknown.
                 must_wait, due_s = True, min(due_s, began_s + VERIFY_TIMEOUT_S)
--- a/onyxpass/fleet/views.py
+++ b/onyxpass/fleet/views.py
@@ -1,6 +1,6 @@
 """The state of instances as their agents report it, fetched from all agents at once.
 
-A report is read without trust: a field that is absent or of the wrong type is treated as unknown.
+No field of a report is assumed to be present: what is absent is treated as unknown.
 """
 
 import asyncio
@@ -63,7 +63,7 @@
             digest=self.live_value("config", "digest"),
             launch=self.live_value("launch"),
             serving=self.serving,
-            under_way=str(operation.get("id")) if isinstance(operation, Mapping) else "",
+            operation_id=str(operation.get("id")) if isinstance(operation, Mapping) else "",
             error=self.error or str(report.get("live_problem") or ""),
         )
 
--- a/tests/test_desired.py
+++ b/tests/test_desired.py
@@ -1,4 +1,4 @@
-"""The desired configuration: its join, its pages, whom a node asks, its disk; and real nodes
+"""The desired configuration: merges, pages, upstream selection, the state file, and real nodes
 with faults.
 """
 
@@ -20,62 +20,70 @@
 from onyxpass.desired import state_file
 from onyxpass.desired.cli import desired_app
 from onyxpass.desired.config import load
-from onyxpass.desired.config_rendering import rendered
-from onyxpass.desired.state import Conflict, Page, State, StateError, covers, page_told, read_page
-from onyxpass.desired.upstream_selection import PREFER_S, Puller
+from onyxpass.desired.config_rendering import render_config
+from onyxpass.desired.state import (
+    Conflict,
+    DesiredState,
+    Page,
+    StateError,
+    covers,
+    page_to_json,
+    parse_page,
+)
+from onyxpass.desired.upstream_selection import PREFERRED_RETRY_S, UpstreamSelector
 from onyxpass.history_checkers import configuration as rules
 from onyxpass.history_checkers.configuration import Word
 from onyxpass.testbed.configuration import Trial
 from onyxpass.testbed.replicas import StandinDiscovery, StandinFleet
 from onyxpass.testbed.settings import SETTINGS
 
-LIMIT_S = 60  # of a trial; what is meant is waited for, and this only ends one that hangs
+TRIAL_TIMEOUT_S = 60  # ends a trial that hangs; trials wait for their conditions otherwise
 
 
-def pull(receiver: State, sender: State, most_bytes: int = 32_768) -> None:
-    """As over the wire, page by page."""
+def pull(receiver: DesiredState, sender: DesiredState, max_bytes: int = 32_768) -> None:
+    """Merge the sender's state page by page, with JSON as on the wire."""
     for _ in range(1_000):
-        page = read_page(json.loads(json.dumps(page_told(sender.since(receiver.seen, most_bytes)))))
+        page = parse_page(
+            json.loads(json.dumps(page_to_json(sender.page_since(receiver.seen, max_bytes))))
+        )
         receiver.merge(page)
         if not page.more:
             return
     raise AssertionError("pages without an end")
 
 
-ORDERS = st.lists(
+CHANGES = st.lists(
     st.tuples(st.integers(0, 2), st.sampled_from("abcd"), st.integers(0, 99), st.booleans()),
     max_size=25,
 )
 
 
 @settings(max_examples=150, deadline=None)
-@given(orders=ORDERS, seed=st.integers(0, 10_000), most=st.sampled_from([60, 200, 32_768]))
-def test_any_order_of_pulls_ends_in_one_state_that_never_went_back(
-    orders: list[tuple[int, str, int, bool]], seed: int, most: int
+@given(changes=CHANGES, seed=st.integers(0, 10_000), max_bytes=st.sampled_from([60, 200, 32_768]))
+def test_nodes_converge_under_any_order_of_pulls_and_lose_no_change(
+    changes: list[tuple[int, str, int, bool]], seed: int, max_bytes: int
 ) -> None:
-    chance, nodes = random.Random(seed), [State() for _ in range(5)]
-    for who, key, value, gossip in orders:
-        nodes[who].change(f"o{who}", {key: value, "all": value})
-        if gossip:
-            one, other = chance.sample(range(5), 2)
+    rng, nodes = random.Random(seed), [DesiredState() for _ in range(5)]
+    for origin, key, value, is_pulled in changes:
+        nodes[origin].change(f"o{origin}", {key: value, "all": value})
+        if is_pulled:
+            one, other = rng.sample(range(5), 2)
             before = dict(nodes[one].seen)
-            pull(nodes[one], nodes[other], most)
+            pull(nodes[one], nodes[other], max_bytes)
             assert covers(nodes[one].seen, before)
     for _ in range(3):
         for one in range(5):
             for other in range(5):
-                pull(nodes[one], nodes[other], most)
+                pull(nodes[one], nodes[other], max_bytes)
     assert len({node.digest() for node in nodes}) == 1
     assert len({json.dumps(sorted(node.seen.items())) for node in nodes}) == 1
     assert len({tuple(sorted(node.conflicts)) for node in nodes}) == 1, (
-        "conflicts are said alike everywhere"
+        "all nodes report the same conflicts"
     )
 
 
-def test_two_changes_that_had_not_seen_each_other_are_a_conflict_and_one_after_the_other_are_none() -> (
-    None
-):
-    north, south = State(), State()
+def test_concurrent_changes_conflict_and_sequential_changes_do_not() -> None:
+    north, south = DesiredState(), DesiredState()
     first = north.change("n", {"k": 1})
     pull(south, north)
     second = south.change("s", {"k": 2})
@@ -90,28 +98,28 @@
     assert first < second < dropped
 
 
-def test_a_page_that_is_torn_newer_or_contradictory_is_refused_whole() -> None:
-    state = State()
+def test_truncated_newer_or_contradictory_page_is_rejected_whole() -> None:
+    state = DesiredState()
     state.change("n", {"a": 1, "b": 2})
-    good = page_told(state.since({}))
-    for key, spoil in (
+    good = page_to_json(state.page_since({}))
+    for key, page in (
         ("check", {**good, "entries": good["entries"][:1]}),
         ("check", {**good, "seen": {"n": 9}}),
         ("format", {**good, "format": 2}),
         ("seen", {**good, "seen": {"n": -1}}),
     ):
-        with pytest.raises(StateError) as told:
-            read_page(spoil)
-        assert told.value.key == key
-    other = State()
+        with pytest.raises(StateError) as raised:
+            parse_page(page)
+        assert raised.value.key == key
+    other = DesiredState()
     other.change("n", {"a": 7})
     before = other.digest()
     with pytest.raises(StateError, match="two values"):
-        other.merge(read_page(good))
-    assert other.digest() == before and "b" not in other.entries, "nothing of it was taken"
+        other.merge(parse_page(good))
+    assert other.digest() == before and "b" not in other.entries, "nothing of the page was merged"
 
 
-def test_values_have_bounds() -> None:
+def test_invalid_keys_and_values_are_rejected() -> None:
     for key, value in (
         ("", 1),
         ("k" * 300, 1),
@@ -120,73 +128,76 @@
         ("k", object()),
     ):
         with pytest.raises(StateError):
-            State().change("n", {key: value})
+            DesiredState().change("n", {key: value})
 
 
-def test_a_puller_goes_on_to_the_next_upstream_and_comes_back_to_the_best() -> None:
-    puller = Puller(3, random.Random(1))
-    assert puller.next(0.0) == puller.next(0.0)
+def test_selector_switches_to_the_next_upstream_and_returns_to_the_preferred_one() -> None:
+    selector = UpstreamSelector(3, random.Random(1))
+    assert selector.next_pull(0.0) == selector.next_pull(0.0)
     tried = []
     for _ in range(3):
-        tried.append(puller.next(1.0).upstream)
-        assert puller.next(1.0).in_s == 0, "each is asked once without a pause"
-        puller.failed(1.0)
-    assert tried == [0, 1, 2] and puller.next(1.0).in_s > 0
-    pauses = []
+        tried.append(selector.next_pull(1.0).upstream)
+        assert selector.next_pull(1.0).delay_s == 0, "each upstream is tried once without a delay"
+        selector.record_failure(1.0)
+    assert tried == [0, 1, 2] and selector.next_pull(1.0).delay_s > 0
+    delays_s = []
     for _ in range(30):
-        pauses.append(puller.next(1.0).in_s)
-        puller.failed(1.0)
-    assert max(pauses) <= 2.0 and pauses[-1] > pauses[0]
-    puller.current = 1
-    puller.answered()
-    assert puller.next(2.0).upstream == 1 and puller.next(1.0 + PREFER_S).upstream == 0
+        delays_s.append(selector.next_pull(1.0).delay_s)
+        selector.record_failure(1.0)
+    assert max(delays_s) <= 2.0 and delays_s[-1] > delays_s[0]
+    selector.current = 1
+    selector.record_success()
+    assert (
+        selector.next_pull(2.0).upstream == 1
+        and selector.next_pull(1.0 + PREFERRED_RETRY_S).upstream == 0
+    )
 
 
-def test_a_state_on_disk_that_is_no_use_is_named_and_left_as_it_is(tmp_path: Path) -> None:
-    path, state = tmp_path / "state.json", State()
+def test_invalid_state_file_is_reported_and_left_unchanged(tmp_path: Path) -> None:
+    path, state = tmp_path / "state.json", DesiredState()
     assert state_file.load(path).values() == {}
     state.change("n", {"a": 1})
     state_file.save(path, state)
     assert state_file.load(path).digest() == state.digest()
     text = path.read_text()
     newer = json.dumps({**json.loads(text), "format": 7})
-    for spoilt, reason in (
+    for invalid, reason in (
         (text[:-9], "page"),
         (text.replace('"a", 1,', '"a", 2,'), "check"),
         (newer, "format"),
     ):
-        path.write_text(spoilt)
+        path.write_text(invalid)
         with pytest.raises(ConfigError, match=rf"state\.json: {reason}"):
             state_file.load(path)
-        assert path.read_text() == spoilt
+        assert path.read_text() == invalid
 
 
-def test_values_go_into_a_dispatchers_file_by_their_paths_or_not_at_all() -> None:
+def test_values_are_set_at_their_paths_and_unknown_paths_are_rejected() -> None:
     base = {"limits": {"sockets": 1}, "settings": SETTINGS}
-    made = rendered(base, {"limits.sockets": 7, "settings.grades.part-lookup.promiseUs": 9})
-    assert made["limits"]["sockets"] == 7 and made["settings"]["grades"][0]["promiseUs"] == 9
+    config = render_config(base, {"limits.sockets": 7, "settings.grades.part-lookup.promiseUs": 9})
+    assert config["limits"]["sockets"] == 7 and config["settings"]["grades"][0]["promiseUs"] == 9
     assert base["limits"]["sockets"] == 1
     for key in ("limits.sockets.deep", "settings.grades.nobody.promiseUs", "nothing.here"):
-        with pytest.raises(StateError) as told:
-            rendered(base, {key: 1})
-        assert told.value.key == key
+        with pytest.raises(StateError) as raised:
+            render_config(base, {key: 1})
+        assert raised.value.key == key
 
 
-def test_a_nodes_file_names_its_fault(tmp_path: Path) -> None:
+def test_error_for_an_invalid_node_file_names_file_and_key(tmp_path: Path) -> None:
     path = tmp_path / "n.toml"
     path.write_text('name = "n"\nrole = "host"\nlisten = "127.0.0.1:0"\nkey = "k"\nfolder = "f"\n')
     with pytest.raises(ConfigError, match=r"n\.toml.*upstreams"):
         load(path)
 
 
-# The checkers, each with a planted fault
+# The checkers, each with a planted violation
 
 
 def word(node: str, what: str, digest: str, **seen: int) -> Word:
     return Word(sum(seen.values()), node, what, digest, seen)
 
 
-def test_each_checker_finds_its_planted_fault() -> None:
+def test_each_checker_reports_its_planted_violation() -> None:
     good = [word("c", "ordered", "x", o=1), word("h", "configuration_in_force", "x", o=1)]
     assert not [
         *rules.never_back(good),
@@ -206,12 +217,12 @@
     assert [*rules.in_force_everywhere(differ, ["g", "h"])]
 
 
-AIM = "settings.grades.part-lookup.promiseUs"
+OBJECTIVE_KEY = "settings.grades.part-lookup.promiseUs"
 
 
 @asynccontextmanager
-async def listed() -> AsyncIterator[StandinDiscovery]:
-    """A list with one reader and one writer."""
+async def running_discovery() -> AsyncIterator[StandinDiscovery]:
+    """Run a discovery service that lists one reader and one writer."""
     fleet = await StandinFleet(1, 1).start()
     try:
         yield fleet.discovery
@@ -223,14 +234,16 @@
 
 
 def run(test: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    asyncio.run(asyncio.wait_for(test(), LIMIT_S))
+    asyncio.run(asyncio.wait_for(test(), TRIAL_TIMEOUT_S))
 
 
 def has(**wanted: Any) -> Callable[[dict[str, Any]], bool]:
     return lambda values: all(values.get(key) == value for key, value in wanted.items())
 
 
-def test_a_region_that_is_cut_off_keeps_what_it_had_and_both_end_alike(tmp_path: Path) -> None:
+def test_disconnected_region_keeps_its_state_and_both_regions_converge_afterwards(
+    tmp_path: Path,
+) -> None:
     async def go() -> None:
         async with Trial(tmp_path) as t:
             await t.order("north-c0", a=1, b=1)
@@ -244,18 +257,22 @@
             await t.in_force(south, has(a=3, b=1, d="s"))
             t.mend()
             await t.in_force(t.host_names, has(b=1, c="n", d="s"))
-            told = [await t.state(name) for name in t.members]
-            while len({s["digest"] for s in told}) > 1 or not all(s["conflicts"] for s in told):
+            states = [await t.state(name) for name in t.members]
+            while len({state["digest"] for state in states}) > 1 or not all(
+                state["conflicts"] for state in states
+            ):
                 await asyncio.sleep(0.1)
-                told = [await t.state(name) for name in t.members]
-            assert len({json.dumps(s["conflicts"]) for s in told}) == 1, "said alike everywhere"
-            assert [c["key"] for c in told[0]["conflicts"]] == ["a"]
+                states = [await t.state(name) for name in t.members]
+            assert len({json.dumps(state["conflicts"]) for state in states}) == 1, (
+                "all nodes report the same conflicts"
+            )
+            assert [conflict["key"] for conflict in states[0]["conflicts"]] == ["a"]
             assert t.breaches() == []
 
     run(go)
 
 
-def test_who_was_killed_stopped_or_comes_back_with_an_older_disk_is_brought_up_to_date(
+def test_nodes_that_were_killed_suspended_or_restored_from_an_older_disk_catch_up(
     tmp_path: Path,
 ) -> None:
     async def go() -> None:
@@ -263,13 +280,13 @@
             await t.order("north-c0", a=1)
             await t.in_force(t.host_names, has(a=1))
             older = {name: t.kept(name) for name in ("north-c0", "north-relay", "north-h0")}
-            # one hangs, one is down, and the relay of the south as well
+            # One host is suspended; another host and the relay of the south are down.
             t.signal("south-h0", signal.SIGSTOP)
             await t.kill("north-h1")
             await t.kill("south-relay")
             await t.order("north-c0", a=2, b=2)
             await t.in_force(["north-h0", "south-h1"], has(a=2, b=2))
-            for name in older:  # these come back with the disk of before
+            for name in older:  # restart with the older state file
                 await t.kill(name)
                 t.state_file(name).write_text(older[name])
                 await t.start(name)
@@ -284,88 +301,92 @@
     run(go)
 
 
-def test_a_node_with_a_damaged_state_does_not_start_and_does_not_touch_it(tmp_path: Path) -> None:
+def test_node_with_a_damaged_state_file_exits_and_leaves_the_file_unchanged(tmp_path: Path) -> None:
     async def go() -> None:
         async with Trial(tmp_path, hosts=1) as t:
             await t.order("north-c0", a=1)
             await t.in_force(t.host_names, has(a=1))
             await t.kill("north-h0")
-            torn = t.state_file("north-h0").read_text()[:-20]
-            t.state_file("north-h0").write_text(torn)
+            truncated = t.state_file("north-h0").read_text()[:-20]
+            t.state_file("north-h0").write_text(truncated)
             await t.start("north-h0")
             process = t.members["north-h0"].process
             assert process is not None and await process.wait() == 2
-            assert t.state_file("north-h0").read_text() == torn
+            assert t.state_file("north-h0").read_text() == truncated
             assert "state.json: page" in (tmp_path / "north-h0.log").read_text()
 
     run(go)
 
 
-def test_an_operator_sets_and_sees_it_by_commands(tmp_path: Path) -> None:
+def test_operator_commands_set_and_show_values(tmp_path: Path) -> None:
     async def go() -> None:
         async with Trial(tmp_path, hosts=1) as t:
             cli, key = CliRunner(), ["--key", str(tmp_path / "key")]
             at = {name: ["--at", f"127.0.0.1:{member.port}"] for name, member in t.members.items()}
             await t.order("north-c0", a=1)
             await t.in_force(t.host_names, has(a=1))
-            while not await t.state("south-c0"):  # the command calls once; the node may start late
+            while not await t.state(
+                "south-c0"
+            ):  # the command does not retry, and the node may start late
                 await asyncio.sleep(0.05)
-            set_it = ["set", "limits.sockets=900", *at["south-c0"], *key]
-            told = await asyncio.to_thread(cli.invoke, desired_app, set_it)
-            assert told.exit_code == 0, told.output
+            set_command = ["set", "limits.sockets=900", *at["south-c0"], *key]
+            result = await asyncio.to_thread(cli.invoke, desired_app, set_command)
+            assert result.exit_code == 0, result.output
             await t.in_force(t.host_names, lambda values: values.get("limits.sockets") == 900)
             shown = await asyncio.to_thread(
                 cli.invoke,
                 desired_app,
-                ["show", *(word for words in at.values() for word in words), *key],
+                ["show", *(argument for arguments in at.values() for argument in arguments), *key],
             )
             assert shown.exit_code == 0 and shown.output.count('"in_force"') == len(t.members)
-            refused = ["set", "a=1", *at["north-h0"], *key]
-            told = await asyncio.to_thread(cli.invoke, desired_app, refused)
-            assert told.exit_code == 1 and "control" in told.output
-            told = await asyncio.to_thread(
+            rejected = ["set", "a=1", *at["north-h0"], *key]
+            result = await asyncio.to_thread(cli.invoke, desired_app, rejected)
+            assert result.exit_code == 1 and "control" in result.output
+            result = await asyncio.to_thread(
                 cli.invoke, desired_app, ["set", "a=]", *at["north-c0"], *key]
             )
-            assert told.exit_code == 2
+            assert result.exit_code == 2
 
     run(go)
 
 
-def test_dispatchers_under_an_agent_run_on_it_and_one_that_was_down_starts_with_it(
+def test_host_node_applies_the_state_to_its_dispatchers_and_catches_up_after_a_restart(
     tmp_path: Path,
 ) -> None:
-    """The last hop: the host's node writes its dispatchers' files and has its agent reload them."""
+    """The host's node writes its dispatchers' files and has its agent reload them."""
 
     async def go() -> None:
-        async with Trial(tmp_path, hosts=0) as t, listed() as discovery:
-            await t.order("north-c0", **{AIM: 1_300_000})
+        async with Trial(tmp_path, hosts=0) as t, running_discovery() as discovery:
+            await t.order("north-c0", **{OBJECTIVE_KEY: 1_300_000})
             agent = await t.start_agent("north-a0", discovery.address, 2)
             host = t.write_host("north-h0", "north", agent, 2)
             await t.start(host)
-            await t.in_force([host], has(**{AIM: 1_300_000}))
-            assert await t.aims(agent) == [1_300_000] * 2, "read back from what runs"
+            await t.in_force([host], has(**{OBJECTIVE_KEY: 1_300_000}))
+            assert await t.aims(agent) == [1_300_000] * 2, (
+                "the running dispatchers report the value"
+            )
             await t.kill(host)
-            await t.order("south-c0", **{AIM: 1_400_000})
+            await t.order("south-c0", **{OBJECTIVE_KEY: 1_400_000})
             await t.start(host)
-            await t.in_force([host], has(**{AIM: 1_400_000}))
+            await t.in_force([host], has(**{OBJECTIVE_KEY: 1_400_000}))
             assert await t.aims(agent) == [1_400_000] * 2
-            refused = await t.order("north-c0", **{"settings.grades.nobody.promiseUs": 1})
-            assert refused.status == 200, "the control node knows no dispatcher's file"
+            accepted = await t.order("north-c0", **{"settings.grades.nobody.promiseUs": 1})
+            assert accepted.status == 200, "a control node does not know the dispatchers' files"
             while (await t.state(host))["values"].get("settings.grades.nobody.promiseUs") is None:
                 await asyncio.sleep(0.05)
-            await t.order("north-c0", **{AIM: 1_500_000})
+            await t.order("north-c0", **{OBJECTIVE_KEY: 1_500_000})
             await asyncio.sleep(0.5)
-            told = await t.state(host)
-            assert told["in_force"] != told["digest"] and await t.aims(agent) == [1_400_000] * 2
+            state = await t.state(host)
+            assert state["in_force"] != state["digest"] and await t.aims(agent) == [1_400_000] * 2
             assert "no row named 'nobody'" in (tmp_path / f"{host}.log").read_text()
 
     run(go)
 
 
 def test_changes_far_larger_than_a_page_arrive_whole() -> None:
-    sender, receiver = State(), State()
+    sender, receiver = DesiredState(), DesiredState()
     for n in range(50):
         sender.change("n", {f"k{n}": "v" * 3_000})
-    assert isinstance(sender.since({}), Page) and sender.since({}).more
+    assert isinstance(sender.page_since({}), Page) and sender.page_since({}).more
     pull(receiver, sender)
     assert receiver.digest() == sender.digest()
