--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,6 +1,4 @@
-"""Six real instances under three real agents before stand-in replicas, and what goes wrong in
-service.
-"""
+"""Six real instances under three real agents in front of stand-in replicas, under faults."""
 
 import asyncio
 import json
@@ -38,20 +36,20 @@
 
 HOSTS = (("h1", "boa-vista"), ("h2", "santo-amaro"), ("h3", "derby"))
 LIMITS = "out = 3\nout_hall = 1\nout_host = 1\ncanaries = 1\npause_s = 0.05\nabort_after = 1\ndeadline_s = 20.0\n"
-SLOW = LIMITS.replace("pause_s = 0.05", "pause_s = 0.5")
-RESTART = "first_s = 0.05\ngrace_s = 5.0\npoll_s = 0.2\n"
+SLOW_LIMITS = LIMITS.replace("pause_s = 0.05", "pause_s = 0.5")
+RESTART_POLICY = "first_s = 0.05\ngrace_s = 5.0\npoll_s = 0.2\n"
 
 
-class Trial:
-    """A site that runs, its tool, and clients that never stop asking while ``traffic`` is open."""
+class RunningSite:
+    """A running site with its fleet controller; clients send requests while ``traffic`` is open."""
 
     def __init__(self, site: Site) -> None:
         self.site = site
         self.fleet: FleetConfig = fleet_config.load(site.folder / "fleet.toml")
         self.controller = FleetController(self.fleet)
         self.trace = site.fleet.trace
-        self.ends: Counter[str] = Counter()
-        self.number = 0
+        self.answer_counts: Counter[str] = Counter()
+        self.request_number = 0
 
     def path(self, name: str) -> str:
         return str(self.site.folder / name)
@@ -65,11 +63,13 @@
     async def pid(self, name: str) -> int:
         return int((await self.views())[name].report["pid"])
 
-    async def reported(self, report: Report, **counts: int) -> None:
+    async def assert_counts(self, report: Report, **counts: int) -> None:
         assert sum(report.tally.counts().values()) == len(report.members)
         found = {kind.replace(" ", "_"): n for kind, n in report.tally.counts().items() if n}
         assert found == counts, [
-            (n, o) for n, o in report.tally.outcomes().items() if o.kind is not OutcomeKind.DONE
+            (name, outcome)
+            for name, outcome in report.tally.outcomes().items()
+            if outcome.kind is not OutcomeKind.DONE
         ]
 
     @asynccontextmanager
@@ -79,52 +79,57 @@
 
         async def client(number: int) -> None:
             while not stopping.is_set():
-                self.number += 1
-                traffic_class = CLASSES[self.number % len(CLASSES)]
-                answer = await front.ask(f"t{self.number:06}", traffic_class, f"s{number}")
-                self.ends[answer.end] += 1
+                self.request_number += 1
+                traffic_class = CLASSES[self.request_number % len(CLASSES)]
+                answer = await front.ask(f"t{self.request_number:06}", traffic_class, f"s{number}")
+                self.answer_counts[answer.end] += 1
 
-        following = asyncio.create_task(front.run())
-        asking = [asyncio.create_task(client(number)) for number in range(clients)]
+        front_task = asyncio.create_task(front.run())
+        client_tasks = [asyncio.create_task(client(number)) for number in range(clients)]
         try:
             yield
         finally:
             stopping.set()
-            await asyncio.gather(*asking)
-            following.cancel()
-        assert self.ends["served"] > 50 and not breaches(self.trace), breaches(self.trace)
+            await asyncio.gather(*client_tasks)
+            front_task.cancel()
+        assert self.answer_counts["served"] > 50 and not breaches(self.trace), breaches(self.trace)
 
 
 @asynccontextmanager
-async def trial(folder: Path, hosts: int = 3, limits: str = LIMITS) -> AsyncIterator[Trial]:
+async def running_site(
+    folder: Path, hosts: int = 3, limits: str = LIMITS
+) -> AsyncIterator[RunningSite]:
     fleet = await StandinFleet(
         2, 3, speed=Speed(read_s=0.004, first_s=0.004, token_s=0.0004)
     ).start()
-    made = tuple(Host(name, hall, (f"{hall}-1", f"{hall}-2")) for name, hall in HOSTS[:hosts])
-    site = Site(folder, fleet, made, limits, RESTART)
+    site_hosts = tuple(Host(name, hall, (f"{hall}-1", f"{hall}-2")) for name, hall in HOSTS[:hosts])
+    site = Site(folder, fleet, site_hosts, limits, RESTART_POLICY)
     site.write()
     try:
-        for host in made:
+        for host in site_hosts:
             await site.start(host)
-        found = Trial(site)
-        first = await ready(found.controller, 30.0)
+        running = RunningSite(site)
+        first = await ready(running.controller, 30.0)
         assert all(view.serving for view in first.views.values()), first.to_dict()
-        yield found
+        yield running
     finally:
         for child in folder.glob("state-*/agent.db"):
-            with_stopped(child.parent)
+            continue_stopped_processes(child.parent)
         await site.stop()
         await fleet.stop()
 
 
-def with_stopped(state: Path) -> None:
-    """Let what a test has stopped go on, so that its agent can end it."""
-    for line in Path("/proc").iterdir():
-        if line.name.isdigit():
+def continue_stopped_processes(state: Path) -> None:
+    """Continue the processes that a test has stopped, so that their agent can end them."""
+    for process in Path("/proc").iterdir():
+        if process.name.isdigit():
             try:
-                mine = str(state).encode() in (line / "environ").read_bytes()
-                if mine and (line / "stat").read_text().rpartition(")")[2].split()[0] == "T":
-                    os.kill(int(line.name), signal.SIGCONT)
+                is_of_agent = str(state).encode() in (process / "environ").read_bytes()
+                if (
+                    is_of_agent
+                    and (process / "stat").read_text().rpartition(")")[2].split()[0] == "T"
+                ):
+                    os.kill(int(process.name), signal.SIGCONT)
             except OSError:
                 continue
 
@@ -133,11 +138,11 @@
     asyncio.run(asyncio.wait_for(test(), 120))
 
 
-def test_a_rollout_reaches_all_under_traffic_and_each_request_has_one_answer(
+def test_rollout_changes_all_instances_under_traffic_and_each_request_gets_one_answer(
     tmp_path: Path,
 ) -> None:
     async def go() -> None:
-        async with trial(tmp_path) as t:
+        async with running_site(tmp_path) as t:
             before = await t.views()
             async with t.traffic():
                 for name in t.site.ports:
@@ -145,7 +150,7 @@
                 _, report = await t.controller.run_rollout(
                     t.fleet.members, ChangeOrder(ChangeMethod.AUTO, 20.0)
                 )
-                await t.reported(report, done=6)
+                await t.assert_counts(report, done=6)
                 reloaded = await t.views()
                 assert all(
                     v.live_value("config", "digest") == v.file_digest and v.file_digest
@@ -154,32 +159,34 @@
                 assert all(
                     reloaded[n].live_value("launch") == before[n].live_value("launch")
                     for n in before
-                ), "no restart"
+                ), "reload restarts no instance"
                 assert all(v.live_value("config", "generation") == 1 for v in reloaded.values())
                 for name in t.site.ports:
-                    t.site.config(name, {"peers": 7})  # this can't be changed in flight
+                    t.site.config(name, {"peers": 7})  # a change of this key needs a restart
                 report = await t.controller.order("reload", t.fleet.members, 10.0, {})
-                await t.reported(report, failed=6)
+                await t.assert_counts(report, failed=6)
                 assert "needs a restart: settings.routers" in str(report.to_dict())
                 _, report = await t.controller.run_rollout(
                     t.fleet.members, ChangeOrder(ChangeMethod.AUTO, 20.0)
                 )
-                await t.reported(report, done=6)
+                await t.assert_counts(report, done=6)
                 after = await t.views()
                 assert all(
                     after[n].live_value("launch") != before[n].live_value("launch") for n in before
                 )
                 assert all(after[n].report["restarts"] == 0 for n in after), (
-                    "a planned restart is no failure"
+                    "an ordered restart does not count as a failure"
                 )
-            assert set(t.ends) <= {"served", "refused"}
+            assert set(t.answer_counts) <= {"served", "refused"}
 
     run(go)
 
 
-def test_what_is_stopped_half_way_is_reported_and_never_concealed(tmp_path: Path) -> None:
+def test_suspended_instance_and_invalid_file_are_reported_and_not_counted_as_done(
+    tmp_path: Path,
+) -> None:
     async def go() -> None:
-        async with trial(
+        async with running_site(
             tmp_path, limits=LIMITS.replace("abort_after = 1", "abort_after = 2")
         ) as t:
             stopped = await t.pid("derby-1")
@@ -187,7 +194,7 @@
                 t.site.config(name, {"sockets": 800})
             t.site.config("santo-amaro-1")
             (t.site.folder / "santo-amaro-1.json").write_text('{"name": "half')
-            os.kill(stopped, signal.SIGSTOP)  # its socket accepts, and nothing is said
+            os.kill(stopped, signal.SIGSTOP)  # its socket accepts connections, but nothing answers
             async with t.traffic():
                 _, report = await t.controller.run_rollout(
                     t.fleet.members, ChangeOrder(ChangeMethod.RELOAD, 4.0)
@@ -197,25 +204,31 @@
             assert outcomes["santo-amaro-1"].kind is OutcomeKind.FAILED
             assert "santo-amaro-1.json" in outcomes["santo-amaro-1"].reason
             assert report.tally.exit_code() is ExitCode.FAILED
-            shown = await asyncio.to_thread(
+            result = await asyncio.to_thread(
                 CliRunner().invoke, fleet_app, ["list", "--fleet", t.path("fleet.toml"), "--json"]
             )
-            told = json.loads(shown.output)
-            assert shown.exit_code == 3 and told["counts"]["unknown"] == 1 and told["selected"] == 6
+            listing = json.loads(result.output)
+            assert (
+                result.exit_code == 3
+                and listing["counts"]["unknown"] == 1
+                and listing["selected"] == 6
+            )
             os.kill(stopped, signal.SIGCONT)
             t.site.config("santo-amaro-1", {"sockets": 800})
             await ready(t.controller)
             _, report = await t.controller.run_rollout(
                 t.fleet.members, ChangeOrder(ChangeMethod.RELOAD, 10.0)
             )
-            await t.reported(report, done=6)
+            await t.assert_counts(report, done=6)
 
     run(go)
 
 
-def test_a_drain_shows_what_is_open_ends_with_it_and_is_cut_only_by_force(tmp_path: Path) -> None:
+def test_drain_reports_open_requests_waits_for_them_and_aborts_them_only_by_force(
+    tmp_path: Path,
+) -> None:
     async def go() -> None:
-        async with trial(tmp_path, hosts=1) as t:
+        async with running_site(tmp_path, hosts=1) as t:
             one, two = t.fleet.members
             with pytest.raises(CommandRejectedError, match="exceeds the fleet's limits"):
                 await t.controller.order("drain", t.fleet.members, 5.0, {})
@@ -229,7 +242,7 @@
             while (await t.views())[one.name].live_value("drain", "streams") != 3:
                 await asyncio.sleep(0.02)
             report = await t.controller.order("drain", [one], 0.4, {"notice_ms": 100})
-            await t.reported(report, failed=1)
+            await t.assert_counts(report, failed=1)
             reason = report.tally.outcomes()[one.name].reason
             assert "3 requests open, 3 of them streaming" in reason and "goes on draining" in reason
             view = (await t.views())[one.name]
@@ -244,9 +257,9 @@
             report = await t.controller.order(
                 "drain", [one], 10.0, {"notice_ms": 0}, regardless=True
             )
-            await t.reported(report, done=1)
+            await t.assert_counts(report, done=1)
             assert [(await stream).end for stream in streams] == ["served"] * 3
-            await t.reported(await t.controller.order("undrain", [one], 5.0, {}), done=1)
+            await t.assert_counts(await t.controller.order("undrain", [one], 5.0, {}), done=1)
             assert (await front.ask("again", "part-lookup", "s")).end == "served"
             for replica in t.site.fleet.replicas.values():
                 replica.hold.clear()
@@ -255,7 +268,7 @@
                 await asyncio.sleep(0.02)
             options = {"notice_ms": 0, "force": True}
             report = await t.controller.order("drain", [one], 0.2, options)
-            await t.reported(report, done=1)
+            await t.assert_counts(report, done=1)
             assert report.tally.outcomes()[one.name].reason == "forced: 1 cut short"
             assert (await stream).end == "broken"
             assert two.name not in report.tally.outcomes() and not breaches(t.trace)
@@ -263,11 +276,11 @@
     run(go)
 
 
-def test_an_agent_killed_while_it_restarts_adopts_what_runs_and_starts_nothing_twice(
+def test_agent_killed_during_a_restart_adopts_running_instances_and_starts_none_twice(
     tmp_path: Path,
 ) -> None:
     async def go() -> None:
-        async with trial(tmp_path, hosts=1) as t:
+        async with running_site(tmp_path, hosts=1) as t:
             host, (one, two) = t.host("h1"), t.fleet.members
             assert host.process is not None
             before = {name: view.live_value("launch") for name, view in (await t.views()).items()}
@@ -283,17 +296,17 @@
                 await asyncio.sleep(0.02)
             host.process.kill()
             await host.process.wait()
-            gone = await t.controller.survey(t.fleet.members, 1.0)
-            await t.reported(gone, unknown=2)
-            assert "its instances may still serve" in str(gone.to_dict())
+            without_agent = await t.controller.survey(t.fleet.members, 1.0)
+            await t.assert_counts(without_agent, unknown=2)
+            assert "its instances may still serve" in str(without_agent.to_dict())
             direct = FrontLayer(t.trace, {two.name: t.site.ports[two.name]})
             direct.ready.add(two.name)
             for replica in t.site.fleet.replicas.values():
                 replica.hold.set()
-            assert (await stream).end == "served", "the instances serve on without their agent"
+            assert (await stream).end == "served", "the instances serve without their agent"
             assert (await direct.ask("r2", "stock-booking", "s")).end == "served"
             await t.site.start(host)
-            await t.reported(await order, unknown=1)
+            await t.assert_counts(await order, unknown=1)
             while (found := await t.views())[two.name].live_report is None:
                 await asyncio.sleep(0.05)
             assert {name: view.live_value("launch") for name, view in found.items()} == before
@@ -301,8 +314,8 @@
                 view.report["adopted"] and view.report["restarts"] == 0 for view in found.values()
             )
             report = await t.controller.order("restart", [one], 10.0, {})
-            await t.reported(report, done=1)
-            os.kill(await t.pid(two.name), signal.SIGKILL)  # adopted, and still watched
+            await t.assert_counts(report, done=1)
+            os.kill(await t.pid(two.name), signal.SIGKILL)  # the agent watches an adopted instance
             while (await t.views())[two.name].live_value("launch") in (None, before[two.name]):
                 await asyncio.sleep(0.05)
             assert not breaches(t.trace)
@@ -310,12 +323,14 @@
     run(go)
 
 
-def test_a_tool_killed_in_mid_rollout_is_resumed_from_what_is_so(tmp_path: Path) -> None:
+def test_rollout_whose_process_was_killed_resumes_and_restarts_each_instance_once(
+    tmp_path: Path,
+) -> None:
     async def go() -> None:
-        async with trial(tmp_path, limits=SLOW) as t:
+        async with running_site(tmp_path, limits=SLOW_LIMITS) as t:
             for name in t.site.ports:
                 t.site.config(name, {"sockets": 700})
-            tool = await asyncio.create_subprocess_exec(
+            process = await asyncio.create_subprocess_exec(
                 *(
                     sys.executable,
                     "-m",
@@ -329,18 +344,18 @@
                 *("--method", "restart"),
                 stdout=asyncio.subprocess.PIPE,
             )
-            assert tool.stdout is not None
-            while b"wave 2" not in await tool.stdout.readline():
+            assert process.stdout is not None
+            while b"wave 2" not in await process.stdout.readline():
                 pass
-            # a second tool is told who has it
-            with pytest.raises(RolloutLockedError, match=f"process {tool.pid}"):
+            # A second rollout is rejected and names the process that runs the first.
+            with pytest.raises(RolloutLockedError, match=f"process {process.pid}"):
                 await t.controller.run_rollout(t.fleet.members, ChangeOrder())
-            busy = await asyncio.to_thread(
+            second = await asyncio.to_thread(
                 CliRunner().invoke, fleet_app, ["rollout", "run", "--fleet", t.path("fleet.toml")]
             )
-            assert busy.exit_code == 4 and busy.output.count("\n") == 1
-            tool.kill()  # between an order and its answer
-            await tool.wait()
+            assert second.exit_code == 4 and second.output.count("\n") == 1
+            process.kill()  # between an order and its answer
+            await process.wait()
             found, holder = t.controller.rollout_status()
             assert found.state == "running" and not holder
             assert any(
@@ -348,92 +363,103 @@
             )
             id, report = await t.controller.resume_rollout("")
             assert id == found.id
-            await t.reported(report, done=6)
+            await t.assert_counts(report, done=6)
             events, silent = await t.controller.events({})
             restarts = Counter(
                 e["instance"] for e in events if e["what"] == "restart" and e["state"] == "done"
             )
-            assert restarts == Counter(list(t.site.ports)) and not silent, "each was restarted once"
+            assert restarts == Counter(list(t.site.ports)) and not silent, (
+                "each instance was restarted once"
+            )
             with pytest.raises(CommandRejectedError, match="has ended"):
                 await t.controller.resume_rollout("")
 
     run(go)
 
 
-def test_a_rollout_finds_out_who_went_back_and_an_abort_orders_no_more(
+def test_rollout_reports_a_reverted_instance_and_sends_no_orders_after_an_abort(
     tmp_path: Path,
 ) -> None:
     async def go() -> None:
-        async with trial(tmp_path, limits=SLOW) as t:
+        async with running_site(tmp_path, limits=SLOW_LIMITS) as t:
             for name in t.site.ports:
                 t.site.config(name, {"sockets": 600})
-            first: list[str] = []
+            settled: list[str] = []
 
-            def told(what: str, detail: Any) -> None:
-                if what == "settled" and not first:
-                    first.append(detail["instance"])
+            def on_step(what: str, detail: Any) -> None:
+                if what == "settled" and not settled:
+                    settled.append(detail["instance"])
 
             running = asyncio.create_task(
                 t.controller.run_rollout(
-                    t.fleet.members, ChangeOrder(ChangeMethod.RELOAD, 10.0), told
+                    t.fleet.members, ChangeOrder(ChangeMethod.RELOAD, 10.0), on_step
                 )
             )
-            while not first:
+            while not settled:
                 await asyncio.sleep(0.02)
-            t.site.config(first[0])  # the old file is back, and its instance dies
-            os.kill(await t.pid(first[0]), signal.SIGKILL)
+            t.site.config(settled[0])  # the instance restarts with its old file
+            os.kill(await t.pid(settled[0]), signal.SIGKILL)
             await t.controller.abort_rollout("", "seen enough")
             id, report = await running
             counts = report.tally.counts()
             assert counts["failed"] == 1 and counts["not tried"] >= 2, report.to_dict()
-            assert "had taken the change" in report.tally.outcomes()[first[0]].reason
+            assert "had taken the change" in report.tally.outcomes()[settled[0]].reason
             assert "seen enough" in str(report.to_dict())
             assert t.controller.rollout_status(id)[0].state == "aborted"
 
     run(go)
 
 
-def test_a_silent_agent_costs_its_deadline_once_and_is_unknown(tmp_path: Path) -> None:
+def test_silent_agent_delays_a_command_by_one_deadline_and_its_instances_are_unknown(
+    tmp_path: Path,
+) -> None:
     async def go() -> None:
-        async with trial(tmp_path) as t:
+        async with running_site(tmp_path) as t:
             process = t.host("h2").process
             assert process is not None
             os.kill(process.pid, signal.SIGSTOP)
             loop = asyncio.get_running_loop()
             began_s = loop.time()
-            await t.reported(await t.controller.survey(t.fleet.members, 0.5), done=4, unknown=2)
+            await t.assert_counts(
+                await t.controller.survey(t.fleet.members, 0.5), done=4, unknown=2
+            )
             assert loop.time() - began_s < 4.0, "two silent instances cost one deadline of 0.5 s"
             for name in t.site.ports:
                 t.site.config(name, {"sockets": 500})
             report = await t.controller.order("reload", t.fleet.members, 1.0, {})
-            await t.reported(report, done=4, unknown=2)
+            await t.assert_counts(report, done=4, unknown=2)
             assert "it may have arrived" in report.tally.outcomes()["santo-amaro-1"].reason
-            os.kill(
-                process.pid, signal.SIGCONT
-            )  # it takes the order after all: late, and found out by a look
+            # The agent executes the order late, which the next observation shows.
+            os.kill(process.pid, signal.SIGCONT)
             while (await t.views())["santo-amaro-1"].live_value("config", "digest") in (None, ""):
                 await asyncio.sleep(0.05)
-            await t.reported(await t.controller.order("reload", t.fleet.members, 10.0, {}), done=6)
+            await t.assert_counts(
+                await t.controller.order("reload", t.fleet.members, 10.0, {}), done=6
+            )
 
     run(go)
 
 
-def test_calls_to_an_agent_need_its_key_and_bad_ones_change_nothing(tmp_path: Path) -> None:
+def test_agent_rejects_calls_without_its_key_and_invalid_calls_change_nothing(
+    tmp_path: Path,
+) -> None:
     async def go() -> None:
-        async with trial(tmp_path, hosts=1) as t:
+        async with running_site(tmp_path, hosts=1) as t:
             port = t.host("h1").port
             key = read_key(t.site.folder / "fleet.key")
 
-            async def call(text: str, body: str = "", shown: str = key) -> tuple[int, Any]:
+            async def call(
+                request_line: str, body: str = "", sent_key: str = key
+            ) -> tuple[int, Any]:
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                head = f"{text} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n"
-                writer.write(f"{head}Authorization: Bearer {shown}\r\n\r\n{body}".encode())
-                answer = await reader.read()
+                head = f"{request_line} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n"
+                writer.write(f"{head}Authorization: Bearer {sent_key}\r\n\r\n{body}".encode())
+                response = await reader.read()
                 writer.close()
-                return int(answer.split()[1]), json.loads(answer.partition(b"\r\n\r\n")[2])
+                return int(response.split()[1]), json.loads(response.partition(b"\r\n\r\n")[2])
 
             order = "POST /v1/instances/boa-vista-1/restart"
-            for status, text, body, shown in (
+            for status, request_line, body, sent_key in (
                 (401, "GET /v1/instances", "", "wrong"),
                 (401, order, "{", ""),
                 (400, order, "{", key),
@@ -450,56 +476,63 @@
                 (400, "POST /v1/hold", '{"rollout": "", "holder": "x"}', key),
                 (404, "GET /elsewhere", "", key),
             ):
-                found, told = await call(text, body, shown)
-                assert found == status and told["error"], (text, body, found, told)
+                answer_status, answer = await call(request_line, body, sent_key)
+                assert answer_status == status and answer["error"], (
+                    request_line,
+                    body,
+                    answer_status,
+                    answer,
+                )
             events = (await call("GET /v1/events"))[1]["events"]
-            assert not [e for e in events if e["what"] in ("restart", "held")]
+            assert not [event for event in events if event["what"] in ("restart", "held")]
             assert (await call("POST /v1/hold", '{"rollout": "r1", "holder": "ana"}'))[0] == 200
-            found, told = await call(order, '{"operation": "b"}')
-            assert found == 409 and told["hold"]["holder"] == "ana"
+            answer_status, answer = await call(order, '{"operation": "b"}')
+            assert answer_status == 409 and answer["hold"]["holder"] == "ana"
             assert (await call("POST /v1/release", '{"rollout": "r1"}'))[1] == {"released": True}
             first = await call("POST /v1/instances/boa-vista-1/reload", '{"operation": "c"}')
             again = await call("POST /v1/instances/boa-vista-1/reload", '{"operation": "c"}')
             assert first[0] == again[0] == 202 and first[1]["began"] == again[1]["began"]
-            assert (await call(order, '{"operation": "c"}'))[0] == 409, "one id, one order"
+            assert (await call(order, '{"operation": "c"}'))[0] == 409, (
+                "an operation id is valid for one order only"
+            )
 
     run(go)
 
 
-def test_a_process_is_known_by_its_start_and_a_number_used_again_is_not_taken(
+def test_process_is_identified_by_its_start_time_and_a_reused_pid_is_not_adopted(
     tmp_path: Path,
 ) -> None:
     async def go() -> None:
         command = (sys.executable, "-c", "import time; time.sleep(600)")
-        mine = Process.launch(command, os.environ, None)
-        assert Process.adopt(replace(mine.identity, ticks=mine.identity.ticks + 1)) is None
-        assert Process.adopt(replace(mine.identity, boot="another")) is None
-        again = Process.adopt(mine.identity)
-        assert again is not None and again.identity.age_s < 60
-        mine.send(signal.SIGKILL)
-        assert await again.wait() is None and await mine.wait() == -9
-        assert identify(mine.pid) is None and Process.adopt(mine.identity) is None
+        launched = Process.launch(command, os.environ, None)
+        assert Process.adopt(replace(launched.identity, ticks=launched.identity.ticks + 1)) is None
+        assert Process.adopt(replace(launched.identity, boot="another")) is None
+        adopted = Process.adopt(launched.identity)
+        assert adopted is not None and adopted.identity.age_s < 60
+        launched.send(signal.SIGKILL)
+        assert await adopted.wait() is None and await launched.wait() == -9
+        assert identify(launched.pid) is None and Process.adopt(launched.identity) is None
 
     run(go)
 
 
-def test_a_state_that_is_damaged_or_in_use_is_refused_and_not_started_over(tmp_path: Path) -> None:
-    ledger = StateStore(tmp_path / "s")
+def test_damaged_or_locked_state_is_rejected_and_left_unchanged(tmp_path: Path) -> None:
+    store = StateStore(tmp_path / "s")
     with pytest.raises(StateStoreError, match="another agent holds it"):
         StateStore(tmp_path / "s")
-    ledger.close()
+    store.close()
     path = tmp_path / "s" / "agent.db"
-    whole = path.read_bytes()
+    valid = path.read_bytes()
     for text in (
         b"no database at all, and long enough to be looked at" * 9,
-        whole[:4200] + b"\xff" * 9000,
+        valid[:4200] + b"\xff" * 9000,
     ):
         path.write_bytes(text)
         for extra in ("agent.db-wal", "agent.db-shm"):
             (tmp_path / "s" / extra).unlink(missing_ok=True)
         with pytest.raises(StateStoreError, match="move it aside and start again"):
             StateStore(tmp_path / "s")
-        assert path.read_bytes() == text, "it is left as it is"
+        assert path.read_bytes() == text, "the file is left unchanged"
     record = RolloutRecord(tmp_path / "r")
     record.lock("x")
     with pytest.raises(RolloutLockedError, match="x is held by"):
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -1,5 +1,5 @@
-"""The fleet tool's decisions one by one: orders, selectors, files, drains, lives, digests,
-rules.
+"""Parts of the fleet commands and agents in isolation: orders, selectors, files, drains, lifecycles,
+digests and trace checkers.
 """
 
 import asyncio
@@ -80,48 +80,48 @@
 
 # Orders
 
-OPERATION = {"state": "running"}
+RUNNING_OPERATION = {"state": "running"}
 
 
-def test_an_order_that_never_left_has_failed_and_one_that_may_have_arrived_is_unknown() -> None:
-    talk = OrderExchange(0.0, 10.0)
-    assert isinstance(talk.next(0.0), SendOrder)
-    talk.on_not_sent("refused")
-    assert isinstance(talk.next(0.0), BackOff) and isinstance(talk.next(1.0), SendOrder)
-    assert talk.next(10.0) == ExchangeEnded(failed("nothing was sent: refused"))
-    talk.on_no_answer("silent")
-    assert isinstance(talk.next(2.0), BackOff) and isinstance(talk.next(3.0), PollOperation)
-    end = talk.next(10.0)
+def test_unsent_order_has_failed_and_one_that_may_have_arrived_is_unknown() -> None:
+    exchange = OrderExchange(0.0, 10.0)
+    assert isinstance(exchange.next(0.0), SendOrder)
+    exchange.on_not_sent("refused")
+    assert isinstance(exchange.next(0.0), BackOff) and isinstance(exchange.next(1.0), SendOrder)
+    assert exchange.next(10.0) == ExchangeEnded(failed("nothing was sent: refused"))
+    exchange.on_no_answer("silent")
+    assert isinstance(exchange.next(2.0), BackOff) and isinstance(exchange.next(3.0), PollOperation)
+    end = exchange.next(10.0)
     assert isinstance(end, ExchangeEnded) and end.outcome.kind is OutcomeKind.UNKNOWN
 
 
-def test_an_agent_that_never_had_the_order_is_told_again_and_one_that_had_it_is_asked() -> None:
-    talk = OrderExchange(0.0, 10.0)
-    talk.on_no_answer("silent")
-    talk.next(0.0)
-    assert talk.on_answer(CallKind.POLL, 404, {"error": "no such operation"}) is None
-    assert isinstance(talk.next(1.0), SendOrder)
-    assert talk.on_answer(CallKind.ORDER, 202, OPERATION) is None
-    assert isinstance(talk.next(1.0), PollOperation)
-    talk.on_not_sent("refused")  # a question that did not leave changes nothing of the order
-    talk.next(2.0)
-    assert isinstance(talk.next(3.0), PollOperation)
-    assert talk.on_answer(
+def test_order_is_sent_again_if_the_agent_never_had_it_and_polled_otherwise() -> None:
+    exchange = OrderExchange(0.0, 10.0)
+    exchange.on_no_answer("silent")
+    exchange.next(0.0)
+    assert exchange.on_answer(CallKind.POLL, 404, {"error": "no such operation"}) is None
+    assert isinstance(exchange.next(1.0), SendOrder)
+    assert exchange.on_answer(CallKind.ORDER, 202, RUNNING_OPERATION) is None
+    assert isinstance(exchange.next(1.0), PollOperation)
+    exchange.on_not_sent("refused")  # a poll that was not sent says nothing about the order
+    exchange.next(2.0)
+    assert isinstance(exchange.next(3.0), PollOperation)
+    assert exchange.on_answer(
         CallKind.POLL, 200, {"state": "done", "detail": {"cut": 2, "forced": True}}
     ) == done("forced: 2 cut short")
-    assert talk.on_answer(
+    assert exchange.on_answer(
         CallKind.POLL, 200, {"state": "unknown", "reason": "the agent ended"}
     ) == unknown("the agent ended")
 
 
-def test_a_refused_order_has_failed_unless_it_may_have_arrived_before() -> None:
+def test_rejected_order_has_failed_unless_it_may_have_arrived_before() -> None:
     assert OrderExchange(0.0, 9.0).on_answer(CallKind.ORDER, 401, {"error": "the key"}) == failed(
         "the key"
     )
-    talk = OrderExchange(0.0, 9.0)
-    talk.on_no_answer("silent")
-    found = talk.on_answer(CallKind.POLL, 401, {"error": "the key"})
-    assert found is not None and found.kind is OutcomeKind.UNKNOWN
+    exchange = OrderExchange(0.0, 9.0)
+    exchange.on_no_answer("silent")
+    outcome = exchange.on_answer(CallKind.POLL, 401, {"error": "the key"})
+    assert outcome is not None and outcome.kind is OutcomeKind.UNKNOWN
     busy = OrderExchange(0.0, 9.0)
     assert busy.on_answer(CallKind.ORDER, 409, {"error": "busy", "operation": {}}) is None
     assert isinstance(busy.next(0.0), BackOff) and isinstance(busy.next(1.0), SendOrder)
@@ -133,52 +133,54 @@
         st.sampled_from(("not sent", "no answer", "404", "running", "500", "busy")), max_size=40
     )
 )
-def test_an_order_always_ends_and_never_says_failed_of_what_may_have_arrived(
-    words: list[str],
+def test_exchange_always_ends_and_never_reports_failed_if_the_order_may_have_arrived(
+    call_results: list[str],
 ) -> None:
-    talk, now_s, arrived = OrderExchange(0.0, 20.0), 0.0, False
-    for word in [*words, *["no answer"] * 60]:
-        step = talk.next(now_s)
+    exchange, now_s, may_have_arrived = OrderExchange(0.0, 20.0), 0.0, False
+    for result in [*call_results, *["no answer"] * 60]:
+        step = exchange.next(now_s)
         if isinstance(step, ExchangeEnded):
             assert now_s <= 20.0 + 5.0 + 2.0
-            assert step.outcome.kind is (OutcomeKind.UNKNOWN if arrived else OutcomeKind.FAILED)
+            assert step.outcome.kind is (
+                OutcomeKind.UNKNOWN if may_have_arrived else OutcomeKind.FAILED
+            )
             return
         if isinstance(step, BackOff):
             now_s += step.delay_s
             continue
         now_s += 0.5
         call = CallKind.POLL if isinstance(step, PollOperation) else CallKind.ORDER
-        match word:
+        match result:
             case "not sent":
-                talk.on_not_sent(word)
+                exchange.on_not_sent(result)
             case "no answer":
-                arrived = True
-                talk.on_no_answer(word)
+                may_have_arrived = True
+                exchange.on_no_answer(result)
             case "404" if call is CallKind.POLL:
-                arrived = False
-                talk.on_answer(CallKind.POLL, 404, {})
+                may_have_arrived = False
+                exchange.on_answer(CallKind.POLL, 404, {})
             case "running":
-                arrived = True
-                talk.on_answer(call, 202, OPERATION)
+                may_have_arrived = True
+                exchange.on_answer(call, 202, RUNNING_OPERATION)
             case "500":
-                arrived = True
-                talk.on_answer(call, 500, {})
+                may_have_arrived = True
+                exchange.on_answer(call, 500, {})
             case _:
-                talk.on_answer(call, 409, {"operation": {}})
-    raise AssertionError("it never ended")
+                exchange.on_answer(call, 409, {"operation": {}})
+    raise AssertionError("the exchange never ended")
 
 
 @given(
     st.lists(st.sampled_from((done(), failed("x"), unknown("y"), not_tried("z"), None)), min_size=1)
 )
 @settings(derandomize=True)
-def test_outcomes_always_add_up_to_the_selected(ends: list[object]) -> None:
-    tally = OutcomeTally(str(n) for n in range(len(ends)))
-    for n, end in enumerate(ends):
-        if end is not None:
-            tally.settle(str(n), end)  # type: ignore[arg-type]
-    assert sum(tally.counts().values()) == len(ends)
-    assert (tally.exit_code() is ExitCode.DONE) == (tally.counts()["done"] == len(ends))
+def test_outcomes_add_up_to_the_selected_instances(outcomes: list[object]) -> None:
+    tally = OutcomeTally(str(n) for n in range(len(outcomes)))
+    for n, outcome in enumerate(outcomes):
+        if outcome is not None:
+            tally.settle(str(n), outcome)  # type: ignore[arg-type]
+    assert sum(tally.counts().values()) == len(outcomes)
+    assert (tally.exit_code() is ExitCode.DONE) == (tally.counts()["done"] == len(outcomes))
     with pytest.raises(KeyError):
         tally.settle("nobody", done())
 
@@ -186,7 +188,7 @@
 # Files and selectors
 
 
-def file(tmp_path: Path, text: str) -> Path:
+def write_fleet_file(tmp_path: Path, text: str) -> Path:
     path = tmp_path / "fleet.toml"
     path.write_text(text)
     return path
@@ -206,17 +208,17 @@
         ('labels = { front = "http" }', "labels = 3", 16, "labels"),
     ],
 )
-def test_a_bad_fleet_file_is_one_line_with_its_place_and_exit_code_2(
+def test_invalid_fleet_file_gives_one_error_line_with_its_position_and_exit_code_2(
     tmp_path: Path, old: str, new: str, line: int, why: str
 ) -> None:
-    path = file(tmp_path, FLEET.replace(old, new, 1))
-    run = CliRunner().invoke(fleet_app, ["check", "--fleet", str(path)])
-    assert run.exit_code == 2 and run.output.count("\n") == 1 and why in run.output
-    assert f"{path}:{line}:" in run.output
+    path = write_fleet_file(tmp_path, FLEET.replace(old, new, 1))
+    result = CliRunner().invoke(fleet_app, ["check", "--fleet", str(path)])
+    assert result.exit_code == 2 and result.output.count("\n") == 1 and why in result.output
+    assert f"{path}:{line}:" in result.output
 
 
-def test_selectors_choose_and_faults_in_them_are_named(tmp_path: Path) -> None:
-    members = fleet_config.load(file(tmp_path, FLEET)).members
+def test_selectors_select_members_and_report_faults(tmp_path: Path) -> None:
+    members = fleet_config.load(write_fleet_file(tmp_path, FLEET)).members
 
     def names(*patterns: str, where: str = "") -> list[str]:
         return [member.name for member in select(members, patterns, where)]
@@ -250,7 +252,7 @@
     assert fleet_config.load(ROOT / "deploy" / "fleet.toml").members
 
 
-def test_a_key_must_be_its_owners_alone(tmp_path: Path) -> None:
+def test_key_file_must_be_accessible_to_its_owner_only(tmp_path: Path) -> None:
     path = tmp_path / "key"
     make_key(path)
     key = read_key(path)
@@ -270,10 +272,10 @@
         read_key(path)
 
 
-# What runs, and what a reload takes over
+# Reloads, drains and lifecycles
 
 
-def test_a_reload_takes_what_it_can_and_names_what_needs_a_restart() -> None:
+def test_reload_applies_reloadable_keys_and_names_those_that_need_a_restart() -> None:
     changed = replace(
         SETTINGS,
         max_retry_after_us=7,
@@ -289,7 +291,9 @@
     change = compare(old, new, settings_in_flight)
     assert change.applied == ("class.light.aim_us", "settings.max_retry_after_us")
     assert change.needs_restart == ("class.light.repeat", "settings.routers")
-    assert change.digest not in (digest_of(old), digest_of(new)), "a mixture is neither"
+    assert change.digest not in (digest_of(old), digest_of(new)), (
+        "a partly applied change has a digest of its own"
+    )
     assert settings_values(with_reloaded_keys(SETTINGS, changed)) == change.values
     fewer = replace(changed, classes=changed.classes[1:])
     assert not [
@@ -300,18 +304,18 @@
     assert compare(old, dict(reversed(old.items())), settings_in_flight).digest == digest_of(old)
 
 
-def test_a_drain_ends_only_with_the_last_answer_and_only_force_cuts_it_short() -> None:
+def test_drain_ends_with_the_last_answer_and_only_force_aborts_open_requests() -> None:
     drain, busy, idle = Drain(), OpenRequests(2, 1), OpenRequests(0, 0)
     drain.order(0, deadline_us=10, force=False, notice_us=2)
     assert drain.look(1, idle) == () and drain.phase is DrainPhase.NOTICE
     assert drain.look(2, busy) == (DrainStep.CLOSE,)
     drain.order(3, deadline_us=7, force=False, notice_us=2)
-    assert drain.phase is DrainPhase.DRAINING, "a second order gives no second notice"
+    assert drain.phase is DrainPhase.DRAINING, "a second order starts no second notice period"
     assert drain.look(9, busy) == () and not drain.late
     assert drain.look(10, busy) == () and drain.late and drain.phase is DrainPhase.DRAINING
     drain.order(11, deadline_us=1, force=True)
     assert drain.look(12, busy) == (DrainStep.CUT,) and drain.cut == 2
-    assert drain.look(13, busy) == (), "cut once"
+    assert drain.look(13, busy) == (), "open requests are aborted once"
     assert (
         drain.look(14, idle) == ()
         and drain.phase is DrainPhase.DRAINED
@@ -320,50 +324,52 @@
     assert drain.undo() and drain.phase is DrainPhase.SERVING and not drain.undo()
 
 
-LIFE = st.sampled_from(
+LIFECYCLE_EVENT = st.sampled_from(
     ("start", "stop", "want", "restart", "exit", "due", "launched", "hung", "fine")
 )
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
-@given(st.lists(LIFE, max_size=40))
-def test_no_life_ever_has_two_processes_or_forgets_one_that_is_wanted(words: list[str]) -> None:
-    life, running, now_s, ending = Lifecycle(RestartPolicy()), 0, 0.0, False
-    for word in words:
+@given(st.lists(LIFECYCLE_EVENT, max_size=40))
+def test_lifecycle_never_has_two_processes_and_never_forgets_a_wanted_one(
+    events: list[str],
+) -> None:
+    lifecycle, running, now_s, ending = Lifecycle(RestartPolicy()), 0, 0.0, False
+    for event in events:
         now_s += 3.0
-        match word:
+        match event:
             case "start":
-                actions = life.start(now_s)
+                actions = lifecycle.start(now_s)
             case "stop" | "want":
-                actions = life.set_wanted(now_s, word == "want")
+                actions = lifecycle.set_wanted(now_s, event == "want")
             case "restart":
-                actions = life.restart(now_s)
+                actions = lifecycle.restart(now_s)
             case "exit" if running:
                 running, ending = 0, False
-                actions = life.exited(now_s, 1)
+                actions = lifecycle.exited(now_s, 1)
             case "due":
-                actions = life.backoff_elapsed(now_s, life.state_sequence)
+                actions = lifecycle.backoff_elapsed(now_s, lifecycle.state_sequence)
             case "hung" | "fine":
-                actions = life.checked(now_s, word == "fine")
+                actions = lifecycle.checked(now_s, event == "fine")
             case _:
                 actions = []
         for action in actions:
             if isinstance(action, Launch):
                 assert running == 0
                 running = 1
-                for more in life.launched(now_s):
-                    ending = ending or isinstance(more, Terminate)
+                for action_at_launch in lifecycle.launched(now_s):
+                    ending = ending or isinstance(action_at_launch, Terminate)
             elif isinstance(action, Terminate):
                 assert running == 1 and not ending
                 ending = True
-        assert life.has_process == (running == 1)
-        if not life.wanted:
+        assert lifecycle.has_process == (running == 1)
+        if not lifecycle.wanted:
             assert ending or not running
         elif not running:
-            assert life.state in (InstanceState.NEW, InstanceState.WAITING)
+            assert lifecycle.state in (InstanceState.NEW, InstanceState.WAITING)
 
 
-def test_one_rollout_holds_an_agent_till_it_lets_go_or_is_silent() -> None:
+def test_one_rollout_locks_an_agent_until_it_releases_the_lock_or_the_lock_expires() -> None:
     locks = RolloutLockManager()
     assert locks.acquire("r1", "ana", 10, 0.0).rollout == "r1"
     assert (
@@ -377,11 +383,10 @@
     assert locks.acquire("r2", "rui", 10, 17.0).rollout == "r2" and locks.release("r2", 18.0)
 
 
-# The checkers of the rules: each finds the fault that is planted for it, and nothing in a good
-# trace
+# Trace checkers
 
 
-def good_trace() -> Trace:
+def valid_trace() -> Trace:
     trace = Trace(classes={"a": "part-lookup", "b": "stock-booking"})
     for request in ("a", "b"):
         trace.put(What.ASKED, request)
@@ -396,16 +401,16 @@
     return trace
 
 
-def after(
+def put_after(
     trace: Trace, seconds: float, what: What, request: str = "", server: str = "", detail: str = ""
 ) -> None:
     trace.put(what, request, server, detail)
     trace.events[-1] = replace(trace.events[-1], at_s=trace.events[-2].at_s + seconds)
 
 
-def test_each_checker_finds_the_fault_that_is_planted_for_it() -> None:
-    assert breaches(good_trace()) == []
-    planted: dict[str, list[tuple[float, What, str, str, str]]] = {
+def test_each_checker_reports_its_planted_violation_and_none_in_a_valid_trace() -> None:
+    assert breaches(valid_trace()) == []
+    violations: dict[str, list[tuple[float, What, str, str, str]]] = {
         "one final answer": [(0, What.ANSWERED, "a", "", "failed")],
         "no overlap": [
             (0, What.RECEIVED, "a", "writer-1", "write"),
@@ -426,20 +431,21 @@
         ],
         "held": [(0, What.HELD, "c", "reader-1", ""), (1, What.RECEIVED, "c", "writer-1", "")],
     }
-    for rule, events in planted.items():
-        trace = good_trace()
+    for rule, events in violations.items():
+        trace = valid_trace()
         for seconds, what, request, server, detail in events:
-            after(trace, seconds, what, request, server, detail)
+            put_after(trace, seconds, what, request, server, detail)
         found = breaches(trace)
         assert found and all(breach.startswith(rule) for breach in found), (rule, found)
-    refused = good_trace()
+    refused = valid_trace()
     refused.events[-1] = replace(refused.events[-1], detail="refused")
     assert [breach.partition(":")[0] for breach in breaches(refused)] == ["refusals"]
 
 
-def test_a_standin_tells_that_an_attempt_is_over_before_its_answer_can_be_read() -> None:
-    """Found beside eight busy processes: the next attempt was counted while this one was still
-    out.
+def test_standin_records_the_end_of_an_attempt_before_its_answer_can_be_read() -> None:
+    """Otherwise the next attempt may be counted while this one is still open.
+
+    That happened next to eight busy processes.
     """
 
     async def go() -> None:
