--- a/onyxpass/agent/config.py
+++ b/onyxpass/agent/config.py
@@ -22,7 +22,7 @@
 
 
 class StoreTable(toml_config.Model):
-    """The Redis server in which agents publish their instances. An agent also runs without it."""
+    """Redis, where agents tell each other's tools of their instances. An agent needs none."""
 
     url: str
 
--- a/onyxpass/net/response_reader.py
+++ b/onyxpass/net/response_reader.py
@@ -211,5 +211,5 @@
 
 
 def is_framed(response: h11.Response) -> bool:
-    """Return whether the end of the body can be event_data from a broken connection."""
+    """Return whether the end of the body can be told from a broken connection."""
     return is_chunked(response) or header(response, b"content-length") is not None
