--- a/onyxpass/fleet/cli.py
+++ b/onyxpass/fleet/cli.py
@@ -288,7 +288,7 @@
     return int(text) if text is not None and text.isascii() and text.isdigit() else text
 
 
-def override_limits(
+def apply_limit_options(
     fleet: FleetConfig,
     out: str | None,
     out_hall: str | None,
@@ -325,7 +325,9 @@
     """Show the waves that follow if each change succeeds. Nothing is changed."""
     loaded_fleet, members = exit_on_input_error(lambda: load_selection(fleet, names, where))
     loaded_fleet = exit_on_input_error(
-        lambda: override_limits(loaded_fleet, out, out_hall, out_host, canaries, None, None, None)
+        lambda: apply_limit_options(
+            loaded_fleet, out, out_hall, out_host, canaries, None, None, None
+        )
     )
     controller = exit_on_input_error(lambda: FleetController(loaded_fleet))
     plan, targets, excluded, _ = run_async(controller.plan_rollout(members, method))
@@ -364,7 +366,7 @@
     """Apply the present configuration files to all selected instances, wave by wave."""
     loaded_fleet, members = exit_on_input_error(lambda: load_selection(fleet, names, where))
     loaded_fleet = exit_on_input_error(
-        lambda: override_limits(
+        lambda: apply_limit_options(
             loaded_fleet, out, out_hall, out_host, canaries, pause, abort_after, deadline
         )
     )
--- a/onyxpass/fleet/config.py
+++ b/onyxpass/fleet/config.py
@@ -80,7 +80,7 @@
         if self.store is not None and self.store.lease_s > self.store.longest_s:
             yield (
                 ("store", "lease_s"),
-                f"a lease of {self.store.lease_s:g} s, of {self.store.longest_s:g} at most",
+                f"a lease of {self.store.lease_s:g} s exceeds longest_s, {self.store.longest_s:g} s",
             )
         halls = [hall.name for hall in self.halls]
         names: list[tuple[str, str, tuple[toml_config.PathPart, ...]]] = [
@@ -93,11 +93,11 @@
                 names.append(("instances", instance.name, ("agents", i, "instances", j, "name")))
             if agent.hall not in halls:
                 hint = toml_config.suggestion(agent.hall, halls)
-                yield ("agents", i, "hall"), f"hall {agent.hall!r} is not named{hint}"
+                yield ("agents", i, "hall"), f"hall {agent.hall!r} is not defined{hint}"
         seen: set[tuple[str, str]] = set()
         for what, name, where in names:
             if (what, name) in seen:
-                yield where, f"{name!r} stands among the {what} twice"
+                yield where, f"{name!r} occurs twice among the {what}"
             seen.add((what, name))
         for i, hall in enumerate(self.halls):
             capacity, keep = self.capacity(hall.name), self.keep(hall)
--- a/onyxpass/fleet/controller.py
+++ b/onyxpass/fleet/controller.py
@@ -78,7 +78,7 @@
         self.agent_client = AgentClient(fleet.agents)
         self.leases: RolloutLeases | None = None
 
-    def _report(
+    def _make_report(
         self,
         command: str,
         members: Sequence[Member],
@@ -104,18 +104,18 @@
         views = await fetch_views(self.agent_client, members, within_s)
         for name, view in views.items():
             tally.settle(name, view.outcome)
-        return self._report("list", members, tally, views, began_s)
+        return self._make_report("list", members, tally, views, began_s)
 
     async def inspect(self, members: Sequence[Member], within_s: float = VIEW_TIMEOUT_S) -> Report:
         """Read the state of each member with a call of its own, which adds the last exits."""
         began_s, tally = time.monotonic(), OutcomeTally(member.name for member in members)
-        found = await asyncio.gather(
+        fetched = await asyncio.gather(
             *(fetch_view(self.agent_client, member, within_s) for member in members)
         )
-        views = {view.member.name: view for view in found}
+        views = {view.member.name: view for view in fetched}
         for name, view in views.items():
             tally.settle(name, view.outcome)
-        return self._report("inspect", members, tally, views, began_s)
+        return self._make_report("inspect", members, tally, views, began_s)
 
     async def order(
         self,
@@ -150,7 +150,7 @@
         for name, outcome in await asyncio.gather(*(order_one(member) for member in members)):
             tally.settle(name, outcome)
         views = await fetch_views(self.agent_client, members, FINAL_VIEW_TIMEOUT_S)
-        return self._report(kind, members, tally, views, began_s)
+        return self._make_report(kind, members, tally, views, began_s)
 
     async def _check_limits(self, kind: str, members: Sequence[Member]) -> None:
         views = await fetch_views(self.agent_client, self.fleet.members, VIEW_TIMEOUT_S)
@@ -162,8 +162,9 @@
         wave = {instance.name for instance in planner.next_wave()}
         if excluded := sorted({member.name for member in members} - wave):
             raise CommandRejectedError(
-                f"{kind} of {len(members)} at once exceeds the fleet's limits (in its present state {len(wave)} may "
-                f"go together; not {excluded[0]}): use a rollout, fewer instances, or --regardless"
+                f"{kind} of {len(members)} at once exceeds the fleet's limits (in its present state "
+                f"{len(wave)} may go together; not {excluded[0]}): use a rollout, fewer instances, "
+                "or --regardless"
             )
 
     async def events(
@@ -248,7 +249,7 @@
             record.lock(id)
             _, targets, excluded, views = await self.plan_rollout(members, order.method)
             all_targets = {m.name: targets.get(m.name, InstanceTarget("")) for m in members}
-            runner = self._runner(id, all_targets, order, views, record, on_step)
+            runner = self._make_runner(id, all_targets, order, views, record, on_step)
             runner.rollout.excluded = excluded
             await self._acquire_leases(runner, members)
             await runner.acquire_agents()
@@ -287,34 +288,36 @@
         """
         began_s, record = time.monotonic(), RolloutRecord(self.fleet.state)
         try:
-            if (found := record.find(id)) is None:
+            if (recorded := record.find(id)) is None:
                 raise CommandRejectedError(
                     f"no rollout {id!r}" if id else "no rollout is on record"
                 )
-            if found.state is not RolloutState.RUNNING:
-                raise CommandRejectedError(f"rollout {found.id} has {found.state}")
-            record.lock(found.id)
+            if recorded.state is not RolloutState.RUNNING:
+                raise CommandRejectedError(f"rollout {recorded.id} has {recorded.state}")
+            record.lock(recorded.id)
             by_name = {member.name: member for member in self.fleet.members}
-            if missing := sorted(found.instances.keys() - by_name.keys()):
+            if missing := sorted(recorded.instances.keys() - by_name.keys()):
                 raise CommandRejectedError(
-                    f"{missing[0]} is in rollout {found.id}, but no longer in the fleet"
+                    f"{missing[0]} is in rollout {recorded.id}, but no longer in the fleet"
                 )
-            members = [by_name[name] for name in found.instances]
-            order = ChangeOrder(found.method, **found.options)
+            members = [by_name[name] for name in recorded.instances]
+            order = ChangeOrder(recorded.method, **recorded.options)
             views = await fetch_views(self.agent_client, self.fleet.members, VIEW_TIMEOUT_S)
-            targets = {name: entry.target for name, entry in found.instances.items()}
-            runner = self._runner(found.id, targets, order, views, record, on_step)
+            targets = {name: entry.target for name, entry in recorded.instances.items()}
+            runner = self._make_runner(recorded.id, targets, order, views, record, on_step)
             await self._acquire_leases(runner, members)
             await runner.acquire_agents()
             operations = {
-                name: entry.operation for name, entry in found.instances.items() if entry.operation
+                name: entry.operation
+                for name, entry in recorded.instances.items()
+                if entry.operation
             }
-            return found.id, await self._finish(runner, record, members, began_s, operations)
+            return recorded.id, await self._finish(runner, record, members, began_s, operations)
         finally:
             await self._release_leases()
             record.close()
 
-    def _runner(
+    def _make_runner(
         self,
         id: str,
         targets: Mapping[str, InstanceTarget],
@@ -349,17 +352,17 @@
             rollout.abort_reason,
         )
         views = await fetch_views(self.agent_client, members, FINAL_VIEW_TIMEOUT_S)
-        return self._report("rollout", members, rollout.tally, views, began_s)
+        return self._make_report("rollout", members, rollout.tally, views, began_s)
 
     def rollout_status(self, id: str = "") -> tuple[RecordedRollout, str]:
         """Return a recorded rollout, and who runs a rollout now; the latter is empty if nobody does."""
         record = RolloutRecord(self.fleet.state)
         try:
-            if (found := record.find(id)) is None:
+            if (recorded := record.find(id)) is None:
                 raise CommandRejectedError(
                     f"no rollout {id!r}" if id else "no rollout is on record"
                 )
-            return found, record.lock_owner()
+            return recorded, record.lock_owner()
         finally:
             record.close()
 
@@ -370,20 +373,20 @@
         """
         record = RolloutRecord(self.fleet.state)
         try:
-            found = record.find(id)
-            if found is None or found.state is not RolloutState.RUNNING:
+            recorded = record.find(id)
+            if recorded is None or recorded.state is not RolloutState.RUNNING:
                 raise CommandRejectedError(
                     "no such rollout is running" if id else "no rollout is running"
                 )
             if record.lock_owner():
-                record.request_abort(found.id, why)
-                return found.id, True
-            record.lock(found.id)
-            record.end(found.id, RolloutState.ABORTED, why)
+                record.request_abort(recorded.id, why)
+                return recorded.id, True
+            record.lock(recorded.id)
+            record.end(recorded.id, RolloutState.ABORTED, why)
             await asyncio.gather(
-                *(self.agent_client.release(agent, found.id) for agent in self.fleet.agents)
+                *(self.agent_client.release(agent, recorded.id) for agent in self.fleet.agents)
             )
-            return found.id, False
+            return recorded.id, False
         finally:
             record.close()
 
--- a/onyxpass/fleet/rollout.py
+++ b/onyxpass/fleet/rollout.py
@@ -235,7 +235,8 @@
                 self.tally.settle(
                     name,
                     unknown(
-                        f"it was ordered before, and its state can't be read: {observation.error or 'no answer'}"
+                        "it was ordered before, and its state can't be read: "
+                        f"{observation.error or 'no answer'}"
                     ),
                 )
             elif observation.digest is None:
