--- a/onyxpass/fleet/controller.py
+++ b/onyxpass/fleet/controller.py
@@ -355,7 +355,7 @@
         return self._make_report("rollout", members, rollout.tally, views, began_s)
 
     def rollout_status(self, id: str = "") -> tuple[RecordedRollout, str]:
-        """Return a recorded rollout, and who runs a rollout now; the latter is empty if nobody does."""
+        """Return a recorded rollout, and who runs a rollout now: an empty text if nobody does."""
         record = RolloutRecord(self.fleet.state)
         try:
             if (recorded := record.find(id)) is None:
--- a/onyxpass/fleet/outcome.py
+++ b/onyxpass/fleet/outcome.py
@@ -18,7 +18,7 @@
 
 
 class ExitCode(IntEnum):
-    """The tool's exit codes."""
+    """The exit codes of ``onyxpass fleet``."""
 
     DONE = 0  # every selected instance is done
     FAILED = 1  # at least one failed or was not tried
--- a/tests/test_desired.py
+++ b/tests/test_desired.py
@@ -193,12 +193,12 @@
 # The checkers, each with a planted violation
 
 
-def word(node: str, what: str, digest: str, **seen: int) -> Word:
+def event(node: str, what: str, digest: str, **seen: int) -> Word:
     return Word(sum(seen.values()), node, what, digest, seen)
 
 
 def test_each_checker_reports_its_planted_violation() -> None:
-    good = [word("c", "ordered", "x", o=1), word("h", "configuration_in_force", "x", o=1)]
+    good = [event("c", "ordered", "x", o=1), event("h", "configuration_in_force", "x", o=1)]
     assert not [
         *rules.never_back(good),
         *rules.one_digest(good),
@@ -206,14 +206,14 @@
     ]
     assert rules.latency_s(good, ["h"]) == [0.0]
     back = [
-        word("h", "configuration_in_force", "y", o=2, p=1),
-        word("h", "configuration_in_force", "x", o=9),
+        event("h", "configuration_in_force", "y", o=2, p=1),
+        event("h", "configuration_in_force", "x", o=9),
     ]
     assert [*rules.never_back(back)] and not [*rules.never_back(back[::-1][:1])]
-    assert [*rules.one_digest([*good, word("g", "merged", "other", o=1)])]
+    assert [*rules.one_digest([*good, event("g", "merged", "other", o=1)])]
     assert [*rules.in_force_everywhere(good, ["h", "absent"])]
-    assert [*rules.in_force_everywhere([*good, word("c", "ordered", "z", o=2)], ["h"])]
-    differ = [*good, word("g", "configuration_in_force", "w", o=1)]
+    assert [*rules.in_force_everywhere([*good, event("c", "ordered", "z", o=2)], ["h"])]
+    differ = [*good, event("g", "configuration_in_force", "w", o=1)]
     assert [*rules.in_force_everywhere(differ, ["g", "h"])]
 
 
