--- a/onyxpass/desired/node.py
+++ b/onyxpass/desired/node.py
@@ -89,7 +89,7 @@
             return AppliedState()
 
     def replace_state(self, state: DesiredState) -> None:
-        """Save a state, make it this node's, and wake all pulls that wait for a change.
+        """Save a state, make it this node's, and wake all tasks that wait for a change.
 
         Raises OSError if it can't be saved; the previous state then remains and nothing is sent.
         """
