--- a/benchmarks/sources.py
+++ b/benchmarks/sources.py
@@ -25,10 +25,10 @@
 from onyxpass.core.dispatcher import RequestDispatcher
 from onyxpass.core.timer_wheel import TimerWheel
 from onyxpass.scheduling import contract
-from onyxpass.sources.index import Index
-from onyxpass.sources.membership import FileSource, Sources
+from onyxpass.sources.index import ServerIndex
+from onyxpass.sources.membership import FileSource, SourcesConfig
 from onyxpass.sources.membership_view import compare
-from onyxpass.sources.schema import Entry, SourcesFile
+from onyxpass.sources.schema import ServerEntry, SourcesFile
 from onyxpass.testbed.settings import SETTINGS
 
 ROOT = Path(__file__).parent.parent
@@ -41,7 +41,7 @@
 class Nobody:
     """A fleet that nothing is sent to."""
 
-    def member(self, server: contract.Endpoint, address: Address, left: bool) -> None:
+    def update_member(self, server: contract.Endpoint, address: Address, left: bool) -> None:
         return
 
 
@@ -69,7 +69,7 @@
         clock = Clock()
         self.core = RequestDispatcher(read_settings(SETTINGS), 1, clock, TimerWheel(clock))
         file = SourcesFile(watch=["s.toml"], settle_s=SETTLE_S, ramp_s=0.0, snapshot="snap")
-        self.source = FileSource(self.core, Nobody(), Sources(file, folder))
+        self.source = FileSource(self.core, Nobody(), SourcesConfig(file, folder))
         self.in_force = asyncio.Event()
         self.source.on_view = lambda _: self.in_force.set()
 
@@ -160,7 +160,7 @@
         early = 0.0
         for number in range(versions):
             save(bed.folder / "s.toml", text_of(14, 1.0 + number % 7 / 10))
-            await bed.source.look(at_once=True)
+            await bed.source.poll(at_once=True)
             if number == versions // 10:
                 early = resident()
         module.cancel()
@@ -172,11 +172,11 @@
     return pages * resource.getpagesize() / 1e6
 
 
-def entries_of(count: int) -> dict[str, Entry]:
+def entries_of(count: int) -> dict[str, ServerEntry]:
     found = {}
     for n in range(count):
         server = contract.Endpoint(f"s{n:05}", "reader" if n % 2 else "writer", HALLS[n % 3], n % 7)
-        found[server.id] = Entry(server, Address("127.0.0.1", n))
+        found[server.id] = ServerEntry(server, Address("127.0.0.1", n))
     return found
 
 
@@ -184,21 +184,21 @@
     """Seconds for one change of 5 servers: in place, and by building anew."""
     chance = random.Random(3)
     old = entries_of(count)
-    kept = Index.built(ROLES, old.values())
+    kept = ServerIndex.build(ROLES, old.values())
     places, builds = [], []
     for _ in range(rounds):
         new = dict(old)
         for name in chance.sample(sorted(old), 5):
             server = old[name].server
-            new[name] = Entry(
+            new[name] = ServerEntry(
                 contract.Endpoint(name, server.kind, chance.choice(HALLS), 1), old[name].address
             )
         difference = compare(old, new)
         began_s = time.perf_counter()
-        kept.change(difference, new)
+        kept.apply(difference, new)
         places.append(time.perf_counter() - began_s)
         began_s = time.perf_counter()
-        built = Index.built(ROLES, new.values())
+        built = ServerIndex.build(ROLES, new.values())
         builds.append(time.perf_counter() - began_s)
         assert built.by_place == kept.by_place
         old = new
--- a/onyxpass/admin/drain.py
+++ b/onyxpass/admin/drain.py
@@ -11,8 +11,10 @@
 from enum import Enum
 from typing import Any
 
-NOTICE_US = 1_000_000  # new requests are served for so long, while the front layer hears of it
-DEADLINE_US = 60_000_000
+DEFAULT_NOTICE_US = (
+    1_000_000  # new requests are served for so long, while the front layer hears of it
+)
+DEFAULT_DEADLINE_US = 60_000_000
 
 
 class DrainPhase(Enum):
@@ -25,8 +27,8 @@
 class DrainStep(Enum):
     """What the instance has to do next, each told once."""
 
-    CLOSE = "close"  # refuse new requests
-    CUT = "cut"  # end what is open
+    REJECT_NEW = "close"  # refuse new requests
+    ABORT_OPEN = "cut"  # end what is open
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,46 +44,48 @@
 class Drain:
     phase: DrainPhase = DrainPhase.SERVING
     since_us: int = 0
-    notice_us: int = NOTICE_US
+    notice_us: int = DEFAULT_NOTICE_US
     due_us: int = 0
     force: bool = False
-    late: bool = False  # the deadline passed with something open
-    cut: int = 0  # requests that force ended
+    deadline_passed: bool = False  # the deadline passed with something open
+    aborted_requests: int = 0  # requests that force ended
 
     @property
     def active(self) -> bool:
         return self.phase is not DrainPhase.SERVING
 
-    def order(self, now_us: int, deadline_us: int, force: bool, notice_us: int = NOTICE_US) -> None:
+    def start(
+        self, now_us: int, deadline_us: int, force: bool, notice_us: int = DEFAULT_NOTICE_US
+    ) -> None:
         """Begin, or change the deadline of what has begun: a second order never starts the
         notice again.
         """
         if self.phase is DrainPhase.SERVING:
-            self.phase, self.since_us, self.cut = DrainPhase.NOTICE, now_us, 0
+            self.phase, self.since_us, self.aborted_requests = DrainPhase.NOTICE, now_us, 0
             self.notice_us = min(notice_us, deadline_us)
-        self.due_us, self.force, self.late = now_us + deadline_us, force, False
+        self.due_us, self.force, self.deadline_passed = now_us + deadline_us, force, False
 
-    def undo(self) -> bool:
+    def cancel(self) -> bool:
         """Serve again. True if there was a drain to undo."""
         was, self.phase = self.active, DrainPhase.SERVING
-        self.force = self.late = False
-        self.cut = 0
+        self.force = self.deadline_passed = False
+        self.aborted_requests = 0
         return was
 
-    def look(self, now_us: int, load: OpenRequests) -> tuple[DrainStep, ...]:
+    def advance(self, now_us: int, load: OpenRequests) -> tuple[DrainStep, ...]:
         """What is due, given what is open now. Call it at least every few tens of milliseconds."""
         steps: list[DrainStep] = []
         if self.phase is DrainPhase.NOTICE and now_us - self.since_us >= self.notice_us:
             self.phase = DrainPhase.DRAINING
-            steps.append(DrainStep.CLOSE)
+            steps.append(DrainStep.REJECT_NEW)
         if self.phase is DrainPhase.DRAINING:
             if load.requests == 0:
                 self.phase = DrainPhase.DRAINED
-            elif now_us >= self.due_us and not self.late:
-                self.late = True
+            elif now_us >= self.due_us and not self.deadline_passed:
+                self.deadline_passed = True
                 if self.force:
-                    self.cut += load.requests
-                    steps.append(DrainStep.CUT)
+                    self.aborted_requests += load.requests
+                    steps.append(DrainStep.ABORT_OPEN)
         return tuple(steps)
 
     def to_dict(self, now_us: int, load: OpenRequests) -> dict[str, Any]:
@@ -92,6 +96,6 @@
             "streams": load.streams,
             "oldest_ms": load.oldest_us // 1000,
             "left_ms": left_us // 1000,
-            "late": self.late,
-            "cut": self.cut,
+            "late": self.deadline_passed,
+            "cut": self.aborted_requests,
         }
--- a/onyxpass/admin/running.py
+++ b/onyxpass/admin/running_configuration.py
@@ -17,13 +17,13 @@
 
 DIGEST_BYTES = 12
 ConfigurationTable = Mapping[str, Any]
-CLASS_IN_FLIGHT = frozenset(
+RELOADABLE_CLASS_KEYS = frozenset(
     ("aim_us", "deadline_us", "value", "late_worth", "aim_per_k_us", "token_us")
 )
-SETTINGS_IN_FLIGHT = frozenset(("retry_after", "max_retry_after_us"))
+RELOADABLE_SETTINGS_KEYS = frozenset(("retry_after", "max_retry_after_us"))
 
 
-def digest_of(values: ConfigurationTable) -> str:
+def table_digest(values: ConfigurationTable) -> str:
     """24 hexadecimal digits that stand for the table, whatever order its keys were written in."""
     text = json.dumps(
         values, sort_keys=True, separators=(",", ":"), ensure_ascii=True, allow_nan=True
@@ -65,15 +65,15 @@
     return found
 
 
-def settings_in_flight(key: str) -> bool:
+def is_reloadable_setting(key: str) -> bool:
     """Whether new requests can go by another value of this key at once.
 
     ``repeat`` can't: a booking that is under way must never come to count as safe to repeat.
     """
     kind, _, rest = key.partition(".")
     if kind == "settings":
-        return rest in SETTINGS_IN_FLIGHT
-    return kind == "class" and rest.rpartition(".")[2] in CLASS_IN_FLIGHT
+        return rest in RELOADABLE_SETTINGS_KEYS
+    return kind == "class" and rest.rpartition(".")[2] in RELOADABLE_CLASS_KEYS
 
 
 @dataclass(frozen=True, slots=True)
@@ -88,10 +88,10 @@
 
     @property
     def digest(self) -> str:
-        return digest_of(self.values)
+        return table_digest(self.values)
 
 
-def compare(
+def classify_changes(
     running: ConfigurationTable, wanted: ConfigurationTable, in_flight: Callable[[str], bool]
 ) -> ConfigurationChange:
     """Sort the keys that differ into those that a reload takes over and those that need a restart.
@@ -130,10 +130,10 @@
     classes = running.classes
     if [c.name for c in running.classes] == [c.name for c in wanted.classes]:
         classes = tuple(
-            replace(old, **_taken_over(new, CLASS_KEYS, CLASS_IN_FLIGHT))
+            replace(old, **_taken_over(new, CLASS_KEYS, RELOADABLE_CLASS_KEYS))
             for old, new in zip(running.classes, wanted.classes, strict=True)
         )
-    more = _taken_over(wanted, SETTINGS_KEYS, SETTINGS_IN_FLIGHT)
+    more = _taken_over(wanted, SETTINGS_KEYS, RELOADABLE_SETTINGS_KEYS)
     return replace(running, classes=classes, **more)
 
 
@@ -159,7 +159,7 @@
 
     def to_dict(self) -> dict[str, Any]:
         return {
-            "digest": digest_of(self.values),
+            "digest": table_digest(self.values),
             "generation": self.generation,
             "needs_restart": list(self.needs_restart),
             "problem": self.problem,
--- a/onyxpass/admin/values.py
+++ b/onyxpass/admin/serve_configuration.py
@@ -6,10 +6,10 @@
 
 from typing import Any
 
-from onyxpass.admin.running import settings_in_flight, settings_values
+from onyxpass.admin.running_configuration import is_reloadable_setting, settings_values
 from onyxpass.config.platform_file import Config
 
-SERVE_IN_FLIGHT = frozenset(("discovery", "sockets", "connect_timeout_us", "conn_idle_us"))
+RELOADABLE_SERVE_KEYS = frozenset(("discovery", "sockets", "connect_timeout_us", "conn_idle_us"))
 
 
 def serve_values(config: Config) -> dict[str, Any]:
@@ -26,5 +26,5 @@
     }
 
 
-def serve_in_flight(key: str) -> bool:
-    return key in SERVE_IN_FLIGHT or settings_in_flight(key)
+def is_reloadable(key: str) -> bool:
+    return key in RELOADABLE_SERVE_KEYS or is_reloadable_setting(key)
--- a/onyxpass/admin/server.py
+++ b/onyxpass/admin/server.py
@@ -16,8 +16,18 @@
 import h11
 import structlog
 
-from onyxpass.admin.drain import DEADLINE_US, NOTICE_US, Drain, DrainStep, OpenRequests
-from onyxpass.admin.running import ConfigurationChange, ConfigurationTable, RunningConfiguration
+from onyxpass.admin.drain import (
+    DEFAULT_DEADLINE_US,
+    DEFAULT_NOTICE_US,
+    Drain,
+    DrainStep,
+    OpenRequests,
+)
+from onyxpass.admin.running_configuration import (
+    ConfigurationChange,
+    ConfigurationTable,
+    RunningConfiguration,
+)
 from onyxpass.config.platform_file import (
     ADMIN_VARIABLE,
     GENERATION_VARIABLE,
@@ -52,7 +62,7 @@
     kind: str
     core: RequestDispatcher
 
-    def values(self) -> ConfigurationTable:
+    def configuration_values(self) -> ConfigurationTable:
         """What it runs on."""
 
     def reload_now(self) -> ConfigurationChange:
@@ -61,7 +71,7 @@
     def ready(self) -> bool:
         """Whether it takes requests."""
 
-    def load(self) -> OpenRequests:
+    def open_requests(self) -> OpenRequests:
         """What is open, up to the last byte of the last answer."""
 
     def set_draining(self, draining: bool) -> None:
@@ -83,7 +93,7 @@
         self.managed, self.drain = managed, Drain()
         told = os.environ.get(GENERATION_VARIABLE, "0")
         generation = int(told) if told.isdigit() else 0
-        self.running = RunningConfiguration(managed.values(), generation)
+        self.running = RunningConfiguration(managed.configuration_values(), generation)
         self.launch = os.environ.get(LAUNCH_VARIABLE, "")
         self.started_s = time.time()
 
@@ -92,7 +102,9 @@
 
     def status(self) -> dict[str, Any]:
         now_us = self.wheel.clock.now_us()
-        self.running.values = self.managed.values()  # a reload by SIGHUP counts as well
+        self.running.values = (
+            self.managed.configuration_values()
+        )  # a reload by SIGHUP counts as well
         return {
             "kind": self.managed.kind,
             "pid": os.getpid(),
@@ -100,7 +112,7 @@
             "started_s": round(self.started_s, 3),
             "ready": self.managed.ready(),
             "config": self.running.to_dict(),
-            "drain": self.drain.to_dict(now_us, self.managed.load()),
+            "drain": self.drain.to_dict(now_us, self.managed.open_requests()),
             "figures": self.managed.metrics(),
         }
 
@@ -115,13 +127,15 @@
             case b"POST", "/drain":
                 reject_unknown_fields(call, "deadline_ms", "notice_ms", "force")
                 deadline_us = (
-                    integer_field(call, "deadline_ms", DEADLINE_US // 1000, MOST_MS) * 1000
+                    integer_field(call, "deadline_ms", DEFAULT_DEADLINE_US // 1000, MOST_MS) * 1000
+                )
+                notice_us = (
+                    integer_field(call, "notice_ms", DEFAULT_NOTICE_US // 1000, MOST_MS) * 1000
                 )
-                notice_us = integer_field(call, "notice_ms", NOTICE_US // 1000, MOST_MS) * 1000
                 self._drain(deadline_us, notice_us, boolean_field(call, "force"))
             case b"POST", "/undrain":
                 reject_unknown_fields(call)
-                if self.drain.undo():
+                if self.drain.cancel():
                     log.info("undrained")
                 self.managed.set_draining(False)
             case _, "/status" | "/reload" | "/drain" | "/undrain":
@@ -141,7 +155,7 @@
 
     def _drain(self, deadline_us: int, notice_us: int, force: bool) -> None:
         was = self.drain.active
-        self.drain.order(self.wheel.clock.now_us(), deadline_us, force, notice_us)
+        self.drain.start(self.wheel.clock.now_us(), deadline_us, force, notice_us)
         self.managed.set_draining(True)
         log.info("drain", deadline_ms=deadline_us // 1000, force=force)
         if not was:
@@ -155,14 +169,14 @@
             return
         try:
             before = self.drain.phase
-            for step in self.drain.look(self.wheel.clock.now_us(), self.managed.load()):
-                if step is DrainStep.CLOSE:
+            for step in self.drain.advance(self.wheel.clock.now_us(), self.managed.open_requests()):
+                if step is DrainStep.REJECT_NEW:
                     self.managed.stop_admitting()
-                elif step is DrainStep.CUT:
+                elif step is DrainStep.ABORT_OPEN:
                     log.warning(
                         "drain_cut_short", requests=self.managed.core.shutdown.abort_all(CUT)
                     )
             if self.drain.phase is not before:
-                log.info("drain", phase=self.drain.phase.value, cut=self.drain.cut)
+                log.info("drain", phase=self.drain.phase.value, cut=self.drain.aborted_requests)
         finally:  # guards against a drain that is never looked at again after one bad look
             self.wheel.after(LOOK_US, self._look)
--- a/onyxpass/agent/expected_config.py
+++ b/onyxpass/agent/expected_config.py
@@ -3,8 +3,8 @@
 import os
 from collections.abc import Mapping
 
-from onyxpass.admin.running import digest_of
-from onyxpass.admin.values import serve_values
+from onyxpass.admin.running_configuration import table_digest
+from onyxpass.admin.serve_configuration import serve_values
 from onyxpass.agent.config import InstanceSpec
 from onyxpass.config import platform_file as configuration
 from onyxpass.config.platform_file import ConfigError
@@ -21,9 +21,9 @@
     if spec.config is None:
         raise ConfigError(f"{spec.name}: its configuration is not known to the agent")
     if spec.kind == "serve":
-        return digest_of(
+        return table_digest(
             serve_values(configuration.load(spec.config, {**environ, **spec.env}, reload))
         )
     from onyxpass.toolcalls import service
 
-    return digest_of(service.toolcalls_values(service.load(spec.config)))
+    return table_digest(service.toolcalls_values(service.load(spec.config)))
--- a/onyxpass/net/replicas.py
+++ b/onyxpass/net/replicas.py
@@ -28,7 +28,7 @@
         else:
             actor.tell(Moved(address, left))
 
-    def member(self, server: contract.Endpoint, address: Address, left: bool) -> None:
+    def update_member(self, server: contract.Endpoint, address: Address, left: bool) -> None:
         """What a source of membership says of a server."""
         self.set_address(server.id, address, left)
 
--- a/onyxpass/serve.py
+++ b/onyxpass/serve.py
@@ -25,9 +25,9 @@
     from typing import Any
 
     from onyxpass.admin.drain import OpenRequests
-    from onyxpass.admin.running import ConfigurationChange, ConfigurationTable
+    from onyxpass.admin.running_configuration import ConfigurationChange, ConfigurationTable
     from onyxpass.admin.server import AdminServer
-    from onyxpass.sources.interface import Source
+    from onyxpass.sources.interface import MembershipSource
     from onyxpass.sources.membership import FileSource
 
 SWEEP_US = 1_000_000
@@ -38,9 +38,9 @@
 class DispatcherProcess:
     kind = "serve"
 
-    def __init__(self, config: Config, reread: Callable[[], Config] | None = None) -> None:
+    def __init__(self, config: Config, load_config: Callable[[], Config] | None = None) -> None:
         self.config = config
-        self.reread = reread or (lambda: self.config)
+        self.load_config = load_config or (lambda: self.config)
         self.clock = Clock()
         self.wheel = TimerWheel(self.clock)
         self.core = RequestDispatcher(config.settings, config.seed, self.clock, self.wheel)
@@ -48,8 +48,10 @@
             self.core, config.connection_limit, config.connect_timeout_us, config.conn_idle_us
         )
         self.core.connect_fleet(self.replicas)
-        self.list = EndpointWatcher(self.core, self.replicas, config.discovery, config.seed)
-        self.files: FileSource | None = None
+        self.endpoint_watcher = EndpointWatcher(
+            self.core, self.replicas, config.discovery, config.seed
+        )
+        self.file_source: FileSource | None = None
         if config.servers_file is not None:
             from onyxpass.sources import membership
 
@@ -58,18 +60,23 @@
                 raise ConfigError(
                     f"{config.servers_file}: mode 'over' needs a discovery to lie over"
                 )
-            self.files = membership.FileSource(
-                self.core, self.replicas, sources, relist=self.list.reapply_overlay
+            self.file_source = membership.FileSource(
+                self.core,
+                self.replicas,
+                sources,
+                reapply_overlay=self.endpoint_watcher.reapply_overlay,
             )
-            if not sources.whole:
-                self.list.overlay = self.files.over
+            if not sources.sole_source:
+                self.endpoint_watcher.overlay = self.file_source.apply_overlay
         passed = inherited_listener(config.listen_descriptor)
-        self.front = Front(self.core, config.listen, self.listed, config.connection_limit, passed)
+        self.front = Front(
+            self.core, config.listen, self.has_complete_list, config.connection_limit, passed
+        )
         self.process_registry = ProcessRegistry(
             config.folder, f"{config.name}|{config.listen}", config.sockets, self.wheel
         )
         self.process_registry.exclusions.on_change = self.core.set_exclusions
-        self.process_registry.on_descriptor_limit = self._share
+        self.process_registry.on_descriptor_limit = self._apply_descriptor_limit
         self.control: ControlServer | None = None
         if config.control is not None:
             self.control = ControlServer(
@@ -79,7 +86,7 @@
         self.admin: AdminServer | None = None
         self.tasks: list[asyncio.Task[None]] = []
 
-    def _share(self, sockets: int) -> None:
+    def _apply_descriptor_limit(self, sockets: int) -> None:
         """How many descriptors this process may hold: fewer while there is another one of this
         dispatcher.
         """
@@ -88,12 +95,14 @@
 
     @property
     def watches_files_only(self) -> bool:
-        return self.files is not None and self.files.sources.whole
+        return self.file_source is not None and self.file_source.sources.sole_source
 
-    def listed(self) -> bool:
+    def has_complete_list(self) -> bool:
         """Whether there is a whole list, from whichever source."""
-        source: Source = (
-            self.files if self.files is not None and self.watches_files_only else self.list
+        source: MembershipSource = (
+            self.file_source
+            if self.file_source is not None and self.watches_files_only
+            else self.endpoint_watcher
         )
         return source.ready
 
@@ -101,7 +110,7 @@
         """Whether the list is whole and clients are taken."""
         accepting = self.front.accepting
         return (
-            self.listed()
+            self.has_complete_list()
             and not self.front.closes_after_answer
             and accepting is not None
             and not accepting.done()
@@ -112,11 +121,11 @@
         for work in (self.core.run(), self.wheel.run()):
             self.tasks.append(asyncio.create_task(work))
         if not self.watches_files_only:
-            for work in (self.list.run(), self.list.follow()):
+            for work in (self.endpoint_watcher.run(), self.endpoint_watcher.follow()):
                 self.tasks.append(asyncio.create_task(work))
-            self.list.load_saved(self.config.known_endpoints)
-        if self.files is not None:
-            self.tasks.append(asyncio.create_task(self.files.follow()))
+            self.endpoint_watcher.load_saved(self.config.known_endpoints)
+        if self.file_source is not None:
+            self.tasks.append(asyncio.create_task(self.file_source.follow()))
         self.tasks.append(await self.front.start())
         if (path := self.process_registry.migration_socket()) is not None:
             self.stream_receiver = StreamReceiver(path, self.core, self.front, self.replicas)
@@ -168,21 +177,21 @@
         SIGHUP.
         """
         try:
-            self.take_over(read)
+            self.apply_reload(read)
         except ConfigError as problem:  # guards against a file half written: the old settings hold
             log.error("configuration_rejected", why=str(problem))
         except Exception:  # guards against a crash on a file that nobody foresaw
             log.exception("configuration_unreadable")
 
-    def take_over(self, read: Callable[[], Config]) -> "ConfigurationChange":
+    def apply_reload(self, read: Callable[[], Config]) -> "ConfigurationChange":
         """All that a running process can change, at once; the rest is named and waits for a
         restart.
         """
-        from onyxpass.admin.running import compare, with_reloaded_keys
-        from onyxpass.admin.values import serve_in_flight, serve_values
+        from onyxpass.admin.running_configuration import classify_changes, with_reloaded_keys
+        from onyxpass.admin.serve_configuration import is_reloadable, serve_values
 
         fresh, old = read(), self.config
-        change = compare(serve_values(old), serve_values(fresh), serve_in_flight)
+        change = classify_changes(serve_values(old), serve_values(fresh), is_reloadable)
         self.config = replace(
             old,
             discovery=fresh.discovery,
@@ -192,7 +201,7 @@
             settings=with_reloaded_keys(old.settings, fresh.settings),
         )
         if not self.watches_files_only:
-            self.list.set_discovery(fresh.discovery)
+            self.endpoint_watcher.set_discovery(fresh.discovery)
         if fresh.sockets != old.sockets:
             self.process_registry.resize(fresh.sockets)
         self.replicas.set_connection_timeouts(fresh.connect_timeout_us, fresh.conn_idle_us)
@@ -208,15 +217,15 @@
 
     # As its agent manages it
 
-    def values(self) -> "ConfigurationTable":
-        from onyxpass.admin.values import serve_values
+    def configuration_values(self) -> "ConfigurationTable":
+        from onyxpass.admin.serve_configuration import serve_values
 
         return serve_values(self.config)
 
     def reload_now(self) -> "ConfigurationChange":
-        return self.take_over(self.reread)
+        return self.apply_reload(self.load_config)
 
-    def load(self) -> "OpenRequests":
+    def open_requests(self) -> "OpenRequests":
         """A request is open till its answer has left, so connections count as well."""
         from onyxpass.admin.drain import OpenRequests
 
@@ -233,7 +242,7 @@
         self.front.close_idle()
 
     def metrics(self) -> "dict[str, Any]":
-        sources = {"sources": self.files.told()} if self.files is not None else {}
+        sources = {"sources": self.file_source.status()} if self.file_source is not None else {}
         return {**self.core.metric_rows(), "clients": len(self.front.connections), **sources}
 
     async def stop(self) -> None:
@@ -253,15 +262,15 @@
         log.info("stopped", name=self.config.name)
 
 
-async def serve(config: Config, reread: Callable[[], Config]) -> None:
+async def serve(config: Config, load_config: Callable[[], Config]) -> None:
     """Run till SIGTERM or SIGINT, then finish what was taken. SIGHUP reads the file again."""
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stopping.set)
-    dispatcher = DispatcherProcess(config, reread)
+    dispatcher = DispatcherProcess(config, load_config)
     # Guards against SIGHUP's default, which ends the program with all that it has taken.
-    loop.add_signal_handler(signal.SIGHUP, dispatcher.reload, reread)
+    loop.add_signal_handler(signal.SIGHUP, dispatcher.reload, load_config)
     try:
         await dispatcher.start()
     except OSError as problem:  # its address is in use, or not this machine's
--- a/onyxpass/sources/cli.py
+++ b/onyxpass/sources/cli.py
@@ -12,11 +12,11 @@
 from onyxpass.scheduling import contract
 from onyxpass.sources import schema as watched_schema
 from onyxpass.sources import snapshot
-from onyxpass.sources.membership import Sources, load
-from onyxpass.sources.membership_view import EMPTY, View, compare
-from onyxpass.sources.schema import Draft, Entry, SourcesFile, WatchedFile
-from onyxpass.sources.validation import Accepted, Refused, judge
-from onyxpass.sources.watcher import Watcher, read_all
+from onyxpass.sources.membership import SourcesConfig, load
+from onyxpass.sources.membership_view import EMPTY_VIEW, MembershipView, compare
+from onyxpass.sources.schema import ParsedFiles, ServerEntry, SourcesFile, WatchedFile
+from onyxpass.sources.validation import Accepted, Rejected, validate
+from onyxpass.sources.watcher import FileWatcher, read_all
 
 servers_app = typer.Typer(
     no_args_is_help=True,
@@ -35,14 +35,14 @@
     return typer.Exit(2)
 
 
-def opened(path: Path) -> Sources:
+def opened(path: Path) -> SourcesConfig:
     try:
         return load(path)
     except ConfigError as problem:
         raise stop(problem) from problem
 
 
-def roles_of(config: Path | None, draft: Draft | None = None) -> dict[str, contract.Role]:
+def roles_of(config: Path | None, draft: ParsedFiles | None = None) -> dict[str, contract.Role]:
     """Of the kinds in the dispatcher's settings; without them, by names that say it."""
     if config is not None:
         try:
@@ -66,20 +66,22 @@
     return contract.Role.MIXED
 
 
-def drafted(sources: Sources, config: Path | None) -> tuple[Draft, dict[str, contract.Role]]:
+def drafted(
+    sources: SourcesConfig, config: Path | None
+) -> tuple[ParsedFiles, dict[str, contract.Role]]:
     files = read_all(sources.paths)
     roles = roles_of(config)
     if config is None:
-        roles = roles_of(None, watched_schema.read(files, (), False))
-    return watched_schema.read(files, list(roles), sources.whole), roles
+        roles = roles_of(None, watched_schema.parse_files(files, (), False))
+    return watched_schema.parse_files(files, list(roles), sources.sole_source), roles
 
 
-def in_force(sources: Sources) -> View:
+def in_force(sources: SourcesConfig) -> MembershipView:
     """The last good view, as its snapshot tells it; none where none is kept."""
     try:
-        return snapshot.load(sources.snapshot) if sources.snapshot is not None else EMPTY
+        return snapshot.load(sources.snapshot) if sources.snapshot is not None else EMPTY_VIEW
     except snapshot.SnapshotError:
-        return EMPTY
+        return EMPTY_VIEW
 
 
 @servers_app.command("check")
@@ -87,8 +89,8 @@
     """Read all files as the dispatcher would, and say whether they would come into force."""
     sources = opened(file)
     draft, roles = drafted(sources, config)
-    verdict = judge(in_force(sources), draft, roles, sources.file.guards, 0, sources.whole)
-    if isinstance(verdict, Refused):
+    verdict = validate(in_force(sources), draft, roles, sources.file.guards, 0, sources.sole_source)
+    if isinstance(verdict, Rejected):
         for reason in verdict.reasons:
             typer.echo(f"refused: {reason}", err=True)
         raise typer.Exit(1)
@@ -99,7 +101,7 @@
     )
 
 
-def row(entry: Entry) -> dict[str, object]:
+def row(entry: ServerEntry) -> dict[str, object]:
     server = entry.server
     return {
         "id": server.id,
@@ -189,7 +191,7 @@
     for path in files:
         try:
             text = path.read_bytes()
-            draft = watched_schema.read({str(path): text}, (), False)
+            draft = watched_schema.parse_files({str(path): text}, (), False)
             wrong = [fault for fault in draft.faults if "no kind" not in fault.reason]
             if wrong:
                 raise ConfigError(str(wrong[0]))
@@ -228,14 +230,14 @@
     sources = opened(file)
 
     async def follow() -> None:
-        watcher = Watcher(sources.paths, sources.file.poll_s)
+        watcher = FileWatcher(sources.paths, sources.file.poll_s)
         listening = asyncio.create_task(watcher.listen())
         view = in_force(sources)
         try:
             async for _ in watcher.looks():
                 draft, roles = drafted(sources, config)
-                verdict = judge(view, draft, roles, sources.file.guards, 0, sources.whole)
-                if isinstance(verdict, Refused):
+                verdict = validate(view, draft, roles, sources.file.guards, 0, sources.sole_source)
+                if isinstance(verdict, Rejected):
                     typer.echo("refused: " + "; ".join(verdict.reasons))
                 elif isinstance(verdict, Accepted):
                     view = verdict.view
--- a/onyxpass/sources/debounce.py
+++ b/onyxpass/sources/debounce.py
@@ -16,7 +16,7 @@
 Files = Mapping[str, bytes | OSError]
 
 
-def contents_of(files: Files) -> bytes:
+def contents_digest(files: Files) -> bytes:
     """Names what the files hold, in their order; what can't be read counts as that."""
     found = hashlib.blake2b(digest_size=16)
     for name, data in files.items():
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True)
-class Settle:
+class Debouncer:
     """``judged``: the contents that were judged last, so that each version is judged and logged
     once.
     """
--- a/onyxpass/sources/index.py
+++ b/onyxpass/sources/index.py
@@ -8,40 +8,42 @@
 from dataclasses import dataclass, field
 
 from onyxpass.scheduling import contract
-from onyxpass.sources.membership_view import Difference, serving
-from onyxpass.sources.schema import Entry
+from onyxpass.sources.membership_view import ViewDifference, accepts_new_requests
+from onyxpass.sources.schema import ServerEntry
 
 Place = tuple[str, ...]  # (hall,) or (hall, cell)
 
 
 @dataclass(slots=True)
-class Index:
+class ServerIndex:
     """Ids by role, and by role and place; only of those that take new work."""
 
     roles: Mapping[str, contract.Role]
-    entries: dict[str, Entry] = field(default_factory=dict)
+    entries: dict[str, ServerEntry] = field(default_factory=dict)
     by_role: dict[contract.Role, set[str]] = field(default_factory=dict)
     by_place: dict[tuple[contract.Role, Place], set[str]] = field(default_factory=dict)
 
     @classmethod
-    def built(cls, roles: Mapping[str, contract.Role], entries: Iterable[Entry]) -> "Index":
+    def build(
+        cls, roles: Mapping[str, contract.Role], entries: Iterable[ServerEntry]
+    ) -> "ServerIndex":
         """The plain way: all anew."""
         index = cls(roles)
         for entry in entries:
             index.put(entry)
         return index
 
-    def _keys(self, entry: Entry) -> tuple[contract.Role, tuple[Place, Place]]:
+    def _keys(self, entry: ServerEntry) -> tuple[contract.Role, tuple[Place, Place]]:
         server = entry.server
         return self.roles[server.kind], ((server.zone,), (server.zone, str(server.cell)))
 
-    def put(self, entry: Entry) -> None:
+    def put(self, entry: ServerEntry) -> None:
         """Add a server, or replace what was known of it."""
         name = entry.server.id
         if name in self.entries:
             self.drop(name)
         self.entries[name] = entry
-        if serving(entry):
+        if accepts_new_requests(entry):
             role, places = self._keys(entry)
             self.by_role.setdefault(role, set()).add(name)
             for place in places:
@@ -49,7 +51,7 @@
 
     def drop(self, name: str) -> None:
         entry = self.entries.pop(name)
-        if serving(entry):
+        if accepts_new_requests(entry):
             role, places = self._keys(entry)
             self.by_role[role].discard(name)
             for place in places:
@@ -58,7 +60,7 @@
                 if not left:  # guards against a table of all places that ever were
                     del self.by_place[role, place]
 
-    def change(self, difference: Difference, entries: Mapping[str, Entry]) -> None:
+    def apply(self, difference: ViewDifference, entries: Mapping[str, ServerEntry]) -> None:
         """Take over what differs, and touch nothing else."""
         for name in difference.removed:
             self.drop(name)
--- a/onyxpass/sources/interface.py
+++ b/onyxpass/sources/interface.py
@@ -6,7 +6,7 @@
 from onyxpass.scheduling import contract
 
 
-class Source(Protocol):
+class MembershipSource(Protocol):
     """Discovery's watch is one, watched files are another. It tells the core (``listed``) and
     the fleet.
     """
@@ -19,8 +19,8 @@
         """Keep the list up to date; never ends."""
 
 
-class Members(Protocol):
+class MemberRegistry(Protocol):
     """The fleet, as a source sees it."""
 
-    def member(self, server: contract.Endpoint, address: Address, left: bool) -> None:
+    def update_member(self, server: contract.Endpoint, address: Address, left: bool) -> None:
         """Where a server listens; ``left``: it is on the list no more."""
--- a/onyxpass/sources/membership.py
+++ b/onyxpass/sources/membership.py
@@ -16,22 +16,22 @@
 from onyxpass.core.dispatcher import RequestDispatcher
 from onyxpass.scheduling import contract
 from onyxpass.sources import schema, snapshot
-from onyxpass.sources.debounce import Files, Settle, contents_of
-from onyxpass.sources.index import Index
-from onyxpass.sources.interface import Members
-from onyxpass.sources.membership_view import EMPTY, Difference, View, compare
-from onyxpass.sources.schema import Draft, SourcesFile
-from onyxpass.sources.validation import Accepted, Refused, Same, Verdict, judge
-from onyxpass.sources.watcher import Watcher, read_all
-from onyxpass.sources.weight_ramp import Ramp
+from onyxpass.sources.debounce import Debouncer, Files, contents_digest
+from onyxpass.sources.index import ServerIndex
+from onyxpass.sources.interface import MemberRegistry
+from onyxpass.sources.membership_view import EMPTY_VIEW, MembershipView, ViewDifference, compare
+from onyxpass.sources.schema import ParsedFiles, SourcesFile
+from onyxpass.sources.validation import Accepted, Rejected, Unchanged, ValidationResult, validate
+from onyxpass.sources.watcher import FileWatcher, read_all
+from onyxpass.sources.weight_ramp import WeightRamp
 
 REASONS_SHOWN = 8
-EMPTY_DRAFT = Draft((), frozenset(), ())
+NO_FILES = ParsedFiles((), frozenset(), ())
 log = structlog.get_logger("sources")
 
 
 @dataclass(frozen=True, slots=True)
-class Sources:
+class SourcesConfig:
     """Our own file, read and checked; paths start from its folder."""
 
     file: SourcesFile
@@ -46,42 +46,52 @@
         return self.base / self.file.snapshot if self.file.snapshot else None
 
     @property
-    def whole(self) -> bool:
+    def sole_source(self) -> bool:
         return self.file.mode == "only"
 
 
-def load(path: Path) -> Sources:
+def load(path: Path) -> SourcesConfig:
     """ConfigError with file, line and reason where it is no use."""
-    return Sources(toml_config.read(SourcesFile, path), path.parent)
+    return SourcesConfig(toml_config.read(SourcesFile, path), path.parent)
 
 
 class FileSource:
-    """``loopback``: addresses must lie on this machine. ``ready`` once a view is in force."""
+    """``loopback_only``: addresses must lie on this machine. ``ready`` once a view is in force."""
 
     def __init__(
         self,
         core: RequestDispatcher,
-        members: Members,
-        sources: Sources,
-        loopback: bool = False,
-        relist: Callable[[], None] = lambda: None,
+        members: MemberRegistry,
+        sources: SourcesConfig,
+        loopback_only: bool = False,
+        reapply_overlay: Callable[[], None] = lambda: None,
     ) -> None:
-        self.core, self.members, self.sources, self.loopback = core, members, sources, loopback
-        self.relist = relist  # mode "over": have the other source's list told anew
-        self.view: View = EMPTY
-        self.last: View = EMPTY  # of the process before this one
-        self.index = Index(core.endpoints.roles)
-        self.settle = Settle(sources.file.settle_s, sources.file.leave_s)
-        self.ramp = Ramp(sources.file.ramp_s)
-        self.watcher = Watcher(sources.paths, sources.file.poll_s)
-        self._draft: tuple[bytes, Draft] = b"", EMPTY_DRAFT  # of the contents that were read last
+        self.core, self.members, self.sources, self.loopback_only = (
+            core,
+            members,
+            sources,
+            loopback_only,
+        )
+        self.reapply_overlay = (
+            reapply_overlay  # mode "over": have the other source's list told anew
+        )
+        self.view: MembershipView = EMPTY_VIEW
+        self.last: MembershipView = EMPTY_VIEW  # of the process before this one
+        self.index = ServerIndex(core.endpoints.roles)
+        self.settle = Debouncer(sources.file.settle_s, sources.file.leave_s)
+        self.ramp = WeightRamp(sources.file.ramp_s)
+        self.watcher = FileWatcher(sources.paths, sources.file.poll_s)
+        self._draft: tuple[bytes, ParsedFiles] = (
+            b"",
+            NO_FILES,
+        )  # of the contents that were read last
         self.accepted = self.refused = 0
         self.from_snapshot = False
-        self.on_view: Callable[[View], None] = lambda _: None
+        self.on_view: Callable[[MembershipView], None] = lambda _: None
 
     @property
     def ready(self) -> bool:
-        return self.view.number > 0 or not self.sources.whole
+        return self.view.number > 0 or not self.sources.sole_source
 
     async def follow(self) -> None:
         """Never ends."""
@@ -101,12 +111,12 @@
             while wait_s is not None:
                 if wait_s > 0:
                     await asyncio.sleep(wait_s)
-                wait_s = await self.look(first)
-            if first and not self.view.number and self.sources.whole:
+                wait_s = await self.poll(first)
+            if first and not self.view.number and self.sources.sole_source:
                 await self._from_snapshot()
             first = False
 
-    async def look(self, at_once: bool = False) -> float | None:
+    async def poll(self, at_once: bool = False) -> float | None:
         """Read the files: seconds until they are to be read again, None if nothing is new.
 
         Reading, checking and comparing take seconds where servers are many, so a thread does that;
@@ -125,37 +135,39 @@
         self.settle.done(contents)
         old = self.view if self.view.number else self.last
         verdict = await asyncio.to_thread(self._judged, old, draft)
-        self._draft = b"", EMPTY_DRAFT
+        self._draft = b"", NO_FILES
         if isinstance(verdict, Accepted):
             first = (
                 compare({}, verdict.view.entries) if old is not self.view else verdict.difference
             )
             await self._accept(verdict.view, first)
-        elif isinstance(verdict, Same) and not self.view.number:
+        elif isinstance(verdict, Unchanged) and not self.view.number:
             await self._accept(self.last, compare({}, self.last.entries), keep=False)
-        elif isinstance(verdict, Refused):
+        elif isinstance(verdict, Rejected):
             self._refuse(verdict)
         return None
 
     def _read(self) -> tuple[Files, bytes]:
         files = read_all(self.sources.paths)
-        return files, contents_of(files)
+        return files, contents_digest(files)
 
-    def _draft_of(self, files: Files) -> Draft:
-        return schema.read(
-            files, list(self.core.endpoints.roles), self.sources.whole, self.loopback
+    def _draft_of(self, files: Files) -> ParsedFiles:
+        return schema.parse_files(
+            files, list(self.core.endpoints.roles), self.sources.sole_source, self.loopback_only
         )
 
-    def _judged(self, view: View, draft: Draft) -> Verdict:
+    def _judged(self, view: MembershipView, draft: ParsedFiles) -> ValidationResult:
         now_us, guards = self.core.clock.now_us(), self.sources.file.guards
-        return judge(view, draft, self.core.endpoints.roles, guards, now_us, self.sources.whole)
+        return validate(
+            view, draft, self.core.endpoints.roles, guards, now_us, self.sources.sole_source
+        )
 
-    def _refuse(self, verdict: Refused) -> None:
+    def _refuse(self, verdict: Rejected) -> None:
         self.refused += 1
         shown, more = verdict.reasons[:REASONS_SHOWN], len(verdict.reasons) - REASONS_SHOWN
         log.error("refused", view=self.view.number, why=list(shown), more=max(0, more))
 
-    def _load(self) -> View:
+    def _load(self) -> MembershipView:
         """The last good view of the process before this one; an empty one where there is none of
         use.
 
@@ -165,20 +177,20 @@
         """
         path = self.sources.snapshot
         if path is None or not path.exists():
-            return EMPTY
+            return EMPTY_VIEW
         try:
             view = snapshot.load(path)
         except snapshot.SnapshotError as problem:
             log.error("snapshot_unusable", path=str(path), why=str(problem))
-            return EMPTY
+            return EMPTY_VIEW
         unknown = {entry.server.kind for entry in view.entries.values()} - set(
             self.core.endpoints.roles
         )
-        if unknown and self.sources.whole:
+        if unknown and self.sources.sole_source:
             log.error(
                 "snapshot_unusable", path=str(path), why=f"kinds not known: {sorted(unknown)}"
             )
-            return EMPTY
+            return EMPTY_VIEW
         return view
 
     async def _from_snapshot(self) -> None:
@@ -191,21 +203,23 @@
         log.error("serving_from_snapshot", path=path, view=self.last.number)
         await self._accept(self.last, compare({}, self.last.entries), keep=False)
 
-    async def _accept(self, view: View, difference: Difference, keep: bool = True) -> None:
+    async def _accept(
+        self, view: MembershipView, difference: ViewDifference, keep: bool = True
+    ) -> None:
         if keep:
             self.from_snapshot = False
         old, self.view = self.view, view
         self.accepted += 1
         # otherwise there is nothing to index: who is there, another source says
-        if self.sources.whole:
-            self.index.change(difference, view.entries)
+        if self.sources.sole_source:
+            self.index.apply(difference, view.entries)
         weights = {name: entry.server.weight for name, entry in view.entries.items()}
         fresh = {*difference.added, *difference.moved}
         self.ramp.aim(weights, fresh, time.monotonic())
-        if self.sources.whole:
+        if self.sources.sole_source:
             self._tell(old, view, difference)
         else:
-            self.relist()
+            self.reapply_overlay()
         told = {name: len(names) for name, names in difference.told().items()}
         log.info("view", number=view.number, servers=len(view.entries), digest=view.digest, **told)
         self.on_view(view)
@@ -215,16 +229,16 @@
             except OSError as problem:  # in force all the same: it only won't outlive the process
                 log.error("snapshot_not_saved", path=str(path), why=str(problem))
 
-    def _tell(self, old: View, view: View, difference: Difference) -> None:
+    def _tell(self, old: MembershipView, view: MembershipView, difference: ViewDifference) -> None:
         """The whole view in one event, or what differs; nothing is awaited in between."""
         for name in difference.removed:
             address = old.entries[name].address
             if address is not None:
-                self.members.member(old.entries[name].server, address, True)
+                self.members.update_member(old.entries[name].server, address, True)
         for name in (*difference.added, *difference.moved, *difference.changed):
             address = view.entries[name].address
             if address is not None:
-                self.members.member(view.entries[name].server, address, False)
+                self.members.update_member(view.entries[name].server, address, False)
         gone = [
             replace(old.entries[name].server, condition=contract.EndpointCondition.REMOVED)
             for name in difference.removed
@@ -249,8 +263,8 @@
             changed = self.ramp.step(time.monotonic())
             if not changed:
                 continue
-            if not self.sources.whole:
-                self.relist()
+            if not self.sources.sole_source:
+                self.reapply_overlay()
                 continue
             servers = tuple(self._weighed(self.view.entries[name].server) for name in changed)
             self.core.update_endpoints(
@@ -259,11 +273,13 @@
                 )
             )
 
-    def over(self, update: contract.EndpointUpdate) -> contract.EndpointUpdate:
+    def apply_overlay(self, update: contract.EndpointUpdate) -> contract.EndpointUpdate:
         """Mode "over": what another source tells, with the weights and drains of the files."""
-        return replace(update, endpoints=tuple(self._over(server) for server in update.endpoints))
+        return replace(
+            update, endpoints=tuple(self._overlaid(server) for server in update.endpoints)
+        )
 
-    def _over(self, server: contract.Endpoint) -> contract.Endpoint:
+    def _overlaid(self, server: contract.Endpoint) -> contract.Endpoint:
         entry = self.view.entries.get(server.id)
         if entry is None:
             return server
@@ -272,7 +288,7 @@
         condition = contract.EndpointCondition.DRAINING if drains and up else server.condition
         return replace(server, weight=self.ramp.now.get(server.id, 1.0), condition=condition)
 
-    def told(self) -> Mapping[str, object]:
+    def status(self) -> Mapping[str, object]:
         """For operators: the view in force, and what became of the versions seen."""
         return {
             "view": self.view.number,
--- a/onyxpass/sources/membership_view.py
+++ b/onyxpass/sources/membership_view.py
@@ -9,10 +9,10 @@
 from types import MappingProxyType
 
 from onyxpass.scheduling import contract
-from onyxpass.sources.schema import Entry
+from onyxpass.sources.schema import ServerEntry
 
 
-def digest_of(entries: Mapping[str, Entry]) -> str:
+def view_digest(entries: Mapping[str, ServerEntry]) -> str:
     """Names what a view holds; where in which file it stands is no part of it."""
     rows = [
         (
@@ -31,26 +31,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class View:
+class MembershipView:
     """``number`` grows with every view that came into force, also over restarts where a snapshot
     is kept.
     """
 
     number: int
-    entries: Mapping[str, Entry]
+    entries: Mapping[str, ServerEntry]
     digest: str
 
     @classmethod
-    def of(cls, number: int, entries: Iterable[Entry]) -> "View":
+    def of(cls, number: int, entries: Iterable[ServerEntry]) -> "MembershipView":
         found = {entry.server.id: entry for entry in entries}
-        return cls(number, MappingProxyType(found), digest_of(found))
+        return cls(number, MappingProxyType(found), view_digest(found))
 
 
-EMPTY = View.of(0, ())
+EMPTY_VIEW = MembershipView.of(0, ())
 
 
 @dataclass(frozen=True, slots=True)
-class Difference:
+class ViewDifference:
     """By id. ``moved``: at another address or born again, which makes it a new, cold server."""
 
     added: tuple[str, ...]
@@ -67,7 +67,7 @@
         return {name: list(getattr(self, name)) for name in names if getattr(self, name)}
 
 
-def compare(old: Mapping[str, Entry], new: Mapping[str, Entry]) -> Difference:
+def compare(old: Mapping[str, ServerEntry], new: Mapping[str, ServerEntry]) -> ViewDifference:
     added = tuple(sorted(new.keys() - old.keys()))
     removed = tuple(sorted(old.keys() - new.keys()))
     moved, weighed, changed = [], [], []
@@ -81,19 +81,19 @@
             weighed.append(name)
         else:
             changed.append(name)
-    return Difference(added, removed, tuple(moved), tuple(weighed), tuple(changed))
+    return ViewDifference(added, removed, tuple(moved), tuple(weighed), tuple(changed))
 
 
-def serving(entry: Entry) -> bool:
+def accepts_new_requests(entry: ServerEntry) -> bool:
     return entry.server.condition is contract.EndpointCondition.UP
 
 
-def is_another(before: Entry, after: Entry) -> bool:
+def is_another(before: ServerEntry, after: ServerEntry) -> bool:
     """Whether the same id stands for another server now: at another address, or of another kind."""
     return before.address != after.address or before.server.kind != after.server.kind
 
 
-def born_again(before: Entry, after: Entry, now_us: int) -> Entry:
+def born_again(before: ServerEntry, after: ServerEntry, now_us: int) -> ServerEntry:
     """Guards against a server that is new at an old id being taken for the old, warm one."""
     started_us = before.server.started_us
     if is_another(before, after):
--- a/onyxpass/sources/schema.py
+++ b/onyxpass/sources/schema.py
@@ -87,7 +87,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class FileFault:
     """One thing that is wrong, and where: line and column from 1 on, 0 where there are none."""
 
     file: str
@@ -101,7 +101,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class ServerEntry:
     """One server as a file names it. ``address`` None: as discovery tells it."""
 
     server: contract.Endpoint
@@ -111,12 +111,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Draft:
+class ParsedFiles:
     """All watched files read as one. Only one without faults may become a view."""
 
-    entries: tuple[Entry, ...]
+    entries: tuple[ServerEntry, ...]
     removes: frozenset[str]
-    faults: tuple[Fault, ...]
+    faults: tuple[FileFault, ...]
 
 
 def _rows(text: str) -> list[int]:
@@ -124,7 +124,7 @@
     return [number for number, line in enumerate(text.splitlines(), 1) if ROW.match(line)]
 
 
-def _entry(file: str, line: int, table: ServerTable) -> Entry:
+def _entry(file: str, line: int, table: ServerTable) -> ServerEntry:
     # A weight of 0 and a drain are one thing to the module: nothing new.
     draining = table.state == "draining" or table.weight == 0
     born = table.born
@@ -141,12 +141,12 @@
         else contract.EndpointCondition.UP,
         weight=table.weight,
     )
-    return Entry(server, Address.parse(table.address) if table.address else None, file, line)
+    return ServerEntry(server, Address.parse(table.address) if table.address else None, file, line)
 
 
-def _parse(file: str, data: bytes) -> tuple[WatchedFile | None, str, list[Fault]]:
+def _parse(file: str, data: bytes) -> tuple[WatchedFile | None, str, list[FileFault]]:
     if len(data) > SIZE_MOST:
-        return None, "", [Fault(file, f"larger than {SIZE_MOST} bytes")]
+        return None, "", [FileFault(file, f"larger than {SIZE_MOST} bytes")]
     try:
         text = data.decode("utf-8-sig")  # some editors write a byte order mark
         raw = tomllib.loads(text)
@@ -155,18 +155,26 @@
         return (
             None,
             "",
-            [Fault(file, "not UTF-8", line, problem.start - data.rfind(b"\n", 0, problem.start))],
+            [
+                FileFault(
+                    file, "not UTF-8", line, problem.start - data.rfind(b"\n", 0, problem.start)
+                )
+            ],
         )
     except tomllib.TOMLDecodeError as problem:
         reason, line, column = toml_config.syntax_fault(problem)
         if line:
-            return None, "", [Fault(file, reason, line, column)]
+            return None, "", [FileFault(file, reason, line, column)]
         lines = text.split("\n")
-        return None, "", [Fault(file, f"{reason}: is it cut off?", len(lines), len(lines[-1]) + 1)]
+        return (
+            None,
+            "",
+            [FileFault(file, f"{reason}: is it cut off?", len(lines), len(lines[-1]) + 1)],
+        )
     except (RecursionError, ValueError) as problem:
-        return None, "", [Fault(file, f"it can't be read: {problem}")]
+        return None, "", [FileFault(file, f"it can't be read: {problem}")]
     rows = raw.get("servers")
-    faults: list[Fault] = []
+    faults: list[FileFault] = []
     tables: list[ServerTable] = []
     if isinstance(rows, list):
         # Row by row: one call for ten thousand would hold up everything else in the process
@@ -190,7 +198,7 @@
 
 def _named(
     file: str, text: str, problem: ValidationError, base: tuple[PathPart, ...]
-) -> list[Fault]:
+) -> list[FileFault]:
     """What a model says of its values, with their places."""
     faults = []
     for error in problem.errors():
@@ -202,24 +210,27 @@
             reason = f"{loc[-1]} is absent"
         elif loc:
             reason = f"{loc[-1]}: {reason}"
-        faults.append(Fault(file, reason, *toml_config.position_of(text, loc)))
+        faults.append(FileFault(file, reason, *toml_config.position_of(text, loc)))
     return faults
 
 
-def read(
-    files: Mapping[str, bytes | OSError], kinds: Sequence[str], whole: bool, loopback: bool = False
-) -> Draft:
+def parse_files(
+    files: Mapping[str, bytes | OSError],
+    kinds: Sequence[str],
+    sole_source: bool,
+    loopback: bool = False,
+) -> ParsedFiles:
     """All files, in their order, as one draft. ``kinds``: those that the settings name.
 
-    ``whole``: the files are the only source, so each server needs its kind, hall and address.
+    ``sole_source``: the files are the only source, so each server needs its kind, hall and address.
     ``loopback``: addresses must lie on this machine.
     """
-    entries: list[Entry] = []
+    entries: list[ServerEntry] = []
     removes: set[str] = set()
-    faults: list[Fault] = []
+    faults: list[FileFault] = []
     for file, data in files.items():
         if isinstance(data, OSError):
-            faults.append(Fault(file, data.strerror or str(data)))
+            faults.append(FileFault(file, data.strerror or str(data)))
             continue
         found, text, wrong = _parse(file, data)
         faults += wrong
@@ -229,22 +240,24 @@
         rows = _rows(text)
         for number, table in enumerate(found.servers):
             entries.append(_entry(file, rows[number] if number < len(rows) else 1, table))
-            for key, reason in _lacks(table, kinds, whole, loopback):
+            for key, reason in _lacks(table, kinds, sole_source, loopback):
                 # guards against a place looked up for each of ten thousand
                 if len(faults) >= FAULTS_MOST:
                     break
                 faults.append(
-                    Fault(file, reason, *toml_config.position_of(text, ("servers", number, key)))
+                    FileFault(
+                        file, reason, *toml_config.position_of(text, ("servers", number, key))
+                    )
                 )
     faults += _doubles(entries)
-    return Draft(tuple(entries), frozenset(removes), tuple(faults))
+    return ParsedFiles(tuple(entries), frozenset(removes), tuple(faults))
 
 
 def _lacks(
-    table: ServerTable, kinds: Sequence[str], whole: bool, loopback: bool
+    table: ServerTable, kinds: Sequence[str], sole_source: bool, loopback: bool
 ) -> Iterable[tuple[PathPart, str]]:
     """What a server lacks, or names that nothing knows."""
-    if whole:
+    if sole_source:
         for key in ("kind", "hall", "address"):
             if getattr(table, key) is None:
                 yield "id", f"server {table.id!r} has no {key}"
@@ -261,19 +274,21 @@
             yield "address", f"not a loopback address: {table.address!r}"
 
 
-def _doubles(entries: Iterable[Entry]) -> Iterable[Fault]:
+def _doubles(entries: Iterable[ServerEntry]) -> Iterable[FileFault]:
     """The same id or the same address twice, in one file or in two."""
-    ids: dict[str, Entry] = {}
-    addresses: dict[Address, Entry] = {}
+    ids: dict[str, ServerEntry] = {}
+    addresses: dict[Address, ServerEntry] = {}
     for entry in entries:
         name = entry.server.id
         if (first := ids.setdefault(name, entry)) is not entry:
             where = f"{first.file}:{first.line}"
-            yield Fault(entry.file, f"server {name!r} stands here and at {where}", entry.line, 1)
+            yield FileFault(
+                entry.file, f"server {name!r} stands here and at {where}", entry.line, 1
+            )
         elif entry.address is not None:
             other = addresses.setdefault(entry.address, entry)
             if other is not entry:
                 told = (
                     f"{name!r} has the address of {other.server.id!r} ({other.file}:{other.line})"
                 )
-                yield Fault(entry.file, told, entry.line, 1)
+                yield FileFault(entry.file, told, entry.line, 1)
--- a/onyxpass/sources/snapshot.py
+++ b/onyxpass/sources/snapshot.py
@@ -12,8 +12,8 @@
 from onyxpass import atomic_file
 from onyxpass.config.platform_file import Address, ConfigError
 from onyxpass.scheduling import contract
-from onyxpass.sources.membership_view import View
-from onyxpass.sources.schema import Entry
+from onyxpass.sources.membership_view import MembershipView
+from onyxpass.sources.schema import ServerEntry
 
 FORM = 1
 
@@ -22,7 +22,7 @@
     """It is absent, damaged or of another form; the message says which."""
 
 
-def _row(entry: Entry) -> dict[str, Any]:
+def _row(entry: ServerEntry) -> dict[str, Any]:
     server = entry.server
     return {
         "id": server.id,
@@ -38,14 +38,14 @@
     }
 
 
-def text_of(view: View) -> bytes:
+def text_of(view: MembershipView) -> bytes:
     body = b"".join(json.dumps(_row(entry)).encode() + b"\n" for entry in view.entries.values())
     checksum = hashlib.sha256(body).hexdigest()
     head = {"form": FORM, "view": view.number, "servers": len(view.entries), "sha256": checksum}
     return json.dumps(head).encode() + b"\n" + body
 
 
-def view_of(text: bytes) -> View:
+def view_of(text: bytes) -> MembershipView:
     """SnapshotError unless every byte is as it was written."""
     first, _, body = text.partition(b"\n")
     try:
@@ -59,7 +59,7 @@
         raise SnapshotError("its checksum is wrong: it is damaged or cut off")
     try:
         rows = [json.loads(line) for line in body.splitlines()]
-        view = View.of(int(number), (_entry(row) for row in rows))
+        view = MembershipView.of(int(number), (_entry(row) for row in rows))
     except (ValueError, KeyError, TypeError, ConfigError) as problem:
         raise SnapshotError(f"it can't be read: {problem!r}") from problem
     if len(view.entries) != count or view.number < 1:
@@ -67,7 +67,7 @@
     return view
 
 
-def _entry(row: dict[str, Any]) -> Entry:
+def _entry(row: dict[str, Any]) -> ServerEntry:
     server = contract.Endpoint(
         id=row["id"],
         kind=row["kind"],
@@ -78,15 +78,15 @@
         weight=row["weight"],
     )
     address = Address.parse(row["address"]) if row["address"] is not None else None
-    return Entry(server, address, row["file"], row["line"])
+    return ServerEntry(server, address, row["file"], row["line"])
 
 
-def save(path: Path, view: View) -> None:
+def save(path: Path, view: MembershipView) -> None:
     """Durable once this returns; OSError if it can't be, and then the one before is still there."""
     atomic_file.replace(path, text_of(view))
 
 
-def load(path: Path) -> View:
+def load(path: Path) -> MembershipView:
     try:
         return view_of(path.read_bytes())
     except OSError as problem:
--- a/onyxpass/sources/validation.py
+++ b/onyxpass/sources/validation.py
@@ -5,8 +5,14 @@
 from dataclasses import dataclass, replace
 
 from onyxpass.scheduling import contract
-from onyxpass.sources.membership_view import Difference, View, born_again, compare, serving
-from onyxpass.sources.schema import Draft, Entry, GuardsTable
+from onyxpass.sources.membership_view import (
+    MembershipView,
+    ViewDifference,
+    accepts_new_requests,
+    born_again,
+    compare,
+)
+from onyxpass.sources.schema import GuardsTable, ParsedFiles, ServerEntry
 
 READS = (contract.Role.PREFILL, contract.Role.MIXED)
 WRITES = (contract.Role.DECODE, contract.Role.MIXED)
@@ -14,23 +20,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    view: View
-    difference: Difference
+    view: MembershipView
+    difference: ViewDifference
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
+class Rejected:
     """The first reason says what to mend; the view in force serves on."""
 
     reasons: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Same:
+class Unchanged:
     """What the files say is in force already."""
 
 
-Verdict = Accepted | Refused | Same
+ValidationResult = Accepted | Rejected | Unchanged
 
 
 def part_of(share: str, count: int) -> int:
@@ -40,23 +46,23 @@
     return max(1, count * int(share.removesuffix("%")) // 100)
 
 
-def judge(
-    old: View,
-    draft: Draft,
+def validate(
+    old: MembershipView,
+    draft: ParsedFiles,
     roles: Mapping[str, contract.Role],
     guards: GuardsTable,
     now_us: int,
-    whole: bool = True,
-) -> Verdict:
+    sole_source: bool = True,
+) -> ValidationResult:
     """``old``: the view in force; number 0 if there is none yet, to which nothing can be lost.
 
-    ``whole``: the files are the only source. Otherwise they hold only weights and drains on top of
+    ``sole_source``: the files are the only source. Otherwise they hold only weights and drains on top of
     another source, and the guards on what must be there do not apply: that source knows what is
     there.
     """
     if draft.faults:
-        return Refused(tuple(str(fault) for fault in draft.faults))
-    entries: dict[str, Entry] = {}
+        return Rejected(tuple(str(fault) for fault in draft.faults))
+    entries: dict[str, ServerEntry] = {}
     for entry in draft.entries:
         before = old.entries.get(entry.server.id)
         if before is not None:
@@ -67,19 +73,19 @@
         entries[entry.server.id] = entry
     difference = compare(old.entries, entries)
     if not difference and old.number:
-        return Same()
-    if whole:
+        return Unchanged()
+    if sole_source:
         reasons = [*_lacking(entries, roles, guards), *_losing(old, entries, draft, roles, guards)]
         if reasons:
-            return Refused(tuple(reasons))
-    return Accepted(View.of(old.number + 1, entries.values()), difference)
+            return Rejected(tuple(reasons))
+    return Accepted(MembershipView.of(old.number + 1, entries.values()), difference)
 
 
 def _lacking(
-    entries: Mapping[str, Entry], roles: Mapping[str, contract.Role], guards: GuardsTable
+    entries: Mapping[str, ServerEntry], roles: Mapping[str, contract.Role], guards: GuardsTable
 ) -> list[str]:
     """What must always be there, counted among those that take new work."""
-    up = [entry for entry in entries.values() if serving(entry)]
+    up = [entry for entry in entries.values() if accepts_new_requests(entry)]
     found = []
     for what, least, wanted in (
         ("reader", guards.readers, READS),
@@ -98,24 +104,24 @@
 
 
 def _losing(
-    old: View,
-    entries: Mapping[str, Entry],
-    draft: Draft,
+    old: MembershipView,
+    entries: Mapping[str, ServerEntry],
+    draft: ParsedFiles,
     roles: Mapping[str, contract.Role],
     guards: GuardsTable,
 ) -> list[str]:
     """The largest part that one change may take away, unless the files say expressly who leaves."""
-    before = [entry for entry in old.entries.values() if serving(entry)]
+    before = [entry for entry in old.entries.values() if accepts_new_requests(entry)]
     lost = [
         entry
         for entry in before
         if entry.server.id not in draft.removes
-        and ((now := entries.get(entry.server.id)) is None or not serving(now))
+        and ((now := entries.get(entry.server.id)) is None or not accepts_new_requests(now))
     ]
     if not lost:
         return []
 
-    def groups(some: list[Entry]) -> dict[str, Counter[str]]:
+    def groups(some: list[ServerEntry]) -> dict[str, Counter[str]]:
         return {
             "role": Counter(
                 roles[entry.server.kind].value for entry in some if entry.server.kind in roles
--- a/onyxpass/sources/watcher.py
+++ b/onyxpass/sources/watcher.py
@@ -73,7 +73,7 @@
     return folder
 
 
-class Watcher:
+class FileWatcher:
     """``looks`` yields whenever the files should be read: after a change, else rarely."""
 
     def __init__(self, paths: Sequence[Path], poll_s: float) -> None:
--- a/onyxpass/sources/weight_ramp.py
+++ b/onyxpass/sources/weight_ramp.py
@@ -9,21 +9,21 @@
 
 
 @dataclass(slots=True)
-class Slope:
+class WeightTransition:
     start: float
     end: float
     since_s: float
 
 
 @dataclass(slots=True)
-class Ramp:
+class WeightRamp:
     """``now``: the weights in force. A new server starts at its weight; its slow start is the
     module's.
     """
 
     ramp_s: float
     now: dict[str, float] = field(default_factory=dict)
-    slopes: dict[str, Slope] = field(default_factory=dict)
+    slopes: dict[str, WeightTransition] = field(default_factory=dict)
 
     def aim(self, weights: Mapping[str, float], fresh: set[str], now_s: float) -> None:
         """The weights of a new view; ``fresh``: ids that are new servers."""
@@ -44,7 +44,7 @@
             elif (slope := self.slopes.get(name)) is not None and slope.end == weight:
                 continue  # on its way there already
             elif self.now[name] != weight:
-                self.slopes[name] = Slope(self.now[name], weight, now_s)
+                self.slopes[name] = WeightTransition(self.now[name], weight, now_s)
             else:
                 self.slopes.pop(name, None)
 
--- a/onyxpass/start.py
+++ b/onyxpass/start.py
@@ -2,7 +2,7 @@
 
 A start takes processor time and memory in every one of hundreds of dispatchers, and after a release
 most of them start at the same moment. So ``serve`` with nothing to parse goes round the command
-line, and the parts that its libraries load only if they are there (see ``UNUSED``) are left out.
+line, and the parts that its libraries load only if they are there (see ``UNUSED_MODULES``) are left out.
 """
 
 import gc
@@ -16,11 +16,11 @@
 # rich: structlog's renderer for developers. ssl: asyncio's TLS. _hashlib: OpenSSL's digests, where
 # Python's
 # own blake2 is meant. Each of the three does without if the import fails.
-UNUSED = ("rich", "ssl", "_hashlib")
+UNUSED_MODULES = ("rich", "ssl", "_hashlib")
 
 
 @contextmanager
-def without(*names: str) -> Iterator[None]:
+def blocked_imports(*names: str) -> Iterator[None]:
     """Let imports of these modules fail in the block, if they are not loaded yet; later ones
     succeed.
     """
@@ -39,7 +39,7 @@
     ``$ROUTER_CONFIG``.
     """
     gc.disable()  # nothing that is loaded here is garbage; serve() turns it on again
-    with without(*UNUSED):
+    with blocked_imports(*UNUSED_MODULES):
         import asyncio
 
         from onyxpass import logs, serve
@@ -80,4 +80,4 @@
         return 2
 
 
-__all__ = ["UNUSED", "main", "run", "without"]
+__all__ = ["UNUSED_MODULES", "blocked_imports", "main", "run"]
--- a/onyxpass/toolcalls/peers.py
+++ b/onyxpass/toolcalls/peers.py
@@ -267,7 +267,7 @@
                 Peer(name, role, address, self.core, self.desk, self.connect_us, self.limit)
             )
 
-    def member(self, server: contract.Endpoint, address: Address, left: bool) -> None:
+    def update_member(self, server: contract.Endpoint, address: Address, left: bool) -> None:
         """What a source of membership says of a server. One that has left goes once nothing of
         it is out.
         """
--- a/onyxpass/toolcalls/service.py
+++ b/onyxpass/toolcalls/service.py
@@ -12,11 +12,11 @@
 import structlog
 
 from onyxpass.admin.drain import OpenRequests
-from onyxpass.admin.running import (
+from onyxpass.admin.running_configuration import (
     ConfigurationChange,
     ConfigurationTable,
-    compare,
-    settings_in_flight,
+    classify_changes,
+    is_reloadable_setting,
     settings_values,
     with_reloaded_keys,
 )
@@ -54,7 +54,7 @@
     sources: Path | None = None  # our own file of watched files, in place of ``servers``
 
 
-IN_FLIGHT = frozenset(("servers", "claim_ttl_s"))
+RELOADABLE_KEYS = frozenset(("servers", "claim_ttl_s"))
 
 
 def toolcalls_values(config: ToolcallsConfig) -> dict[str, Any]:
@@ -75,8 +75,8 @@
     }
 
 
-def toolcalls_in_flight(key: str) -> bool:
-    return key in IN_FLIGHT or settings_in_flight(key)
+def is_reloadable(key: str) -> bool:
+    return key in RELOADABLE_KEYS or is_reloadable_setting(key)
 
 
 def loopback(text: str) -> Address:
@@ -143,10 +143,10 @@
     kind = "toolcalls"
 
     def __init__(
-        self, config: ToolcallsConfig, reread: Callable[[], ToolcallsConfig] | None = None
+        self, config: ToolcallsConfig, load_config: Callable[[], ToolcallsConfig] | None = None
     ) -> None:
         self.config = config
-        self.reread = reread or (lambda: self.config)
+        self.load_config = load_config or (lambda: self.config)
         self.clock = Clock()
         self.wheel = TimerWheel(self.clock)
         self.core = RequestDispatcher(config.settings, config.seed, self.clock, self.wheel)
@@ -160,20 +160,22 @@
         self.core.connect_fleet(self.peers)
         self.front = RpcFront(self.core, self.desk, config.listen, config.connections)
         self.tasks: list[asyncio.Task[None]] = []
-        self.files: FileSource | None = None
+        self.file_source: FileSource | None = None
         if config.sources is not None:
             from onyxpass.sources import membership
 
             sources = membership.load(config.sources)
-            if not sources.whole:
+            if not sources.sole_source:
                 raise ConfigError(f"{config.sources}: this front has no discovery to lie over")
-            self.files = membership.FileSource(self.core, self.peers, sources, loopback=True)
+            self.file_source = membership.FileSource(
+                self.core, self.peers, sources, loopback_only=True
+            )
 
     async def start(self) -> None:
         for work in (self.core.run(), self.wheel.run(), self.tools.run()):
             self.tasks.append(asyncio.create_task(work))
-        if self.files is not None:
-            self.tasks.append(asyncio.create_task(self.files.follow()))
+        if self.file_source is not None:
+            self.tasks.append(asyncio.create_task(self.file_source.follow()))
         else:
             self._serve_with(self.config)
         await self.front.start()
@@ -202,20 +204,20 @@
         SIGHUP.
         """
         try:
-            self.take_over(read)
+            self.apply_reload(read)
         except ConfigError as problem:  # guards against a file half written: the old servers stay
             log.error("configuration_rejected", why=str(problem))
         except Exception:  # guards against a crash on a file that nobody foresaw
             log.exception("configuration_unreadable")
 
-    def take_over(self, read: Callable[[], ToolcallsConfig]) -> ConfigurationChange:
+    def apply_reload(self, read: Callable[[], ToolcallsConfig]) -> ConfigurationChange:
         """All that a running process can change, at once; the rest is named and waits for a
         restart.
         """
         fresh, old = read(), self.config
         if unknown := {server.kind for server, _ in fresh.servers} - set(self.core.endpoints.roles):
             raise ConfigError(f"kinds that need a restart: {', '.join(sorted(unknown))}")
-        change = compare(toolcalls_values(old), toolcalls_values(fresh), toolcalls_in_flight)
+        change = classify_changes(toolcalls_values(old), toolcalls_values(fresh), is_reloadable)
         self.config = replace(
             old,
             servers=fresh.servers,
@@ -225,23 +227,23 @@
         self.desk.ttl_s = fresh.claim_ttl_s
         if self.config.settings != old.settings:
             self.core.apply_settings(self.config.settings)
-        if self.files is None:
+        if self.file_source is None:
             self._serve_with(fresh)
         log.info("reloaded", servers=len(fresh.servers), needs_a_restart=list(change.needs_restart))
         return change
 
     # As its agent manages it
 
-    def values(self) -> ConfigurationTable:
+    def configuration_values(self) -> ConfigurationTable:
         return toolcalls_values(self.config)
 
     def reload_now(self) -> ConfigurationChange:
-        return self.take_over(self.reread)
+        return self.apply_reload(self.load_config)
 
     def ready(self) -> bool:
         return not (self.front.closing or self.core.shutdown.begun)
 
-    def load(self) -> OpenRequests:
+    def open_requests(self) -> OpenRequests:
         requests, streams, oldest_us = self.core.registry.in_flight_summary()
         return OpenRequests(max(requests, self.front.unsent()), streams, oldest_us)
 
@@ -254,7 +256,7 @@
         self.core.shutdown.begin()
 
     def metrics(self) -> dict[str, Any]:
-        sources = {"sources": self.files.told()} if self.files is not None else {}
+        sources = {"sources": self.file_source.status()} if self.file_source is not None else {}
         return {**self.core.metric_rows(), "clients": len(self.front.open), **sources}
 
     async def stop(self) -> None:
@@ -282,7 +284,7 @@
         await self.store.close()
 
 
-async def serve(config: ToolcallsConfig, reread: Callable[[], ToolcallsConfig]) -> None:
+async def serve(config: ToolcallsConfig, load_config: Callable[[], ToolcallsConfig]) -> None:
     """Run till SIGTERM or SIGINT, then finish what was taken. SIGHUP reads the file's servers
     again.
     """
@@ -290,9 +292,9 @@
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stopping.set)
-    service = ToolcallService(config, reread)
+    service = ToolcallService(config, load_config)
     await service.start()
-    loop.add_signal_handler(signal.SIGHUP, service.reload, reread)
+    loop.add_signal_handler(signal.SIGHUP, service.reload, load_config)
     ended = asyncio.create_task(stopping.wait())
     await asyncio.wait([ended, *service.tasks], return_when=asyncio.FIRST_COMPLETED)
     for task in service.tasks:
--- a/tests/test_crossings_list.py
+++ b/tests/test_crossings_list.py
@@ -125,7 +125,7 @@
         d.plays = [cut_then(b"\n" + whole[: len(whole) // 2]), rest]
         async with world([Replica(READ)], [Replica(STREAM)], discovery=d) as w:
             await until(lambda: "r9" in w.dispatcher.core.endpoints.by_id)
-            assert w.dispatcher.list.seq == 42 and d.asked[-1].endswith("from=41")
+            assert w.dispatcher.endpoint_watcher.seq == 42 and d.asked[-1].endswith("from=41")
             assert not any("from=42" in target for target in d.asked)
 
     run(go)
@@ -145,7 +145,7 @@
 
         d.plays = [at_once]
         async with world([Replica(READ), Replica(READ)], [Replica(STREAM)], discovery=d) as w:
-            await until(lambda: w.dispatcher.list.seq == 42)
+            await until(lambda: w.dispatcher.endpoint_watcher.seq == 42)
             assert not w.dispatcher.core.endpoints.accepts_new_work(
                 "r0"
             ) and w.dispatcher.core.endpoints.accepts_new_work("r1")
@@ -176,7 +176,7 @@
 ):
     async def go() -> None:
         async with world([Replica(READ), Replica(READ)], [Replica(STREAM)]) as w:
-            actor, d = w.dispatcher.list, w.discovery
+            actor, d = w.dispatcher.endpoint_watcher, w.discovery
             new = Discovery()
             await new.start()
             new.hosts, new.seq = [dict(h) for h in d.hosts], 7
@@ -213,7 +213,7 @@
         half.serve = serve  # type: ignore[method-assign]
         await half.start()
         async with world([Replica(READ)], [Replica(STREAM)]) as w:
-            actor, before = w.dispatcher.list, set(w.dispatcher.core.endpoints.by_id)
+            actor, before = w.dispatcher.endpoint_watcher, set(w.dispatcher.core.endpoints.by_id)
             actor.set_discovery(endpoint_watcher.Address("127.0.0.1", half.port))
             await ready.wait()
             assert set(w.dispatcher.core.endpoints.by_id) == before and actor.ready
@@ -243,7 +243,7 @@
 
         d.plays = [anew]
         async with world([Replica(READ), Replica(READ)], [Replica(STREAM)], discovery=d) as w:
-            await until(lambda: w.dispatcher.list.seq == 3)
+            await until(lambda: w.dispatcher.endpoint_watcher.seq == 3)
             assert set(w.dispatcher.core.endpoints.by_id) == {
                 "r1",
                 "w0",
@@ -289,13 +289,15 @@
 
         async def look() -> None:
             await until(lambda: d.asked)
-            assert not made[0].list.ready and b" 503 " in await health(made[0].front.port)
+            assert not made[0].endpoint_watcher.ready and b" 503 " in await health(
+                made[0].front.port
+            )
             hold.set()
 
         made: list[Any] = []
         watching = asyncio.create_task(look())
         async with world([], [], discovery=d, known=known, made=made.append) as w:
-            assert w.dispatcher.list.ready and b" 200 " in await health(w.port)
+            assert w.dispatcher.endpoint_watcher.ready and b" 200 " in await health(w.port)
         await watching
 
     run(go)
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -14,11 +14,11 @@
 from typer.testing import CliRunner
 
 from onyxpass.admin.drain import Drain, DrainPhase, DrainStep, OpenRequests
-from onyxpass.admin.running import (
-    compare,
-    digest_of,
-    settings_in_flight,
+from onyxpass.admin.running_configuration import (
+    classify_changes,
+    is_reloadable_setting,
     settings_values,
+    table_digest,
     with_reloaded_keys,
 )
 from onyxpass.agent.credentials import is_authorized, make_key, read_key
@@ -286,38 +286,44 @@
         ),
     )
     old, new = settings_values(SETTINGS), settings_values(changed)
-    change = compare(old, new, settings_in_flight)
+    change = classify_changes(old, new, is_reloadable_setting)
     assert change.applied == ("class.light.aim_us", "settings.max_retry_after_us")
     assert change.needs_restart == ("class.light.repeat", "settings.routers")
-    assert change.digest not in (digest_of(old), digest_of(new)), "a mixture is neither"
+    assert change.digest not in (table_digest(old), table_digest(new)), "a mixture is neither"
     assert settings_values(with_reloaded_keys(SETTINGS, changed)) == change.values
     fewer = replace(changed, classes=changed.classes[1:])
     assert not [
         key
-        for key in compare(old, settings_values(fewer), settings_in_flight).applied
+        for key in classify_changes(old, settings_values(fewer), is_reloadable_setting).applied
         if "class" in key
     ]
-    assert compare(old, dict(reversed(old.items())), settings_in_flight).digest == digest_of(old)
+    assert classify_changes(
+        old, dict(reversed(old.items())), is_reloadable_setting
+    ).digest == table_digest(old)
 
 
 def test_a_drain_ends_only_with_the_last_answer_and_only_force_cuts_it_short() -> None:
     drain, busy, idle = Drain(), OpenRequests(2, 1), OpenRequests(0, 0)
-    drain.order(0, deadline_us=10, force=False, notice_us=2)
-    assert drain.look(1, idle) == () and drain.phase is DrainPhase.NOTICE
-    assert drain.look(2, busy) == (DrainStep.CLOSE,)
-    drain.order(3, deadline_us=7, force=False, notice_us=2)
+    drain.start(0, deadline_us=10, force=False, notice_us=2)
+    assert drain.advance(1, idle) == () and drain.phase is DrainPhase.NOTICE
+    assert drain.advance(2, busy) == (DrainStep.REJECT_NEW,)
+    drain.start(3, deadline_us=7, force=False, notice_us=2)
     assert drain.phase is DrainPhase.DRAINING, "a second order gives no second notice"
-    assert drain.look(9, busy) == () and not drain.late
-    assert drain.look(10, busy) == () and drain.late and drain.phase is DrainPhase.DRAINING
-    drain.order(11, deadline_us=1, force=True)
-    assert drain.look(12, busy) == (DrainStep.CUT,) and drain.cut == 2
-    assert drain.look(13, busy) == (), "cut once"
+    assert drain.advance(9, busy) == () and not drain.deadline_passed
     assert (
-        drain.look(14, idle) == ()
+        drain.advance(10, busy) == ()
+        and drain.deadline_passed
+        and drain.phase is DrainPhase.DRAINING
+    )
+    drain.start(11, deadline_us=1, force=True)
+    assert drain.advance(12, busy) == (DrainStep.ABORT_OPEN,) and drain.aborted_requests == 2
+    assert drain.advance(13, busy) == (), "cut once"
+    assert (
+        drain.advance(14, idle) == ()
         and drain.phase is DrainPhase.DRAINED
         and drain.to_dict(14, idle)["cut"] == 2
     )
-    assert drain.undo() and drain.phase is DrainPhase.SERVING and not drain.undo()
+    assert drain.cancel() and drain.phase is DrainPhase.SERVING and not drain.cancel()
 
 
 LIFE = st.sampled_from(
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -306,7 +306,7 @@
             for name, health in (("r0", "leaving"), ("r1", "active")):
                 replica = w.readers[int(name[1])]
                 d.change(d.entry(name, "r", replica.address, health))
-            await until(lambda: w.dispatcher.list.seq == 43)
+            await until(lambda: w.dispatcher.endpoint_watcher.seq == 43)
             for i in range(6):
                 assert b"200" in await w.ask(f"a{i}")
             assert not w.readers[0].heads and len(w.readers[1].heads) == 6
@@ -355,7 +355,7 @@
         config = Config("n0", listen, Address("127.0.0.1", slow.port), 1, SETTINGS, {})
         dispatcher = DispatcherProcess(config)
         await dispatcher.start()
-        await until(lambda: dispatcher.list.ready)
+        await until(lambda: dispatcher.endpoint_watcher.ready)
         for task in dispatcher.tasks:
             task.cancel()
         await slow.stop()
@@ -381,8 +381,8 @@
             new.hosts, new.seq = w.discovery.hosts, 7
             await w.discovery.stop()
             await paused.wait()
-            w.dispatcher.list.set_discovery(Address("127.0.0.1", new.port))
-            await until(lambda: w.dispatcher.list.seq == 7)
+            w.dispatcher.endpoint_watcher.set_discovery(Address("127.0.0.1", new.port))
+            await until(lambda: w.dispatcher.endpoint_watcher.seq == 7)
             await new.stop()
 
     run(go)
@@ -398,13 +398,15 @@
             reader, writer = await w.send(ask("a1", close=True))
             await reader.readuntil(b"[DONE]")
             await until(lambda: old.writers)
-            d.list.set_discovery(Address("127.0.0.1", new.port))
-            await until(lambda: not old.writers and d.list.seq == 7)
-            assert d.list.ready and new.asked[0] == "/registry/instances"
-            d.list.receive(
-                DiscoveryUpdate({"seq": 90, "whole": False, "hosts": []}, d.list.era - 1)
+            d.endpoint_watcher.set_discovery(Address("127.0.0.1", new.port))
+            await until(lambda: not old.writers and d.endpoint_watcher.seq == 7)
+            assert d.endpoint_watcher.ready and new.asked[0] == "/registry/instances"
+            d.endpoint_watcher.receive(
+                DiscoveryUpdate(
+                    {"seq": 90, "whole": False, "hosts": []}, d.endpoint_watcher.era - 1
+                )
             )
-            assert d.list.seq == 7, (
+            assert d.endpoint_watcher.seq == 7, (
                 "what the old address still had to say counts, its version does not"
             )
             new.change(new.entry("r0", "r", w.readers[0].address, "leaving"))
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -144,14 +144,14 @@
 def test_not_ready_before_the_whole_list_nor_once_it_stops() -> None:
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM)], control=CONTROL) as w:
-            found = w.dispatcher.list
+            found = w.dispatcher.endpoint_watcher
             # nobody is there who could make it ready again
             found.set_discovery(Address("127.0.0.1", 1))
             await until(found.mailbox.empty)
             await asyncio.sleep(0)
             found.ready = False
             assert (await call(w, READY)).startswith(b"HTTP/1.1 503")
-            w.dispatcher.list.ready = True
+            w.dispatcher.endpoint_watcher.ready = True
             assert (await call(w, READY)).startswith(b"HTTP/1.1 200")
             w.dispatcher.front.closing = True
             assert (await call(w, READY)).startswith(b"HTTP/1.1 503")
@@ -343,7 +343,7 @@
             budget, actors = w.dispatcher.replicas.budget, w.dispatcher.replicas.actors.values()
             await until(lambda: not any(actor.tasks for actor in actors))
             assert budget.open >= 20
-            w.dispatcher._share(20)
+            w.dispatcher._apply_descriptor_limit(20)
             assert budget.open <= budget.limit == w.dispatcher.front.max_connections == 8
 
     run(go)
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -33,13 +33,13 @@
 from onyxpass.serve import DispatcherProcess
 from onyxpass.sources import membership, schema, snapshot
 from onyxpass.sources.cli import servers_app
-from onyxpass.sources.debounce import Settle, contents_of
+from onyxpass.sources.debounce import Debouncer, contents_digest
 from onyxpass.sources.format import formatted
-from onyxpass.sources.index import Index
-from onyxpass.sources.membership_view import EMPTY, View, compare
+from onyxpass.sources.index import ServerIndex
+from onyxpass.sources.membership_view import EMPTY_VIEW, MembershipView, compare
 from onyxpass.sources.schema import GuardsTable, SourcesFile, WatchedFile
-from onyxpass.sources.validation import Accepted, Refused, Same, judge
-from onyxpass.sources.weight_ramp import Ramp
+from onyxpass.sources.validation import Accepted, Rejected, Unchanged, validate
+from onyxpass.sources.weight_ramp import WeightRamp
 from onyxpass.testbed.client import ask
 from onyxpass.testbed.replicas import Speed, StandinFleet
 from onyxpass.testbed.settings import SETTINGS, dispatcher_file
@@ -72,13 +72,16 @@
 
 
 def verdict(
-    *texts: str | bytes, old: View = EMPTY, guards: GuardsTable = LOOSE, now_us: int = 7
+    *texts: str | bytes,
+    old: MembershipView = EMPTY_VIEW,
+    guards: GuardsTable = LOOSE,
+    now_us: int = 7,
 ) -> Any:
     files = {f"{i}.toml": t.encode() if isinstance(t, str) else t for i, t in enumerate(texts)}
-    return judge(old, schema.read(files, list(ROLES)[:2], True), ROLES, guards, now_us)
+    return validate(old, schema.parse_files(files, list(ROLES)[:2], True), ROLES, guards, now_us)
 
 
-def view(*texts: str) -> View:
+def view(*texts: str) -> MembershipView:
     found = verdict(*texts)
     assert isinstance(found, Accepted), found
     return found.view
@@ -108,7 +111,7 @@
     old: str, new: str, place: str, why: str
 ) -> None:
     found = verdict(GOOD.replace(old, new, 1))
-    assert isinstance(found, Refused)
+    assert isinstance(found, Rejected)
     assert any(place in reason and why in reason for reason in found.reasons), found.reasons
 
 
@@ -125,15 +128,15 @@
         "лектор-9.ресифи",
     }
     moved = verdict(GOOD, row("r1", port=9))
-    unread = judge(
-        EMPTY,
-        schema.read({"a": PermissionError(13, "Permission denied")}, [], True),
+    unread = validate(
+        EMPTY_VIEW,
+        schema.parse_files({"a": PermissionError(13, "Permission denied")}, [], True),
         ROLES,
         LOOSE,
         0,
     )
-    assert unread == Refused(("a: Permission denied",))
-    assert isinstance(moved, Refused) and "1.toml:1:1" in moved.reasons[0], (
+    assert unread == Rejected(("a: Permission denied",))
+    assert isinstance(moved, Rejected) and "1.toml:1:1" in moved.reasons[0], (
         "seen twice while it moves"
     )
 
@@ -154,7 +157,7 @@
         text = text[:end] + text[cut:]
     found = verdict(text, old=old, guards=GuardsTable())
     if isinstance(found, Accepted):
-        draft = schema.read({"x": text}, list(ROLES), True)
+        draft = schema.parse_files({"x": text}, list(ROLES), True)
         assert not draft.faults and len(found.view.entries) == len(draft.entries)
         kinds = Counter(entry.server.kind for entry in found.view.entries.values())
         assert kinds["reader"] >= 1 and kinds["writer"] >= 1
@@ -184,22 +187,22 @@
         (("r0", "r1", "r2"), "hall 'derby'"),
     ):
         found = without(*names)
-        assert isinstance(found, Refused) and why in str(found.reasons)
+        assert isinstance(found, Rejected) and why in str(found.reasons)
     told = '[change]\nremoves = ["r0", "r1", "r2"]\n'
     assert isinstance(without("r0", "r1", "r2", change=told), Accepted)
     few = without("r0", change=told, guards=GuardsTable(halls={"derby": 5}))
-    assert isinstance(few, Refused) and "guards.halls.derby is 5" in str(few.reasons)
+    assert isinstance(few, Rejected) and "guards.halls.derby is 5" in str(few.reasons)
     nothing = verdict(ten + writers + row("r10", port=50, weight=0), old=old)
     assert isinstance(nothing, Accepted)
     assert nothing.view.entries["r10"].server.condition is contract.EndpointCondition.DRAINING
     drained = verdict((ten + writers).replace('"writer"', '"writer"\nstate = "draining"'), old=old)
-    assert isinstance(drained, Refused), "a drain of all writers takes them all away"
+    assert isinstance(drained, Rejected), "a drain of all writers takes them all away"
 
 
 def test_what_is_new_at_an_old_id_is_cold_and_what_is_the_same_is_not() -> None:
     old = view(GOOD)
-    assert isinstance(verdict(GOOD, old=old), Same)
-    assert isinstance(verdict("# a comment\n" + GOOD.replace("\n\n", "\n"), old=old), Same)
+    assert isinstance(verdict(GOOD, old=old), Unchanged)
+    assert isinstance(verdict("# a comment\n" + GOOD.replace("\n\n", "\n"), old=old), Unchanged)
     found = verdict(
         GOOD.replace("127.0.0.1:2", "127.0.0.1:22") + row("r9", port=9), old=old, now_us=77
     )
@@ -212,7 +215,7 @@
 
 
 def test_files_are_judged_once_still_later_if_servers_leave_and_in_a_storm_all_the_same() -> None:
-    settle = Settle(settle_s=0.1, leave_s=1.0)
+    settle = Debouncer(settle_s=0.1, leave_s=1.0)
     assert settle.look(b"a", 0.0, False) == pytest.approx(0.1)
     assert settle.look(b"a", 0.1, False) == 0.0
     settle.done(b"a")
@@ -226,7 +229,7 @@
     while settle.look(b"%d" % n, now_s, False) != 0.0:
         now_s, n = now_s + 0.05, n + 1
     assert now_s == pytest.approx(8.0, abs=0.1)
-    assert contents_of({"a": b"xy", "b": b""}) != contents_of({"a": b"x", "b": b"y"})
+    assert contents_digest({"a": b"xy", "b": b""}) != contents_digest({"a": b"x", "b": b"y"})
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
@@ -236,7 +239,7 @@
     )
 )
 def test_weights_move_in_small_steps_to_where_they_should_be(views: list[dict[str, float]]) -> None:
-    ramp, now_s = Ramp(10.0), 0.0
+    ramp, now_s = WeightRamp(10.0), 0.0
     for weights in views:
         ramp.aim(weights, set(), now_s)
         before = dict(ramp.now)
@@ -255,8 +258,8 @@
 def test_the_index_changed_in_place_is_the_one_built_anew(seed: int) -> None:
     chance = random.Random(seed)
     names = [f"s{i}" for i in range(12)]
-    old: dict[str, schema.Entry] = {}
-    index = Index(ROLES)
+    old: dict[str, schema.ServerEntry] = {}
+    index = ServerIndex(ROLES)
     for _ in range(12):
         new = {}
         for name in names:
@@ -275,9 +278,9 @@
                     ),
                     weight=chance.choice((1.0, 2.0)),
                 )
-                new[name] = schema.Entry(server, Address("127.0.0.1", chance.choice((1, 2))))
-        index.change(compare(old, new), new)
-        built = Index.built(ROLES, new.values())
+                new[name] = schema.ServerEntry(server, Address("127.0.0.1", chance.choice((1, 2))))
+        index.apply(compare(old, new), new)
+        built = ServerIndex.build(ROLES, new.values())
         assert index.entries == built.entries and index.by_place == built.by_place
         assert {r: n for r, n in index.by_role.items() if n} == built.by_role
         old = new
@@ -341,7 +344,7 @@
     def __init__(self) -> None:
         self.addresses: dict[str, Address] = {}
 
-    def member(self, server: contract.Endpoint, address: Address, left: bool) -> None:
+    def update_member(self, server: contract.Endpoint, address: Address, left: bool) -> None:
         if left:
             del self.addresses[server.id]
         else:
@@ -362,7 +365,9 @@
         }
         file = SourcesFile(**{"watch": ["servers.d", "more.toml"], **told, **more})
         self.fleet = Fleet()
-        self.source = membership.FileSource(self.core, self.fleet, membership.Sources(file, folder))
+        self.source = membership.FileSource(
+            self.core, self.fleet, membership.SourcesConfig(file, folder)
+        )
         self.task: asyncio.Task[None] | None = None
 
     def write(self, text: str | bytes, name: str = "servers.d/a.toml") -> None:
@@ -431,7 +436,7 @@
                 (tmp_path / "2" / "b").write_text(GOOD + row("r6", port=8))
                 (tmp_path / "2" / "b").replace(tmp_path / "2" / "a.toml")
             await asyncio.sleep(0.3)
-            assert w.source.view.number == version and w.source.told()["notified"]
+            assert w.source.view.number == version and w.source.status()["notified"]
 
     run(go)
 
@@ -505,7 +510,7 @@
     clock = HandClock()
     core = RequestDispatcher(read_settings(SETTINGS), 1, clock, TimerWheel(clock))
     file = SourcesFile(watch=["x.toml"], mode="over", ramp_s=0.0)
-    source = membership.FileSource(core, Fleet(), membership.Sources(file, Path()))
+    source = membership.FileSource(core, Fleet(), membership.SourcesConfig(file, Path()))
     rows = ('"r1"\nweight = 2.5\n', '"r2"\nstate = "draining"\n', '"r9"\n')
     text = "".join(f"[[servers]]\nid = {told}" for told in rows)
     verdict = source._judged(source.view, source._draft_of({"x.toml": text.encode()}))
@@ -516,7 +521,7 @@
         tuple(contract.Endpoint(n, "reader") for n in ("r1", "r2", "r3")),
         version=4,
     )
-    found = {server.id: server for server in source.over(told).endpoints}
+    found = {server.id: server for server in source.apply_overlay(told).endpoints}
     assert (
         found["r1"].weight == 2.5 and found["r2"].condition is contract.EndpointCondition.DRAINING
     )
@@ -560,7 +565,7 @@
             fresh.write_text(content)
             fresh.replace(folder / "a.toml")
 
-        def in_force(v: View) -> None:
+        def in_force(v: MembershipView) -> None:
             views[v.number] = frozenset(v.entries)
             for name in names:
                 fleet.trace.put(
@@ -577,8 +582,8 @@
         config: Config = replace(parse(raw, {"ONYXPASS_SERVERS": str(tmp_path / "sources.toml")}))
         with structlog.testing.capture_logs() as lines:
             dispatcher = DispatcherProcess(config)
-            assert dispatcher.files is not None
-            dispatcher.files.on_view = in_force
+            assert dispatcher.file_source is not None
+            dispatcher.file_source.on_view = in_force
             await dispatcher.start()
             await until(dispatcher.ready)
             stopping = asyncio.Event()
@@ -615,7 +620,7 @@
             await asyncio.gather(*clients)
             await dispatcher.stop()
         await fleet.stop()
-        assert len(views) > 20 and dispatcher.files.refused > 5
+        assert len(views) > 20 and dispatcher.file_source.refused > 5
         for members in views.values():
             assert {name.split("-")[0] for name in members} == {"reader", "writer"}
         attempts = [
@@ -625,7 +630,9 @@
                    and a["server"] not in views[a["view"]]]  # fmt: skip
         assert attempts and not outside, outside[:3]
         refusals = [line for line in lines if line["event"] == "refused" and "view" in line]
-        assert len(refusals) == dispatcher.files.refused and all(line["why"] for line in refusals)
+        assert len(refusals) == dispatcher.file_source.refused and all(
+            line["why"] for line in refusals
+        )
         served = Counter(event.detail for event in fleet.trace.of(What.ANSWERED))
         assert served["served"] > 20 and not served["broken"], served
         assert not breaches(fleet.trace), breaches(fleet.trace)[:5]
@@ -664,13 +671,13 @@
         save(writers[0].port)
         front = ToolcallService(service.load(tmp_path / "t.toml"))
         await front.start()
-        assert front.files is not None
+        assert front.file_source is not None
         await until(lambda: len(front.core.endpoints.by_id) == 2)
         client = await Client(front.front.port).start()
         client.generate(1, "part-lookup")
         assert "result" in await client.response(1) and client.texts == ["one"]
         save(writers[1].port)
-        await until(lambda: front.files is not None and front.files.view.number == 2)
+        await until(lambda: front.file_source is not None and front.file_source.view.number == 2)
         # it is another server now, and cold: the first ones may be refused
         for number in range(2, 30):
             client.generate(number, "part-lookup")
@@ -679,7 +686,7 @@
         assert client.texts == ["one", "two"]
         assert reader.asked[-1]["params"]["view"] == 2
         places: dict[int, set[int]] = {}
-        front.files.on_view = lambda v: places.update(
+        front.file_source.on_view = lambda v: places.update(
             {v.number: {e.address.port for e in v.entries.values() if e.address}}
         )
         before = [len(writer.asked) for writer in writers]
@@ -711,11 +718,11 @@
                         or writer.port in places[asked["params"]["view"]]
                     )
         assert len(places) >= 2 and len(client.texts) > 5
-        refused = front.files.refused
+        refused = front.file_source.refused
         (tmp_path / "w.toml").write_text(
             row("reader-1", port=reader.port).replace("127.0.0.1", "10.0.0.1")
         )
-        await until(lambda: front.files is not None and front.files.refused > refused)
+        await until(lambda: front.file_source is not None and front.file_source.refused > refused)
         await client.stop()
         await front.stop()
         for part in (store, tools, reader, *writers):
@@ -758,8 +765,8 @@
     after = watched_file.read_text()
     assert "# readers" in after and "# ours" in after and formatted(after) == after
     assert (
-        schema.read({"a": before.encode()}, [], False).removes
-        == schema.read({"a": after.encode()}, [], False).removes
+        schema.parse_files({"a": before.encode()}, [], False).removes
+        == schema.parse_files({"a": after.encode()}, [], False).removes
     )
     assert call("fmt", "--check", str(watched_file))[0] == 0
     watched_file.write_text(GOOD[:-9])
@@ -774,7 +781,7 @@
     ):
         published = (ROOT / "docs" / "schemas" / f"{name}.schema.json").read_text()
         assert call("schema", *words)[1] == published == schema_text(model, title)
-    assert membership.load(ROOT / "deploy" / "sources.toml").whole
+    assert membership.load(ROOT / "deploy" / "sources.toml").sole_source
     assert os.path.exists(ROOT / "deploy" / "servers.toml")
 
 
@@ -801,7 +808,7 @@
     text = f'# top\n[change]\nremoves = []\n[[servers]]\n{body}# between\n[[servers]]\nid = "r2"\n'
     once = formatted(text)
     assert formatted(once) == once
-    before, after = (schema.read({"a": t.encode()}, ["reader"], False) for t in (text, once))
+    before, after = (schema.parse_files({"a": t.encode()}, ["reader"], False) for t in (text, once))
     assert [replace(e, line=0) for e in before.entries] == [
         replace(e, line=0) for e in after.entries
     ]
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -25,7 +25,7 @@
 from onyxpass.hot_restart.process_registry import ProcessRegistry
 from onyxpass.scheduling import contract
 from onyxpass.scheduling.router import Router
-from onyxpass.start import UNUSED, without
+from onyxpass.start import UNUSED_MODULES, blocked_imports
 
 # What a host may refuse to a dispatcher. Starting programs ends it at once with exit code 97, so
 # that no
@@ -106,7 +106,7 @@
     loaded_now = set(loaded.split())
     assert "onyxpass.serve" in loaded_now, "it got as far as its configuration"
     heavy = {
-        *UNUSED,
+        *UNUSED_MODULES,
         "typer",
         "pydantic",
         "redis",
@@ -120,7 +120,7 @@
 
 def test_what_was_left_out_can_be_loaded_later() -> None:
     sys.modules.pop("symtable", None)
-    with without("symtable", "json"):
+    with blocked_imports("symtable", "json"):
         with pytest.raises(ImportError):
             __import__("symtable")
         assert __import__("json") is json, "what is there stays"
--- a/tests/world.py
+++ b/tests/world.py
@@ -224,7 +224,7 @@
     await dispatcher.start()
     world = World(readers, writers, dispatcher)
     world.discovery = discovery
-    await until(lambda: dispatcher.list.ready)
+    await until(lambda: dispatcher.endpoint_watcher.ready)
     try:
         yield world
     finally:
