--- a/onyxpass/__init__.py
+++ b/onyxpass/__init__.py
@@ -10,7 +10,7 @@
 
 
 def __getattr__(name: str) -> object:
-    """Load the router with its first use, after ``start`` has settled what is left out."""
+    """Import the router at its first use, after ``start`` has blocked unused imports."""
     if name == "Router":
         from onyxpass.scheduling.router import Router
 
--- a/onyxpass/__main__.py
+++ b/onyxpass/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m onyxpass``."""
+"""Entry point of ``python -m onyxpass``."""
 
 import sys
 
--- a/onyxpass/admin/__init__.py
+++ b/onyxpass/admin/__init__.py
@@ -1,1 +1,1 @@
-"""An instance as its agent manages it: what it runs on, what a reload takes over, and its drain."""
+"""The admin interface of an instance: its configuration in force, reloads and its drain."""
--- a/onyxpass/admin/drain.py
+++ b/onyxpass/admin/drain.py
@@ -1,10 +1,10 @@
 """The drain of one instance as a state machine without I/O.
 
-Ordered, an instance tells the front layer that it is not ready, and goes on serving what still
-comes for the notice. After the notice new requests are refused. It is drained once the last final
-answer has gone out. At the deadline the order itself has failed; the instance goes on draining.
-Only an explicit ``force`` cuts short what is open, and how much that was is told for as long as the
-drain stands.
+After the order an instance reports to the front layer that it is not ready, and goes on serving new
+requests for the notice period. After the notice it refuses new requests. It is drained once the
+last final answer has been sent. At the deadline the order counts as failed, but the instance goes
+on draining. Only ``force`` aborts open requests, and their number is reported until the drain is
+cancelled.
 """
 
 from dataclasses import dataclass
@@ -12,32 +12,32 @@
 from typing import Any
 
 DEFAULT_NOTICE_US = (
-    1_000_000  # new requests are served for so long, while the front layer hears of it
+    1_000_000  # time in which the front layer learns of it and new requests are served
 )
 DEFAULT_DEADLINE_US = 60_000_000
 
 
 class DrainPhase(Enum):
     SERVING = "serving"
-    NOTICE = "notice"  # not ready any more, but what comes is served
-    DRAINING = "draining"  # what comes is refused
+    NOTICE = "notice"  # not ready, but new requests are still served
+    DRAINING = "draining"  # new requests are refused
     DRAINED = "drained"
 
 
 class DrainStep(Enum):
-    """What the instance has to do next, each told once."""
+    """What the instance has to do next; a step is returned when it becomes due."""
 
     REJECT_NEW = "close"  # refuse new requests
-    ABORT_OPEN = "cut"  # end what is open
+    ABORT_OPEN = "cut"  # abort open requests
 
 
 @dataclass(frozen=True, slots=True)
 class OpenRequests:
-    """What is open at one moment."""
+    """The open requests at one moment."""
 
-    requests: int  # without their final answer
-    streams: int  # of them, those that have begun to stream
-    oldest_us: int = 0  # age of the oldest
+    requests: int  # requests whose final answer is not sent
+    streams: int  # those of them that have begun to stream
+    oldest_us: int = 0  # age of the oldest open request
 
 
 @dataclass(slots=True)
@@ -47,8 +47,8 @@
     notice_us: int = DEFAULT_NOTICE_US
     due_us: int = 0
     force: bool = False
-    deadline_passed: bool = False  # the deadline passed with something open
-    aborted_requests: int = 0  # requests that force ended
+    deadline_passed: bool = False  # whether it passed while requests were open
+    aborted_requests: int = 0  # number of requests that ``force`` aborted
 
     @property
     def active(self) -> bool:
@@ -57,23 +57,24 @@
     def start(
         self, now_us: int, deadline_us: int, force: bool, notice_us: int = DEFAULT_NOTICE_US
     ) -> None:
-        """Begin, or change the deadline of what has begun: a second order never starts the
-        notice again.
-        """
+        """Start the drain, or change the deadline of a running one without a second notice."""
         if self.phase is DrainPhase.SERVING:
             self.phase, self.since_us, self.aborted_requests = DrainPhase.NOTICE, now_us, 0
             self.notice_us = min(notice_us, deadline_us)
         self.due_us, self.force, self.deadline_passed = now_us + deadline_us, force, False
 
     def cancel(self) -> bool:
-        """Serve again. True if there was a drain to undo."""
-        was, self.phase = self.active, DrainPhase.SERVING
+        """Return to serving; True if a drain was active."""
+        was_active, self.phase = self.active, DrainPhase.SERVING
         self.force = self.deadline_passed = False
         self.aborted_requests = 0
-        return was
+        return was_active
 
     def advance(self, now_us: int, load: OpenRequests) -> tuple[DrainStep, ...]:
-        """What is due, given what is open now. Call it at least every few tens of milliseconds."""
+        """Advance the phase and return the steps that are due.
+
+        To be called at least every few tens of milliseconds.
+        """
         steps: list[DrainStep] = []
         if self.phase is DrainPhase.NOTICE and now_us - self.since_us >= self.notice_us:
             self.phase = DrainPhase.DRAINING
--- a/onyxpass/admin/running_configuration.py
+++ b/onyxpass/admin/running_configuration.py
@@ -1,8 +1,8 @@
-"""What an instance really runs on, and what a reload can change. Nothing here does I/O.
+"""The configuration that an instance runs on, and what a reload can change; without I/O.
 
-A configuration is a flat table of keys and values. Its digest names the whole of it: an instance
-runs on a configuration exactly if both digests are equal. A reload takes over some keys in flight;
-where one that needs a restart differs too, the instance runs on a mixture, whose digest equals
+A configuration is a flat table of keys and values, identified by its digest: an instance runs on a
+configuration exactly if both digests are equal. A reload applies some keys without a restart; if a
+key that needs a restart differs as well, the instance runs on a mixture, whose digest equals
 neither file's.
 """
 
@@ -24,17 +24,15 @@
 
 
 def table_digest(values: ConfigurationTable) -> str:
-    """24 hexadecimal digits that stand for the table, whatever order its keys were written in."""
+    """Return the table's digest, 24 hexadecimal digits that do not depend on the order of keys."""
     text = json.dumps(
         values, sort_keys=True, separators=(",", ":"), ensure_ascii=True, allow_nan=True
     )
     return hashlib.blake2b(text.encode(), digest_size=DIGEST_BYTES).hexdigest()
 
 
-def plain(value: Any) -> Any:
-    """A setting as JSON has it: enumerations by their values, records as tables, tuples as
-    lists.
-    """
+def to_json_value(value: Any) -> Any:
+    """Convert a setting for JSON: enums to their values, dataclasses to dicts, tuples to lists."""
     if isinstance(
         value,
         contract.Role
@@ -44,42 +42,47 @@
     ):
         return value.value
     if isinstance(value, tuple):
-        return [plain(v) for v in value]
+        return [to_json_value(v) for v in value]
     if hasattr(value, "__dataclass_fields__"):
-        return {f.name: plain(getattr(value, f.name)) for f in fields(value)}
+        return {f.name: to_json_value(getattr(value, f.name)) for f in fields(value)}
     return value
 
 
 def settings_values(settings: contract.Settings) -> dict[str, Any]:
-    """``settings.KEY``, and ``class.NAME.KEY`` for the traffic classes; their order is a key as
-    well.
+    """Return the settings as a flat table.
+
+    The keys are ``settings.KEY``, ``class.NAME.KEY`` for the traffic classes, and ``classes`` for
+    the order of the classes.
     """
-    found: dict[str, Any] = {"classes": [c.name for c in settings.classes]}
+    values: dict[str, Any] = {"classes": [c.name for c in settings.classes]}
     for key, name in keyed_fields(settings, SETTINGS_KEYS).items():
         if key != "classes":
-            found[f"settings.{key}"] = plain(getattr(settings, name))
+            values[f"settings.{key}"] = to_json_value(getattr(settings, name))
     for traffic_class in settings.classes:
         for key, name in keyed_fields(traffic_class, CLASS_KEYS).items():
             if key != "name":
-                found[f"class.{traffic_class.name}.{key}"] = plain(getattr(traffic_class, name))
-    return found
+                values[f"class.{traffic_class.name}.{key}"] = to_json_value(
+                    getattr(traffic_class, name)
+                )
+    return values
 
 
 def is_reloadable_setting(key: str) -> bool:
-    """Whether new requests can go by another value of this key at once.
+    """Whether a reload can apply a new value of this key to new requests.
 
-    ``repeat`` can't: a booking that is under way must never come to count as safe to repeat.
+    ``repeat`` is not reloadable: a booking in progress must never begin to count as safe to repeat.
     """
-    kind, _, rest = key.partition(".")
-    if kind == "settings":
-        return rest in RELOADABLE_SETTINGS_KEYS
-    return kind == "class" and rest.rpartition(".")[2] in RELOADABLE_CLASS_KEYS
+    section, _, name = key.partition(".")
+    if section == "settings":
+        return name in RELOADABLE_SETTINGS_KEYS
+    return section == "class" and name.rpartition(".")[2] in RELOADABLE_CLASS_KEYS
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationChange:
-    """The difference between what runs and a new file. ``values``: what runs once ``applied`` is
-    in force.
+    """The keys that differ between the configuration in force and a new file.
+
+    ``values`` is the configuration in force after the keys in ``applied`` have been applied.
     """
 
     applied: tuple[str, ...]
@@ -92,69 +95,74 @@
 
 
 def classify_changes(
-    running: ConfigurationTable, wanted: ConfigurationTable, in_flight: Callable[[str], bool]
+    running: ConfigurationTable, wanted: ConfigurationTable, is_reloadable: Callable[[str], bool]
 ) -> ConfigurationChange:
-    """Sort the keys that differ into those that a reload takes over and those that need a restart.
+    """Sort the keys that differ into those that a reload applies and those that need a restart.
 
-    Guards against a mixture of class tables: where the classes themselves differ, no key of a class
-    is taken.
+    If the list of classes differs, no key of a class is applied, which prevents a mixture of class
+    tables.
     """
     differ = [
         key
         for key in sorted(running.keys() | wanted.keys())
         if (key in running) != (key in wanted) or running.get(key) != wanted.get(key)
     ]
-    whole = running.get("classes") == wanted.get("classes")
-    taken: list[str] = []
-    kept: list[str] = []
+    same_classes = running.get("classes") == wanted.get("classes")
+    applied: list[str] = []
+    needs_restart: list[str] = []
     for key in differ:
-        fits = (
+        is_applied = (
             key in running
             and key in wanted
-            and in_flight(key)
-            and (whole or not key.startswith("class."))
+            and is_reloadable(key)
+            and (same_classes or not key.startswith("class."))
         )
-        (taken if fits else kept).append(key)
-    values = {**running, **{key: wanted[key] for key in taken}}
-    return ConfigurationChange(tuple(taken), tuple(kept), values)
+        (applied if is_applied else needs_restart).append(key)
+    values = {**running, **{key: wanted[key] for key in applied}}
+    return ConfigurationChange(tuple(applied), tuple(needs_restart), values)
 
 
-def _taken_over(record: Any, keys: Mapping[str, str], in_flight: frozenset[str]) -> dict[str, Any]:
-    """The fields of a record that a reload takes over, with their values."""
+def _reloadable_values(
+    record: Any, keys: Mapping[str, str], reloadable: frozenset[str]
+) -> dict[str, Any]:
+    """Return the reloadable fields of a record with their values."""
     named = keyed_fields(record, keys)
-    return {named[key]: getattr(record, named[key]) for key in in_flight}
+    return {named[key]: getattr(record, named[key]) for key in reloadable}
 
 
 def with_reloaded_keys(running: contract.Settings, wanted: contract.Settings) -> contract.Settings:
-    """``running`` with all that is taken over in flight as ``wanted`` has it."""
+    """Return ``running`` with the reloadable values of ``wanted``."""
     classes = running.classes
     if [c.name for c in running.classes] == [c.name for c in wanted.classes]:
         classes = tuple(
-            replace(old, **_taken_over(new, CLASS_KEYS, RELOADABLE_CLASS_KEYS))
+            replace(old, **_reloadable_values(new, CLASS_KEYS, RELOADABLE_CLASS_KEYS))
             for old, new in zip(running.classes, wanted.classes, strict=True)
         )
-    more = _taken_over(wanted, SETTINGS_KEYS, RELOADABLE_SETTINGS_KEYS)
-    return replace(running, classes=classes, **more)
+    settings = _reloadable_values(wanted, SETTINGS_KEYS, RELOADABLE_SETTINGS_KEYS)
+    return replace(running, classes=classes, **settings)
 
 
 @dataclass(slots=True)
 class RunningConfiguration:
-    """What an instance tells of its configuration."""
+    """What an instance reports about its configuration."""
 
     values: ConfigurationTable
     generation: int = 0
-    needs_restart: tuple[str, ...] = ()  # keys of the newest file that are not in force
-    problem: str = ""  # why the last reload was refused
+    needs_restart: tuple[str, ...] = ()  # keys that differ in the newest file but are not in force
+    problem: str = ""  # why the last reload was rejected, empty if it was not
     reloads: int = 0
 
-    def took(self, change: ConfigurationChange, generation: int | None) -> None:
-        """The generation is taken on only with the whole of its configuration."""
+    def record_reload(self, change: ConfigurationChange, generation: int | None) -> None:
+        """Record an applied reload.
+
+        ``generation`` comes into force only if no key of its configuration needs a restart.
+        """
         self.values, self.needs_restart, self.problem = change.values, change.needs_restart, ""
         self.reloads += 1
         if generation is not None and not change.needs_restart:
             self.generation = generation
 
-    def refused(self, why: str) -> None:
+    def record_rejection(self, why: str) -> None:
         self.problem = why
 
     def to_dict(self) -> dict[str, Any]:
--- a/onyxpass/admin/serve_configuration.py
+++ b/onyxpass/admin/serve_configuration.py
@@ -1,7 +1,7 @@
-"""A dispatcher's configuration as a flat table, and which of its keys a reload takes over.
+"""A dispatcher's configuration as a flat table, and the keys of it that a reload can change.
 
-Left out is what belongs to one process and not to its configuration: seeds, the list as last known,
-inherited descriptors, the folder of temporary files.
+Values of one process that are not part of its configuration are left out: seeds, the last known
+list of servers, inherited descriptors, the folder of temporary files.
 """
 
 from typing import Any
--- a/onyxpass/admin/server.py
+++ b/onyxpass/admin/server.py
@@ -1,10 +1,9 @@
-"""The admin socket of one instance: a Unix socket in its agent's folder, which only that user
-may open.
+"""The admin socket of one instance: a Unix socket in its agent's folder, for that user only.
 
-``GET /status`` tells what it runs on, what is open, and its drain. ``POST /reload {"generation":
-N}`` reads the file again; 409 where that is no use, and nothing is changed. ``POST /drain
-{"deadline_ms": N, "notice_ms": N, "force": false}`` begins a drain, or gives it a new deadline;
-``POST /undrain`` serves again.
+``GET /status`` returns the configuration in force, the open requests and the drain. ``POST /reload
+{"generation": N}`` reads the configuration file again; if it is invalid, the answer is 409 and
+nothing changes. ``POST /drain {"deadline_ms": N, "notice_ms": N, "force": false}`` starts a drain
+or gives it a new deadline; ``POST /undrain`` ends it. Every successful call returns the status.
 """
 
 import json
@@ -50,38 +49,38 @@
 from onyxpass.net.listen import Listener
 from onyxpass.net.unix import listen_unix
 
-LOOK_US = 20_000  # between looks at a drain
-MOST_MS = 24 * 3600 * 1000
-CUT = "cut short by an operator"
+DRAIN_POLL_US = 20_000  # between two checks of an active drain
+MAX_DURATION_MS = 24 * 3600 * 1000  # longest deadline and notice
+ABORT_REASON = "cut short by an operator"
 log = structlog.get_logger("admin")
 
 
 class ManagedProgram(Protocol):
-    """What the admin socket needs of a program."""
+    """The interface of an instance that the admin socket uses."""
 
     kind: str
     core: RequestDispatcher
 
     def configuration_values(self) -> ConfigurationTable:
-        """What it runs on."""
+        """Return the configuration in force."""
 
     def reload_now(self) -> ConfigurationChange:
-        """Read the file again and take over what can be; ConfigError where it is no use."""
+        """Read the file again and apply the reloadable keys; ConfigError if it is invalid."""
 
     def ready(self) -> bool:
-        """Whether it takes requests."""
+        """Whether the instance accepts requests."""
 
     def open_requests(self) -> OpenRequests:
-        """What is open, up to the last byte of the last answer."""
+        """Return the requests that are open until the last byte of their answer is sent."""
 
     def set_draining(self, draining: bool) -> None:
-        """Tell the front layer that it is not ready, or serve again."""
+        """Report to the front layer that the instance is not ready, or serve again."""
 
     def stop_admitting(self) -> None:
         """Refuse new requests."""
 
     def metrics(self) -> dict[str, Any]:
-        """Its figures."""
+        """Return the metrics by name."""
 
 
 class AdminServer(CallServer):
@@ -91,8 +90,8 @@
         self.path = Path(os.environ[ADMIN_VARIABLE])
         super().__init__(wheel, str(self.path))
         self.managed, self.drain = managed, Drain()
-        told = os.environ.get(GENERATION_VARIABLE, "0")
-        generation = int(told) if told.isdigit() else 0
+        generation_text = os.environ.get(GENERATION_VARIABLE, "0")
+        generation = int(generation_text) if generation_text.isdigit() else 0
         self.running = RunningConfiguration(managed.configuration_values(), generation)
         self.launch = os.environ.get(LAUNCH_VARIABLE, "")
         self.started_s = time.time()
@@ -102,9 +101,7 @@
 
     def status(self) -> dict[str, Any]:
         now_us = self.wheel.clock.now_us()
-        self.running.values = (
-            self.managed.configuration_values()
-        )  # a reload by SIGHUP counts as well
+        self.running.values = self.managed.configuration_values()  # SIGHUP may have reloaded it
         return {
             "kind": self.managed.kind,
             "pid": os.getpid(),
@@ -127,10 +124,12 @@
             case b"POST", "/drain":
                 reject_unknown_fields(call, "deadline_ms", "notice_ms", "force")
                 deadline_us = (
-                    integer_field(call, "deadline_ms", DEFAULT_DEADLINE_US // 1000, MOST_MS) * 1000
+                    integer_field(call, "deadline_ms", DEFAULT_DEADLINE_US // 1000, MAX_DURATION_MS)
+                    * 1000
                 )
                 notice_us = (
-                    integer_field(call, "notice_ms", DEFAULT_NOTICE_US // 1000, MOST_MS) * 1000
+                    integer_field(call, "notice_ms", DEFAULT_NOTICE_US // 1000, MAX_DURATION_MS)
+                    * 1000
                 )
                 self._drain(deadline_us, notice_us, boolean_field(call, "force"))
             case b"POST", "/undrain":
@@ -148,35 +147,37 @@
         try:
             change = self.managed.reload_now()
         except ConfigError as problem:
-            self.running.refused(str(problem))
+            self.running.record_rejection(str(problem))
             log.error("configuration_rejected", why=str(problem))
             raise ApiError(409, str(problem), config=self.running.to_dict()) from problem
-        self.running.took(change, generation)
+        self.running.record_reload(change, generation)
 
     def _drain(self, deadline_us: int, notice_us: int, force: bool) -> None:
-        was = self.drain.active
+        was_active = self.drain.active
         self.drain.start(self.wheel.clock.now_us(), deadline_us, force, notice_us)
         self.managed.set_draining(True)
         log.info("drain", deadline_ms=deadline_us // 1000, force=force)
-        if not was:
-            self._look()
+        if not was_active:
+            self._check_drain()
 
-    def _look(self) -> None:
-        """Follow the drain till it is undone: once drained it stays so, and a later force still
-        counts.
+    def _check_drain(self) -> None:
+        """Advance the drain and schedule the next check until the drain is cancelled.
+
+        The checks go on after the deadline, since a later order may set ``force``.
         """
         if not self.drain.active:
             return
         try:
-            before = self.drain.phase
+            phase_before = self.drain.phase
             for step in self.drain.advance(self.wheel.clock.now_us(), self.managed.open_requests()):
                 if step is DrainStep.REJECT_NEW:
                     self.managed.stop_admitting()
                 elif step is DrainStep.ABORT_OPEN:
                     log.warning(
-                        "drain_cut_short", requests=self.managed.core.shutdown.abort_all(CUT)
+                        "drain_cut_short",
+                        requests=self.managed.core.shutdown.abort_all(ABORT_REASON),
                     )
-            if self.drain.phase is not before:
+            if self.drain.phase is not phase_before:
                 log.info("drain", phase=self.drain.phase.value, cut=self.drain.aborted_requests)
-        finally:  # guards against a drain that is never looked at again after one bad look
-            self.wheel.after(LOOK_US, self._look)
+        finally:  # an exception must not end the checks of the drain
+            self.wheel.after(DRAIN_POLL_US, self._check_drain)
--- a/onyxpass/admin/table_keys.py
+++ b/onyxpass/admin/table_keys.py
@@ -1,7 +1,7 @@
-"""The keys of a configuration's flat table, where they differ from the names in the code.
+"""The keys of a configuration's flat table that differ from the field names in the code.
 
-The digest of the table is compared between processes of different versions and kept by agents, so
-its keys stay as they are whatever the fields are called.
+The digest of the table is compared between processes of different versions and stored by agents, so
+the keys stay the same when a field is renamed.
 """
 
 from collections.abc import Mapping
@@ -37,5 +37,5 @@
 
 
 def keyed_fields(record: Any, keys: Mapping[str, str]) -> dict[str, str]:
-    """The field for each key of a settings record."""
+    """Map each key of a settings record to its field name."""
     return {keys.get(field.name, field.name): field.name for field in fields(record)}
--- a/onyxpass/cli.py
+++ b/onyxpass/cli.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command line of onyxpass."""
 
 import asyncio
 import os
@@ -15,23 +15,24 @@
 app = typer.Typer(
     no_args_is_help=True, add_completion=False, help="A dispatcher for reader and writer replicas."
 )
-agent_app = typer.Typer(no_args_is_help=True, help="Many instances on this machine.")
+agent_app = typer.Typer(no_args_is_help=True, help="Manage many instances on this machine.")
 app.add_typer(agent_app, name="agent")
-Answer = TypeVar("Answer")
-Found = TypeVar("Found")
+Result = TypeVar("Result")
+Loaded = TypeVar("Loaded")
 Level = Literal["debug", "info", "warning", "error", "critical"]
 ConfigFile = Annotated[
-    Path | None, typer.Option("--config", help="The platform's JSON; else $ROUTER_CONFIG.")
+    Path | None,
+    typer.Option("--config", help="The platform's JSON file; the default is $ROUTER_CONFIG."),
 ]
 
 
-# what must start at once, with little memory
-LIGHT = ("serve", "toolcalls", "check-config", "version")
+# Commands that must start quickly and with little memory.
+LIGHTWEIGHT_COMMANDS = ("serve", "toolcalls", "check-config", "version")
 
 
 def main() -> None:
-    """The whole command line; the operators' groups are loaded only where they are asked for."""
-    if (sys.argv[1:2] or [""])[0] not in LIGHT:
+    """Run the command line; the operators' groups are imported only for commands that need them."""
+    if (sys.argv[1:2] or [""])[0] not in LIGHTWEIGHT_COMMANDS:
         from onyxpass.desired.cli import desired_app
         from onyxpass.fleet.cli import fleet_app
         from onyxpass.soak.cli import soak
@@ -43,14 +44,14 @@
         app.add_typer(servers_app, name="servers")
         app.add_typer(standin_app, name="standin")
         app.command("soak")(soak)
-    if (sys.argv[1:2] or [""])[0] == "lab":  # an extra: it needs numpy
+    if (sys.argv[1:2] or [""])[0] == "lab":  # needs numpy, which only an extra installs
         from onyxpass.emulator.cli import lab_app
 
         app.add_typer(lab_app, name="lab")
     app(prog_name="onyxpass")
 
 
-def read_toml(load: Callable[[Path], Found], path: Path) -> Found:
+def load_toml(load: Callable[[Path], Loaded], path: Path) -> Loaded:
     try:
         return load(path)
     except configuration.ConfigError as problem:
@@ -58,7 +59,7 @@
         raise typer.Exit(2) from problem
 
 
-def read(path: Path | None) -> configuration.Config:
+def load_config(path: Path | None) -> configuration.Config:
     try:
         return configuration.load(path, strict=True)
     except configuration.ConfigError as problem:
@@ -71,11 +72,11 @@
     config: ConfigFile = None,
     servers: Annotated[
         Path | None,
-        typer.Option("--servers", help="Our TOML file of watched files; else $ONYXPASS_SERVERS."),
+        typer.Option("--servers", help="The TOML sources file; the default is $ONYXPASS_SERVERS."),
     ] = None,
     log_level: Level = "info",
 ) -> None:
-    """Run one dispatcher in the foreground till SIGTERM; SIGHUP reads the configuration again."""
+    """Run one dispatcher in the foreground until SIGTERM; SIGHUP reloads the configuration."""
     from onyxpass.start import run
 
     if servers is not None:
@@ -85,32 +86,32 @@
 
 @app.command("check-config")
 def check_config(config: ConfigFile = None) -> None:
-    """Read the configuration and say what it holds; exit code 2 if it is no use."""
+    """Check the configuration and print a summary; exit code 2 if it is invalid."""
     from onyxpass.net import front, replica
 
-    found = read(config)
-    known = len(found.known_endpoints.get("hosts") or ())
-    classes = ", ".join(c.name for c in found.settings.classes)
-    typer.echo(f"{found.name}: listens on {found.listen}, discovery at {found.discovery}")
+    loaded = load_config(config)
+    known_count = len(loaded.known_endpoints.get("hosts") or ())
+    classes = ", ".join(c.name for c in loaded.settings.classes)
+    typer.echo(f"{loaded.name}: listens on {loaded.listen}, discovery at {loaded.discovery}")
     typer.echo(
-        f"operators' address: {found.control or 'none'}; kept in {found.folder or 'memory only'}"
+        f"operators' address: {loaded.control or 'none'}; state in {loaded.folder or 'memory only'}"
     )
-    passed = (
+    listener = (
         "bound here"
-        if found.listen_descriptor is None
-        else f"passed as descriptor {found.listen_descriptor}"
+        if loaded.listen_descriptor is None
+        else f"passed as descriptor {loaded.listen_descriptor}"
     )
-    typer.echo(f"clients' socket: {passed}")
-    typer.echo(f"classes: {classes}; servers known: {known}")
+    typer.echo(f"clients' socket: {listener}")
+    typer.echo(f"classes: {classes}; servers known: {known_count}")
     typer.echo(
-        f"descriptors: {found.sockets}, of them {found.connection_limit} for clients, as many for replicas"
+        f"descriptors: {loaded.sockets}, of them {loaded.connection_limit} for clients and as many for replicas"
     )
     typer.echo(
         f"clients: {front.REQUEST_TIMEOUT_US / 1e6:g} s for a request, "
-        f"{front.IDLE_TIMEOUT_US / 1e6:g} s between two"
+        f"{front.IDLE_TIMEOUT_US / 1e6:g} s between two requests"
     )
-    opening, silence = replica.FIRST_EVENT_TIMEOUT_US / 1e6, replica.STREAM_STALL_TIMEOUT_US / 1e6
-    typer.echo(f"streams: {opening:g} s to open, cut off after {silence:g} s of silence")
+    open_s, silence_s = replica.FIRST_EVENT_TIMEOUT_US / 1e6, replica.STREAM_STALL_TIMEOUT_US / 1e6
+    typer.echo(f"streams: {open_s:g} s to open, aborted after {silence_s:g} s of silence")
     typer.echo(f"on SIGHUP: discovery at {configuration.load(config, reloading=True).discovery}")
 
 
@@ -136,47 +137,47 @@
 def toolcalls(
     config: Annotated[Path, typer.Option("--config", help="The operator's TOML file.")],
     check: Annotated[
-        bool, typer.Option("--check", help="Only read the file and say what it holds.")
+        bool, typer.Option("--check", help="Only check the file and print a summary.")
     ] = False,
     log_level: Level = "info",
 ) -> None:
-    """Run the JSON-RPC front in the foreground till SIGTERM; SIGHUP reads its servers again."""
+    """Run the JSON-RPC front in the foreground until SIGTERM; SIGHUP reloads its servers."""
     from onyxpass.core import event_loop
     from onyxpass.toolcalls import service
 
-    found = read_toml(service.load, config)
+    loaded = load_toml(service.load, config)
     if check:
-        typer.echo(f"{found.name}: listens on {found.listen}, tool server at {found.tools}")
-        typer.echo(f"servers: {', '.join(server.id for server, _ in found.servers)}")
+        typer.echo(f"{loaded.name}: listens on {loaded.listen}, tool server at {loaded.tools}")
+        typer.echo(f"servers: {', '.join(server.id for server, _ in loaded.servers)}")
         return
     logs.configure(log_level)
     with asyncio.Runner(loop_factory=event_loop.make) as runner:
-        runner.run(service.serve(found, lambda: service.load(config)))
+        runner.run(service.serve(loaded, lambda: service.load(config)))
 
 
 @agent_app.command("run")
 def agent_run(
     config: Annotated[Path, typer.Option("--config", help="The operator's TOML file.")],
     check: Annotated[
-        bool, typer.Option("--check", help="Only read the file and say what it holds.")
+        bool, typer.Option("--check", help="Only check the file and print a summary.")
     ] = False,
     log_level: Level = "info",
 ) -> None:
-    """Start, watch and restart the instances of a file till SIGTERM; then stop them all."""
+    """Start, supervise and restart the instances of a file until SIGTERM; then stop them all."""
     from onyxpass.agent import config as agent_config
     from onyxpass.agent import main
     from onyxpass.agent.state_store import StateStoreError
 
-    found = read_toml(agent_config.load, config)
+    loaded = load_toml(agent_config.load, config)
     if check:
         typer.echo(
-            f"{found.name}: address {found.listen or 'none'}, state in {found.state or 'memory only'}"
+            f"{loaded.name}: address {loaded.listen or 'none'}, state in {loaded.state or 'memory only'}"
         )
-        typer.echo(f"instances: {', '.join(spec.name for spec in found.instances)}")
+        typer.echo(f"instances: {', '.join(spec.name for spec in loaded.instances)}")
         return
     logs.configure(log_level)
     try:
-        asyncio.run(main.run(found))
+        asyncio.run(main.run(loaded))
     except configuration.ConfigError as problem:
         typer.echo(f"onyxpass: {problem}", err=True)
         raise typer.Exit(2) from problem
@@ -187,7 +188,7 @@
 
 @agent_app.command("key")
 def agent_key(path: Path) -> None:
-    """Make a key for an agent and its callers, in a new file that only you may read."""
+    """Generate a key for an agent and its callers in a new file that only you may read."""
     from onyxpass.agent.credentials import make_key
 
     try:
@@ -197,17 +198,17 @@
         raise typer.Exit(2) from problem
 
 
-StoreUrl = Annotated[str, typer.Option("--store", help="The Redis that the agents tell.")]
+StoreUrl = Annotated[str, typer.Option("--store", help="The Redis to which the agents report.")]
 LOCAL_STORE = "redis://127.0.0.1:6379/0"
 
 
-def ask_store(question: Callable[[Any], Awaitable[Answer]], url: str) -> Answer:
+def query_store(query: Callable[[Any], Awaitable[Result]], url: str) -> Result:
     from onyxpass.store.redis import RedisStore, StoreUnavailableError
 
-    async def ask() -> Answer:
+    async def ask() -> Result:
         store = RedisStore(url, 2000)
         try:
-            return await question(store)
+            return await query(store)
         finally:
             await store.close()
 
@@ -220,12 +221,15 @@
 
 @agent_app.command("list")
 def agent_list(store: StoreUrl = LOCAL_STORE) -> None:
-    """List the instances of all agents that have been heard of lately."""
-    found: dict[str, dict[str, Any]] = ask_store(lambda s: s.instances(), store)
+    """List the instances that agents have reported recently."""
+    instances: dict[str, dict[str, Any]] = query_store(lambda s: s.instances(), store)
     columns = ("instance", "agent", "state", "pid", "restarts", "last_exit")
     rows = [
         columns,
-        *((name, *(str(state.get(c, "-")) for c in columns[1:])) for name, state in found.items()),
+        *(
+            (name, *(str(state.get(c, "-")) for c in columns[1:]))
+            for name, state in instances.items()
+        ),
     ]
     widths = [max(len(row[i]) for row in rows) for i in range(len(columns))]
     for row in rows:
@@ -236,11 +240,11 @@
 
 @agent_app.command("stop")
 def agent_stop(name: str, store: StoreUrl = LOCAL_STORE) -> None:
-    """Ask for an instance to be stopped and kept so; its agent follows within its poll time."""
-    ask_store(lambda s: s.set_desired_running(name, False), store)
+    """Request that an instance is stopped and stays stopped; its agent acts within its poll time."""
+    query_store(lambda s: s.set_desired_running(name, False), store)
 
 
 @agent_app.command("start")
 def agent_start(name: str, store: StoreUrl = LOCAL_STORE) -> None:
-    """Ask for a stopped instance to run again."""
-    ask_store(lambda s: s.set_desired_running(name, True), store)
+    """Request that a stopped instance runs again."""
+    query_store(lambda s: s.set_desired_running(name, True), store)
--- a/onyxpass/logs.py
+++ b/onyxpass/logs.py
@@ -7,55 +7,53 @@
 
 import structlog
 
-LOG_FILE_VARIABLE = (
-    "ONYXPASS_HISTORY"  # names the file for the log of a command, which has none otherwise
-)
+# The file for the log of a command; without it a command has no log.
+LOG_FILE_VARIABLE = "ONYXPASS_HISTORY"
 
 
 class LogFile:
-    """Writes whole lines to a descriptor, and never fails: what can't be written is dropped and
-    counted.
+    """Writes whole lines to a descriptor and drops and counts those that cannot be written.
 
-    Guards against requests lost by a full disk or a reader that has gone: what is logged in the
-    middle of a step must not break that step off. The first line that is written again tells how
-    many are lacking.
+    A full disk or a closed reader must not fail a request: an exception from a log call would abort
+    the step that logs. The next line that can be written is preceded by the number of dropped lines.
     """
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
         self._line = ""
-        self._cut = False  # whether a part of a line stands at the end of the file
+        self._partial_line = False  # whether the file ends with a part of a line
         self.dropped = 0
 
     def write(self, text: str) -> int:
         self._line += text
         if self._line.endswith("\n"):
             line, self._line = self._line, ""
-            self._put(line.encode(errors="backslashreplace"))
+            self._write_line(line.encode(errors="backslashreplace"))
         return len(text)
 
     def flush(self) -> None:
-        """Every line has left already."""
+        """Do nothing: every line is written at once."""
 
-    def _put(self, line: bytes) -> None:
+    def _write_line(self, line: bytes) -> None:
         if self.dropped:
             line = b'{"event": "log lines dropped", "n": %d}\n%b' % (self.dropped, line)
-        if self._cut:
+        if self._partial_line:
             line = b"\n" + line
-        rest = memoryview(line)
+        remaining = memoryview(line)
         try:
-            while rest:
-                rest = rest[os.write(self._descriptor, rest) :]
+            while remaining:
+                remaining = remaining[os.write(self._descriptor, remaining) :]
         except OSError:
             self.dropped += 1
-            self._cut = self._cut or len(rest) < len(line)
+            self._partial_line = self._partial_line or len(remaining) < len(line)
         else:
-            self.dropped, self._cut = 0, False
+            self.dropped, self._partial_line = 0, False
 
 
 def configure_for_command() -> None:
-    """What a command prints is its answer, so its log goes to a file of its own, if one is
-    named.
+    """Send the log of a command to the file in ``LOG_FILE_VARIABLE``, or drop it.
+
+    Standard output is for the command's result.
     """
     if path := os.environ.get(LOG_FILE_VARIABLE):
         configure(
@@ -67,15 +65,18 @@
 
 
 def standard_output() -> "LogFile | TextIO":
-    """Standard output as a log; where a caller has put something else in its place, that."""
+    """Return standard output as a log file, or ``sys.stdout`` itself if it has no descriptor."""
     try:
         return LogFile(sys.stdout.fileno())
     except (AttributeError, OSError, ValueError):
         return sys.stdout
 
 
-def configure(level: str, to: "LogFile | TextIO | Any" = None) -> None:
-    """One JSON object a line on standard output, which is what the platform keeps as the log."""
+def configure(level: str, stream: "LogFile | TextIO | Any" = None) -> None:
+    """Log one JSON object a line to ``stream``; the default is standard output.
+
+    The platform keeps standard output as the log.
+    """
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -86,6 +87,6 @@
         wrapper_class=structlog.make_filtering_bound_logger(
             logging.getLevelNamesMapping()[level.upper()]
         ),
-        logger_factory=structlog.PrintLoggerFactory(cast("TextIO", to or standard_output())),
+        logger_factory=structlog.PrintLoggerFactory(cast("TextIO", stream or standard_output())),
         cache_logger_on_first_use=True,
     )
--- a/onyxpass/optional_dependencies.py
+++ b/onyxpass/optional_dependencies.py
@@ -1,4 +1,4 @@
-"""Packages that only some commands need, and the extra of this project that brings each of them."""
+"""Optional packages, and the extra of this project that installs each of them."""
 
 EXTRAS = {
     "hiredis": "standin",
@@ -10,9 +10,10 @@
 }
 
 
-def missing_extra(problem: ModuleNotFoundError) -> str | None:
-    """One line for whoever lacks an extra; None if something else is missing, which is a defect
-    of ours.
+def missing_extra_message(problem: ModuleNotFoundError) -> str | None:
+    """Return a line that names the missing extra.
+
+    Returns None if the package belongs to no extra; its absence is a defect of the program.
     """
     package = (problem.name or "").partition(".")[0]
     if (extra := EXTRAS.get(package)) is None:
--- a/onyxpass/serve.py
+++ b/onyxpass/serve.py
@@ -1,4 +1,4 @@
-"""One dispatcher for the platform: the core, its module, the HTTP front and the fleet behind it."""
+"""A dispatcher process: the core, its router, the HTTP front and the connections to replicas."""
 
 import asyncio
 import gc
@@ -21,7 +21,7 @@
 from onyxpass.net.replicas import Replicas
 from onyxpass.net.stream_migration import StreamReceiver, StreamSender
 
-if TYPE_CHECKING:  # guards against start time spent on what only a managed instance needs
+if TYPE_CHECKING:  # keeps modules that only a managed instance needs out of the start
     from typing import Any
 
     from onyxpass.admin.drain import OpenRequests
@@ -30,8 +30,8 @@
     from onyxpass.sources.interface import MembershipSource
     from onyxpass.sources.membership import FileSource
 
-SWEEP_US = 1_000_000
-STATE_US = 10_000_000
+SWEEP_INTERVAL_US = 1_000_000
+STATE_LOG_INTERVAL_US = 10_000_000
 log = structlog.get_logger("serve")
 
 
@@ -58,7 +58,7 @@
             sources = membership.load(config.servers_file)
             if sources.file.mode == "over" and config.discovery == NO_ADDRESS:
                 raise ConfigError(
-                    f"{config.servers_file}: mode 'over' needs a discovery to lie over"
+                    f"{config.servers_file}: mode 'over' needs a discovery whose list it can modify"
                 )
             self.file_source = membership.FileSource(
                 self.core,
@@ -68,9 +68,9 @@
             )
             if not sources.sole_source:
                 self.endpoint_watcher.overlay = self.file_source.apply_overlay
-        passed = inherited_listener(config.listen_descriptor)
+        listener = inherited_listener(config.listen_descriptor)
         self.front = Front(
-            self.core, config.listen, self.has_complete_list, config.connection_limit, passed
+            self.core, config.listen, self.has_complete_list, config.connection_limit, listener
         )
         self.process_registry = ProcessRegistry(
             config.folder, f"{config.name}|{config.listen}", config.sockets, self.wheel
@@ -87,8 +87,9 @@
         self.tasks: list[asyncio.Task[None]] = []
 
     def _apply_descriptor_limit(self, sockets: int) -> None:
-        """How many descriptors this process may hold: fewer while there is another one of this
-        dispatcher.
+        """Set the connection limits from the number of descriptors that this process may hold.
+
+        The number is lower while another process of the same dispatcher runs.
         """
         self.front.max_connections = self.replicas.budget.limit = connection_limit(sockets)
         self.replicas.budget.shrink()
@@ -98,7 +99,7 @@
         return self.file_source is not None and self.file_source.sources.sole_source
 
     def has_complete_list(self) -> bool:
-        """Whether there is a whole list, from whichever source."""
+        """Whether the source in use has a complete list of servers."""
         source: MembershipSource = (
             self.file_source
             if self.file_source is not None and self.watches_files_only
@@ -107,7 +108,7 @@
         return source.ready
 
     def ready(self) -> bool:
-        """Whether the list is whole and clients are taken."""
+        """Whether the list is complete and the front accepts clients."""
         accepting = self.front.accepting
         return (
             self.has_complete_list()
@@ -138,7 +139,7 @@
             self.admin = AdminServer(self, self.wheel)
             self.tasks.append(asyncio.create_task(self.admin.run()))
         self._sweep()
-        self.wheel.after(STATE_US, self._tell_state)
+        self.wheel.after(STATE_LOG_INTERVAL_US, self._log_state)
         for fault in self.config.faults:
             log.warning("settings_fault", key=fault.key, why=fault.reason)
         log.info(
@@ -149,43 +150,47 @@
 
     def _sweep(self) -> None:
         self.replicas.sweep()
-        self.wheel.after(SWEEP_US, self._sweep)
+        self.wheel.after(SWEEP_INTERVAL_US, self._sweep)
 
-    def _tell_state(self) -> None:
-        """What is held, and where the module believes in other exchanges than are open."""
-        believed = {
+    def _log_state(self) -> None:
+        """Log the open resources and the servers whose exchanges differ from the router's count."""
+        tracked = {
             h.id: len(h.pending_tokens.keys() | h.streams.keys())
             for h in self.core.router.servers.values()
         }
-        real = {name: len(actor.tasks) for name, actor in self.replicas.actors.items()}
+        open_exchanges = {name: len(actor.tasks) for name, actor in self.replicas.actors.items()}
         log.info(
             "state",
             requests=len(self.core.registry.by_number),
             cpu_us=cpu_us(),
             clients=len(self.front.connections),
             connections=self.replicas.budget.open,
-            exchanges=sum(real.values()),
+            exchanges=sum(open_exchanges.values()),
             closed={why.value: n for why, n in self.front.connections.closed.items()},
             violations=self.core.invariants.violations.total(),
-            differ={n: [b, real.get(n, 0)] for n, b in believed.items() if b != real.get(n, 0)},
+            differ={
+                n: [b, open_exchanges.get(n, 0)]
+                for n, b in tracked.items()
+                if b != open_exchanges.get(n, 0)
+            },
             aside=[h.id for h in self.core.router.servers.values() if h.ejection_level],
         )
-        self.wheel.after(STATE_US, self._tell_state)
+        self.wheel.after(STATE_LOG_INTERVAL_US, self._log_state)
 
     def reload(self, read: Callable[[], Config]) -> None:
-        """Take over what the replaced file says, as far as that can be done in flight; on
-        SIGHUP.
-        """
+        """Apply the reloadable keys of the changed file; called on SIGHUP."""
         try:
             self.apply_reload(read)
-        except ConfigError as problem:  # guards against a file half written: the old settings hold
+        except ConfigError as problem:
+            # The file may be partly written; the old settings stay.
             log.error("configuration_rejected", why=str(problem))
-        except Exception:  # guards against a crash on a file that nobody foresaw
+        except Exception:  # an unforeseen error in the file must not end the process
             log.exception("configuration_unreadable")
 
     def apply_reload(self, read: Callable[[], Config]) -> "ConfigurationChange":
-        """All that a running process can change, at once; the rest is named and waits for a
-        restart.
+        """Apply the reloadable keys and return the change; the other keys wait for a restart.
+
+        ConfigError if the file is invalid.
         """
         from onyxpass.admin.running_configuration import classify_changes, with_reloaded_keys
         from onyxpass.admin.serve_configuration import is_reloadable, serve_values
@@ -215,7 +220,7 @@
         )
         return change
 
-    # As its agent manages it
+    # The interface for the admin socket (ManagedProgram)
 
     def configuration_values(self) -> "ConfigurationTable":
         from onyxpass.admin.serve_configuration import serve_values
@@ -226,7 +231,10 @@
         return self.apply_reload(self.load_config)
 
     def open_requests(self) -> "OpenRequests":
-        """A request is open till its answer has left, so connections count as well."""
+        """Return the open requests.
+
+        A request is open until its answer is sent, so connections that answer count as well.
+        """
         from onyxpass.admin.drain import OpenRequests
 
         requests, streams, oldest_us = self.core.registry.in_flight_summary()
@@ -251,9 +259,8 @@
         if (path := self.process_registry.successor_socket()) is not None:
             self.replicas.migrate_streams(StreamSender(path, self.core))
         await self.front.stop()
-        while (
-            self.core.registry.by_number
-        ):  # what was taken and left by its client is still being tidied up
+        # Requests whose clients have disconnected are still being cleaned up.
+        while self.core.registry.by_number:
             await self.wheel.sleep(10_000)
         await asyncio.gather(*self.replicas.release_tasks, return_exceptions=True)
         for task in self.tasks:
@@ -263,26 +270,27 @@
 
 
 async def serve(config: Config, load_config: Callable[[], Config]) -> None:
-    """Run till SIGTERM or SIGINT, then finish what was taken. SIGHUP reads the file again."""
+    """Run until SIGTERM or SIGINT, then finish the accepted requests; SIGHUP reloads the file."""
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopping.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopping.set)
     dispatcher = DispatcherProcess(config, load_config)
-    # Guards against SIGHUP's default, which ends the program with all that it has taken.
+    # Without a handler SIGHUP would end the process and its requests.
     loop.add_signal_handler(signal.SIGHUP, dispatcher.reload, load_config)
     try:
         await dispatcher.start()
-    except OSError as problem:  # its address is in use, or not this machine's
+    except OSError as problem:  # the address is in use or not of this machine
         log.error("start_failed", why=str(problem))
         raise SystemExit(1) from problem
     gc.collect()
-    gc.enable()  # off while the program was loaded
-    gc.freeze()  # what lives as long as the process is not looked at again by the collector
-    ended = asyncio.create_task(stopping.wait())
-    await asyncio.wait([ended, *dispatcher.tasks], return_when=asyncio.FIRST_COMPLETED)
+    gc.enable()  # disabled by start.run() during the imports
+    gc.freeze()  # excludes the objects of the start from later collections
+    stop_signal = asyncio.create_task(stopping.wait())
+    await asyncio.wait([stop_signal, *dispatcher.tasks], return_when=asyncio.FIRST_COMPLETED)
     for task in dispatcher.tasks:
-        # guards against a dispatcher that lives on without its module, wheel or list
+        # Raises a failed task's exception, so that the process does not run on without its core,
+        # timer wheel or list.
         if task.done():
             task.result()
     await dispatcher.stop()
--- a/onyxpass/sources/__init__.py
+++ b/onyxpass/sources/__init__.py
@@ -1,1 +1,1 @@
-"""Sources of membership: where the list of servers comes from, and what is let into force of it."""
+"""Membership sources: reads, validates and applies the list of servers from watched files."""
--- a/onyxpass/sources/cli.py
+++ b/onyxpass/sources/cli.py
@@ -1,4 +1,4 @@
-"""``onyxpass servers``: watched files checked, compared, formatted and shown."""
+"""``onyxpass servers``: checks, compares, formats and shows watched files."""
 
 import asyncio
 import json
@@ -20,30 +20,40 @@
 
 servers_app = typer.Typer(
     no_args_is_help=True,
-    help="Servers from watched files. Exit codes: 0 good, 1 refused or different, 2 bad input.",
+    help="Servers from watched files. Exit codes: 0 success, 1 refused or different, 2 bad input.",
 )
-File = Annotated[Path, typer.Argument(help="Our TOML file that names what is watched.")]
-Config = Annotated[
+SourcesArgument = Annotated[
+    Path, typer.Argument(help="The TOML sources file, which names the watched files.")
+]
+ConfigOption = Annotated[
     Path | None,
-    typer.Option("--config", help="The dispatcher's file, whose kinds the servers must have."),
+    typer.Option(
+        "--config", help="The dispatcher's configuration file, which defines the server kinds."
+    ),
 ]
-Json = Annotated[bool, typer.Option("--json", help="For programs.")]
+JsonOption = Annotated[bool, typer.Option("--json", help="Print JSON.")]
 
 
-def stop(problem: Exception) -> typer.Exit:
+def input_error(problem: Exception) -> typer.Exit:
     typer.echo(f"onyxpass: {problem}", err=True)
     return typer.Exit(2)
 
 
-def opened(path: Path) -> SourcesConfig:
+def load_sources(path: Path) -> SourcesConfig:
     try:
         return load(path)
     except ConfigError as problem:
-        raise stop(problem) from problem
+        raise input_error(problem) from problem
+
 
+def roles_by_kind(
+    config: Path | None, parsed: ParsedFiles | None = None
+) -> dict[str, contract.Role]:
+    """Map each kind to its role.
 
-def roles_of(config: Path | None, draft: ParsedFiles | None = None) -> dict[str, contract.Role]:
-    """Of the kinds in the dispatcher's settings; without them, by names that say it."""
+    The roles are those of the dispatcher's settings. Without ``config`` they are guessed from the
+    names of the kinds in ``parsed``.
+    """
     if config is not None:
         try:
             if config.suffix == ".toml":
@@ -53,31 +63,32 @@
             else:
                 kinds = configuration.load(config).settings.kinds
         except ConfigError as problem:
-            raise stop(problem) from problem
+            raise input_error(problem) from problem
         return {kind.name: kind.role for kind in kinds}
-    named = {entry.server.kind for entry in draft.entries} if draft is not None else set()
-    return {name: guessed(name) for name in named if name}
+    named = {entry.server.kind for entry in parsed.entries} if parsed is not None else set()
+    return {name: guess_role(name) for name in named if name}
 
 
-def guessed(kind: str) -> contract.Role:
+def guess_role(kind: str) -> contract.Role:
+    """Guess the role from "reader" or "writer" in the name; any other kind is mixed."""
     for word, role in (("reader", contract.Role.PREFILL), ("writer", contract.Role.DECODE)):
         if word in kind.lower():
             return role
     return contract.Role.MIXED
 
 
-def drafted(
+def parse_watched(
     sources: SourcesConfig, config: Path | None
 ) -> tuple[ParsedFiles, dict[str, contract.Role]]:
     files = read_all(sources.paths)
-    roles = roles_of(config)
+    roles = roles_by_kind(config)
     if config is None:
-        roles = roles_of(None, watched_schema.parse_files(files, (), False))
+        roles = roles_by_kind(None, watched_schema.parse_files(files, (), False))
     return watched_schema.parse_files(files, list(roles), sources.sole_source), roles
 
 
-def in_force(sources: SourcesConfig) -> MembershipView:
-    """The last good view, as its snapshot tells it; none where none is kept."""
+def last_view(sources: SourcesConfig) -> MembershipView:
+    """Return the last accepted view from its snapshot, or an empty view if none can be loaded."""
     try:
         return snapshot.load(sources.snapshot) if sources.snapshot is not None else EMPTY_VIEW
     except snapshot.SnapshotError:
@@ -85,23 +96,25 @@
 
 
 @servers_app.command("check")
-def check(file: File, config: Config = None) -> None:
-    """Read all files as the dispatcher would, and say whether they would come into force."""
-    sources = opened(file)
-    draft, roles = drafted(sources, config)
-    verdict = validate(in_force(sources), draft, roles, sources.file.guards, 0, sources.sole_source)
-    if isinstance(verdict, Rejected):
-        for reason in verdict.reasons:
+def check(file: SourcesArgument, config: ConfigOption = None) -> None:
+    """Read all files as the dispatcher would, and say whether it would accept them."""
+    sources = load_sources(file)
+    parsed, roles = parse_watched(sources, config)
+    result = validate(
+        last_view(sources), parsed, roles, sources.file.guards, 0, sources.sole_source
+    )
+    if isinstance(result, Rejected):
+        for reason in result.reasons:
             typer.echo(f"refused: {reason}", err=True)
         raise typer.Exit(1)
-    told = verdict.difference.told() if isinstance(verdict, Accepted) else {}
-    counts = ", ".join(f"{len(names)} {what}" for what, names in told.items())
+    changes = result.difference.to_dict() if isinstance(result, Accepted) else {}
+    counts = ", ".join(f"{len(names)} {what}" for what, names in changes.items())
     typer.echo(
-        f"{len(draft.entries)} servers in {len(read_all(sources.paths))} files: {counts or 'no change'}"
+        f"{len(parsed.entries)} servers in {len(read_all(sources.paths))} files: {counts or 'no change'}"
     )
 
 
-def row(entry: ServerEntry) -> dict[str, object]:
+def server_row(entry: ServerEntry) -> dict[str, object]:
     server = entry.server
     return {
         "id": server.id,
@@ -116,55 +129,56 @@
 
 
 @servers_app.command("show")
-def show(file: File, as_json: Json = False) -> None:
-    """The last good view, from its snapshot."""
-    sources = opened(file)
+def show(file: SourcesArgument, as_json: JsonOption = False) -> None:
+    """Show the last accepted view from its snapshot."""
+    sources = load_sources(file)
     if sources.snapshot is None:
-        raise stop(ConfigError(f"{file}: no snapshot is kept"))
+        raise input_error(ConfigError(f"{file}: no snapshot is configured"))
     try:
         view = snapshot.load(sources.snapshot)
     except snapshot.SnapshotError as problem:
-        raise stop(ConfigError(f"{sources.snapshot}: {problem}")) from problem
+        raise input_error(ConfigError(f"{sources.snapshot}: {problem}")) from problem
     if as_json:
-        rows = [row(entry) for entry in view.entries.values()]
+        rows = [server_row(entry) for entry in view.entries.values()]
         typer.echo(
             json.dumps({"view": view.number, "digest": view.digest, "servers": rows}, indent=2)
         )
         return
     typer.echo(f"view {view.number}, {len(view.entries)} servers, digest {view.digest}")
     for entry in view.entries.values():
-        typer.echo("  ".join(str(value) for value in row(entry).values()))
+        typer.echo("  ".join(str(value) for value in server_row(entry).values()))
 
 
 @servers_app.command("diff")
-def diff(file: File, as_json: Json = False) -> None:
-    """What the files would change of the last good view; exit code 1 if anything."""
-    sources = opened(file)
-    draft, _ = drafted(sources, None)
-    if draft.faults:
-        for fault in draft.faults:
+def diff(file: SourcesArgument, as_json: JsonOption = False) -> None:
+    """Show how the files differ from the last accepted view; exit code 1 if they do."""
+    sources = load_sources(file)
+    parsed, _ = parse_watched(sources, None)
+    if parsed.faults:
+        for fault in parsed.faults:
             typer.echo(f"refused: {fault}", err=True)
         raise typer.Exit(2)
-    old = in_force(sources)
-    entries = {entry.server.id: entry for entry in draft.entries}
+    old = last_view(sources)
+    entries = {entry.server.id: entry for entry in parsed.entries}
     if as_json:
-        typer.echo(json.dumps(compare(old.entries, entries).told(), indent=2))
+        typer.echo(json.dumps(compare(old.entries, entries).to_dict(), indent=2))
     lines = 0
     for name in sorted(old.entries.keys() | entries.keys()):
         before, after = (
-            row(some[name]) if name in some else None for some in (old.entries, entries)
+            server_row(view_entries[name]) if name in view_entries else None
+            for view_entries in (old.entries, entries)
         )
-        if (told := line_of(name, before, after)) is not None:
+        if (line := change_line(name, before, after)) is not None:
             lines += 1
             if not as_json:
-                typer.echo(told)
+                typer.echo(line)
     raise typer.Exit(1 if lines else 0)
 
 
-def line_of(
+def change_line(
     name: str, before: dict[str, object] | None, after: dict[str, object] | None
 ) -> str | None:
-    """One server's change in words; None if there is none."""
+    """Describe one server's change in a line; None if nothing changes."""
     if before is None:
         return f"+ {name}: " + ", ".join(
             f"{k} {v}" for k, v in (after or {}).items() if k not in ("id", "at")
@@ -181,39 +195,41 @@
 def fmt(
     files: Annotated[list[Path], typer.Argument(help="Watched files.")],
     check: Annotated[
-        bool, typer.Option("--check", help="Change nothing; exit code 1 if it would.")
+        bool, typer.Option("--check", help="Write nothing; exit code 1 if a file would be changed.")
     ] = False,
 ) -> None:
-    """Bring watched files into one form, comments kept. A file with a fault is not touched."""
+    """Format watched files and keep their comments. A file with a fault is left unchanged."""
     from onyxpass.sources.format import formatted
 
     different = 0
     for path in files:
         try:
-            text = path.read_bytes()
-            draft = watched_schema.parse_files({str(path): text}, (), False)
-            wrong = [fault for fault in draft.faults if "no kind" not in fault.reason]
+            text_before = path.read_bytes()
+            parsed = watched_schema.parse_files({str(path): text_before}, (), False)
+            wrong = [fault for fault in parsed.faults if "no kind" not in fault.reason]
             if wrong:
                 raise ConfigError(str(wrong[0]))
-            fresh = formatted(text.decode("utf-8-sig")).encode()
+            text_after = formatted(text_before.decode("utf-8-sig")).encode()
         except (OSError, ConfigError) as problem:
-            raise stop(problem) from problem
-        if fresh != text:
+            raise input_error(problem) from problem
+        if text_after != text_before:
             different += 1
             typer.echo(f"{path}: {'would be changed' if check else 'formatted'}")
             if not check:
-                beside = path.with_name(f".{path.name}.new")
-                beside.write_bytes(fresh)
-                beside.chmod(path.stat().st_mode & 0o777)
-                beside.replace(path)
+                temporary = path.with_name(f".{path.name}.new")
+                temporary.write_bytes(text_after)
+                temporary.chmod(path.stat().st_mode & 0o777)
+                temporary.replace(path)
     raise typer.Exit(1 if check and different else 0)
 
 
 @servers_app.command("schema")
 def schema(
-    sources: Annotated[bool, typer.Option("--sources", help="Of our own file instead.")] = False,
+    sources: Annotated[
+        bool, typer.Option("--sources", help="Print the schema of the sources file instead.")
+    ] = False,
 ) -> None:
-    """The JSON Schema of watched files."""
+    """Print the JSON Schema of watched files."""
     from onyxpass.config.toml_config import schema_text
 
     model, title = (
@@ -225,23 +241,23 @@
 
 
 @servers_app.command("watch")
-def watch(file: File, config: Config = None) -> None:
-    """Follow the files and say of each version whether it would come into force, till Ctrl-C."""
-    sources = opened(file)
+def watch(file: SourcesArgument, config: ConfigOption = None) -> None:
+    """Watch the files until Ctrl-C and say of each version whether it would be accepted."""
+    sources = load_sources(file)
 
     async def follow() -> None:
         watcher = FileWatcher(sources.paths, sources.file.poll_s)
         listening = asyncio.create_task(watcher.listen())
-        view = in_force(sources)
+        view = last_view(sources)
         try:
-            async for _ in watcher.looks():
-                draft, roles = drafted(sources, config)
-                verdict = validate(view, draft, roles, sources.file.guards, 0, sources.sole_source)
-                if isinstance(verdict, Rejected):
-                    typer.echo("refused: " + "; ".join(verdict.reasons))
-                elif isinstance(verdict, Accepted):
-                    view = verdict.view
-                    typer.echo(f"view {view.number}: {json.dumps(verdict.difference.told())}")
+            async for _ in watcher.changes():
+                parsed, roles = parse_watched(sources, config)
+                result = validate(view, parsed, roles, sources.file.guards, 0, sources.sole_source)
+                if isinstance(result, Rejected):
+                    typer.echo("refused: " + "; ".join(result.reasons))
+                elif isinstance(result, Accepted):
+                    view = result.view
+                    typer.echo(f"view {view.number}: {json.dumps(result.difference.to_dict())}")
         finally:
             listening.cancel()
 
--- a/onyxpass/sources/debounce.py
+++ b/onyxpass/sources/debounce.py
@@ -1,61 +1,74 @@
-"""When files that change are judged, without I/O: once they are still, and sooner or later in
-any case.
+"""Debounces file changes, without I/O: decides when changed files are validated.
 
-An editor writes in steps, and a server moves from one file to another in two: what is seen in
-between must not come into force. Files are judged once they have been the same for ``settle_s``, or
-for ``leave_s`` where servers would leave. Files that never rest are judged after ``most_s`` all the
-same, as they then are.
+An editor writes a file in several steps, and a server moves from one file to another in two steps:
+the intermediate states must not be applied. Files are validated once they have been unchanged for
+``settle_s``, or for ``leave_s`` if servers would be removed. Files that keep changing are validated
+after ``MAX_DELAY_FACTOR`` times that period, with the contents that they have then.
 """
 
 import hashlib
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-MOST = 10  # times the settling time that a storm of changes may put off the judgement
+# Upper bound of the delay by continuous changes, as a multiple of the settling period.
+MAX_DELAY_FACTOR = 10
 
 Files = Mapping[str, bytes | OSError]
 
 
 def contents_digest(files: Files) -> bytes:
-    """Names what the files hold, in their order; what can't be read counts as that."""
-    found = hashlib.blake2b(digest_size=16)
+    """Return a digest of the files' names and contents, in their order.
+
+    For a file that cannot be read the error stands for its contents.
+    """
+    digest = hashlib.blake2b(digest_size=16)
     for name, data in files.items():
-        told = data if isinstance(data, bytes) else repr(data).encode()
-        found.update(b"%d %d " % (len(name.encode("utf-8", "surrogateescape")), len(told)))
-        found.update(name.encode("utf-8", "surrogateescape"))
-        found.update(told)
-    return found.digest()
+        content = data if isinstance(data, bytes) else repr(data).encode()
+        digest.update(b"%d %d " % (len(name.encode("utf-8", "surrogateescape")), len(content)))
+        digest.update(name.encode("utf-8", "surrogateescape"))
+        digest.update(content)
+    return digest.digest()
 
 
 @dataclass(slots=True)
 class Debouncer:
-    """``judged``: the contents that were judged last, so that each version is judged and logged
-    once.
+    """Tracks how long the files have been unchanged.
+
+    ``validated`` is the digest of the contents that were validated last, so that each version is
+    validated and logged once.
     """
 
     settle_s: float
     leave_s: float
-    judged: bytes = b""
-    seen: bytes = b""
-    since_s: float = 0.0  # since when they are as they are
-    first_s: float = 0.0  # since when they differ from what was judged
+    validated: bytes = b""
+    current: bytes = b""
+    changed_s: float = 0.0  # time of the last change
+    differs_s: float = 0.0  # time at which they began to differ from the validated contents
 
-    def look(self, contents: bytes, now_s: float, loses: bool) -> float | None:
-        """0 if they are to be judged now, else seconds until the next look, or None: nothing is
-        new.
+    def seconds_until_due(
+        self, contents: bytes, now_s: float, removes_servers: bool
+    ) -> float | None:
+        """Return the seconds until the contents are due, 0 if they are due now.
 
-        ``loses``: whether servers would leave.
+        Returns None if these contents were validated last. ``removes_servers`` tells whether the
+        contents would remove servers.
         """
-        if contents == self.judged:
-            self.seen = contents
+        if contents == self.validated:
+            self.current = contents
             return None
-        if contents != self.seen:
-            if self.seen in (b"", self.judged):
-                self.first_s = now_s
-            self.seen, self.since_s = contents, now_s
-        still_s = max(self.settle_s, self.leave_s) if loses else self.settle_s
-        left_s = min(self.since_s + still_s, self.first_s + MOST * max(still_s, 0.01)) - now_s
+        if contents != self.current:
+            if self.current in (b"", self.validated):
+                self.differs_s = now_s
+            self.current, self.changed_s = contents, now_s
+        settling_s = max(self.settle_s, self.leave_s) if removes_servers else self.settle_s
+        left_s = (
+            min(
+                self.changed_s + settling_s,
+                self.differs_s + MAX_DELAY_FACTOR * max(settling_s, 0.01),
+            )
+            - now_s
+        )
         return max(0.0, left_s)
 
-    def done(self, contents: bytes) -> None:
-        self.judged = self.seen = contents
+    def mark_validated(self, contents: bytes) -> None:
+        self.validated = self.current = contents
--- a/onyxpass/sources/format.py
+++ b/onyxpass/sources/format.py
@@ -1,25 +1,26 @@
-"""One form for watched files, comments kept: keys in their order, one blank line between
-servers.
-"""
+"""Formats watched files: keys in a fixed order, one blank line between servers, comments kept."""
 
 import tomlkit
 from tomlkit.items import AoT, Table
 
-ORDER = ("id", "kind", "hall", "cell", "address", "weight", "state", "born")
+KEY_ORDER = ("id", "kind", "hall", "cell", "address", "weight", "state", "born")
 
 
 def formatted(text: str) -> str:
-    """The same values in one form; formatting twice gives the same as once."""
+    """Return the text in the standard format, with the same values.
+
+    Formatting is idempotent.
+    """
     document = tomlkit.parse(text)
     servers = document.get("servers")
     if isinstance(servers, AoT):
         for table in servers.body:
-            _order(table)
+            _sort_keys(table)
     lines: list[str] = []
     for line in tomlkit.dumps(document).splitlines():
         line = line.rstrip()
         if not line and (not lines or not lines[-1]):
-            continue  # one blank line at most, and none at the start
+            continue  # at most one blank line in a row, and none at the start
         header = line.startswith("[")
         if header and lines and lines[-1] and not lines[-1].startswith("#"):
             lines.append("")
@@ -29,12 +30,13 @@
     return "\n".join(lines) + "\n" if lines else ""
 
 
-def _order(table: Table) -> None:
-    """Its keys in their order, each with its own comment; comments on lines of their own stay in
-    front.
+def _sort_keys(table: Table) -> None:
+    """Sort the table's keys; each keeps the comment on its line.
+
+    Comments on lines of their own stay in front of all keys.
     """
-    kept = {key: table.item(key) for key in ORDER if key in table}
-    for key in kept:
+    items = {key: table.item(key) for key in KEY_ORDER if key in table}
+    for key in items:
         table.remove(key)
-    for key, item in kept.items():
+    for key, item in items.items():
         table.add(key, item)
--- a/onyxpass/sources/index.py
+++ b/onyxpass/sources/index.py
@@ -1,7 +1,7 @@
-"""An index of the servers in force by role, hall and cell: changes go in in place of a rebuild.
+"""An index of the current servers by role, hall and cell, which is updated in place.
 
-A rebuild costs as much as there are servers, a change as much as it changes. `make bench-sources`
-has the figures of both.
+A rebuild takes time in proportion to the number of servers, an update in proportion to the number
+of changed servers. `make bench-sources` measures both.
 """
 
 from collections.abc import Iterable, Mapping
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class ServerIndex:
-    """Ids by role, and by role and place; only of those that take new work."""
+    """Ids by role, and by role and place, of the servers that accept new requests."""
 
     roles: Mapping[str, contract.Role]
     entries: dict[str, ServerEntry] = field(default_factory=dict)
@@ -27,7 +27,7 @@
     def build(
         cls, roles: Mapping[str, contract.Role], entries: Iterable[ServerEntry]
     ) -> "ServerIndex":
-        """The plain way: all anew."""
+        """Build an index from all entries."""
         index = cls(roles)
         for entry in entries:
             index.put(entry)
@@ -38,7 +38,7 @@
         return self.roles[server.kind], ((server.zone,), (server.zone, str(server.cell)))
 
     def put(self, entry: ServerEntry) -> None:
-        """Add a server, or replace what was known of it."""
+        """Add a server or replace its entry."""
         name = entry.server.id
         if name in self.entries:
             self.drop(name)
@@ -55,13 +55,13 @@
             role, places = self._keys(entry)
             self.by_role[role].discard(name)
             for place in places:
-                left = self.by_place[role, place]
-                left.discard(name)
-                if not left:  # guards against a table of all places that ever were
+                remaining = self.by_place[role, place]
+                remaining.discard(name)
+                if not remaining:  # prevents a table that grows with every place ever seen
                     del self.by_place[role, place]
 
     def apply(self, difference: ViewDifference, entries: Mapping[str, ServerEntry]) -> None:
-        """Take over what differs, and touch nothing else."""
+        """Apply a difference; ``entries`` are those of the new view."""
         for name in difference.removed:
             self.drop(name)
         for names in (difference.added, difference.moved, difference.weighed, difference.changed):
@@ -69,5 +69,5 @@
                 self.put(entries[name])
 
     def count(self, role: contract.Role, *place: str) -> int:
-        """How many of a role take new work, in all, in a hall, or in a hall's cell."""
+        """Count the servers of a role that accept new requests: all, of a hall, or of a cell."""
         return len(self.by_place.get((role, place), ()) if place else self.by_role.get(role, ()))
--- a/onyxpass/sources/interface.py
+++ b/onyxpass/sources/interface.py
@@ -1,4 +1,4 @@
-"""The port of membership: what a source of servers is, and whom it tells."""
+"""Protocols of membership: a source of servers, and the receiver of their addresses."""
 
 from typing import Protocol
 
@@ -7,20 +7,21 @@
 
 
 class MembershipSource(Protocol):
-    """Discovery's watch is one, watched files are another. It tells the core (``listed``) and
-    the fleet.
+    """Keeps the list of servers of the core and the fleet up to date.
+
+    Discovery is one source, watched files are another.
     """
 
     @property
     def ready(self) -> bool:
-        """Whether there is a whole list to serve by."""
+        """Whether there is a complete list of servers."""
 
     async def follow(self) -> None:
-        """Keep the list up to date; never ends."""
+        """Keep the list up to date; does not return."""
 
 
 class MemberRegistry(Protocol):
-    """The fleet, as a source sees it."""
+    """Keeps the addresses of the servers."""
 
     def update_member(self, server: contract.Endpoint, address: Address, left: bool) -> None:
-        """Where a server listens; ``left``: it is on the list no more."""
+        """Set the address of a server; ``left`` means that it was removed from the list."""
--- a/onyxpass/sources/membership.py
+++ b/onyxpass/sources/membership.py
@@ -1,7 +1,8 @@
-"""The source of watched files as an actor: reads, judges, and brings whole views into force.
+"""The membership source of watched files: reads and validates them, and applies complete views.
 
-A view reaches the core as one list event, with its number; addresses go to the fleet in the same
-turn of the loop. What is refused changes nothing, and is logged once with every reason.
+The core gets a view as one endpoint update with the view's number; the fleet gets the addresses in
+the same turn of the event loop. A rejected version changes nothing and is logged once, with at most
+``REASONS_SHOWN`` reasons.
 """
 
 import asyncio
@@ -25,25 +26,25 @@
 from onyxpass.sources.watcher import FileWatcher, read_all
 from onyxpass.sources.weight_ramp import WeightRamp
 
-REASONS_SHOWN = 8
+REASONS_SHOWN = 8  # reasons in one log line
 NO_FILES = ParsedFiles((), frozenset(), ())
 log = structlog.get_logger("sources")
 
 
 @dataclass(frozen=True, slots=True)
 class SourcesConfig:
-    """Our own file, read and checked; paths start from its folder."""
+    """The validated sources file; its paths are relative to its folder."""
 
     file: SourcesFile
-    base: Path
+    folder: Path
 
     @property
     def paths(self) -> list[Path]:
-        return [self.base / name for name in self.file.watch]
+        return [self.folder / name for name in self.file.watch]
 
     @property
     def snapshot(self) -> Path | None:
-        return self.base / self.file.snapshot if self.file.snapshot else None
+        return self.folder / self.file.snapshot if self.file.snapshot else None
 
     @property
     def sole_source(self) -> bool:
@@ -51,12 +52,15 @@
 
 
 def load(path: Path) -> SourcesConfig:
-    """ConfigError with file, line and reason where it is no use."""
+    """Read the sources file; ConfigError with file, line and reason if it is invalid."""
     return SourcesConfig(toml_config.read(SourcesFile, path), path.parent)
 
 
 class FileSource:
-    """``loopback_only``: addresses must lie on this machine. ``ready`` once a view is in force."""
+    """Applies the servers of watched files to the core and the fleet.
+
+    ``loopback_only``: only loopback addresses are allowed.
+    """
 
     def __init__(
         self,
@@ -72,108 +76,111 @@
             sources,
             loopback_only,
         )
-        self.reapply_overlay = (
-            reapply_overlay  # mode "over": have the other source's list told anew
-        )
+        self.reapply_overlay = reapply_overlay  # mode "over": applies the other source's list again
         self.view: MembershipView = EMPTY_VIEW
-        self.last: MembershipView = EMPTY_VIEW  # of the process before this one
+        self.previous_view: MembershipView = EMPTY_VIEW  # of the previous process
         self.index = ServerIndex(core.endpoints.roles)
-        self.settle = Debouncer(sources.file.settle_s, sources.file.leave_s)
+        self.debouncer = Debouncer(sources.file.settle_s, sources.file.leave_s)
         self.ramp = WeightRamp(sources.file.ramp_s)
         self.watcher = FileWatcher(sources.paths, sources.file.poll_s)
-        self._draft: tuple[bytes, ParsedFiles] = (
+        self._parsed: tuple[bytes, ParsedFiles] = (
             b"",
             NO_FILES,
-        )  # of the contents that were read last
+        )  # digest and contents that were parsed last
         self.accepted = self.refused = 0
         self.from_snapshot = False
         self.on_view: Callable[[MembershipView], None] = lambda _: None
 
     @property
     def ready(self) -> bool:
+        """Whether a view is in force; always true in mode "over"."""
         return self.view.number > 0 or not self.sources.sole_source
 
     async def follow(self) -> None:
-        """Never ends."""
-        telling = asyncio.create_task(self.watcher.listen())
-        stepping = asyncio.create_task(self._ramp())
+        """Watch the files and apply their changes; does not return."""
+        listener = asyncio.create_task(self.watcher.listen())
+        ramp_task = asyncio.create_task(self._run_ramp())
         try:
-            await self._look_on()
+            await self._poll_files()
         finally:
-            telling.cancel()
-            stepping.cancel()
+            listener.cancel()
+            ramp_task.cancel()
 
-    async def _look_on(self) -> None:
-        self.last = await asyncio.to_thread(self._load)
+    async def _poll_files(self) -> None:
+        self.previous_view = await asyncio.to_thread(self._load_snapshot)
         first = True
-        async for _ in self.watcher.looks():
+        async for _ in self.watcher.changes():
             wait_s: float | None = 0.0
             while wait_s is not None:
                 if wait_s > 0:
                     await asyncio.sleep(wait_s)
                 wait_s = await self.poll(first)
             if first and not self.view.number and self.sources.sole_source:
-                await self._from_snapshot()
+                await self._serve_snapshot()
             first = False
 
     async def poll(self, at_once: bool = False) -> float | None:
-        """Read the files: seconds until they are to be read again, None if nothing is new.
+        """Read the files, and validate and apply them once they are due.
 
-        Reading, checking and comparing take seconds where servers are many, so a thread does that;
-        nothing of what is in force is touched there.
+        Returns the seconds until the files have to be read again, or None if nothing is pending.
+        ``at_once`` skips the settling period. Reading, checking and comparing take seconds for many
+        servers, so they run in a thread, which does not modify the view in force.
         """
         files, contents = await asyncio.to_thread(self._read)
-        if contents == self.settle.judged:
-            return self.settle.look(contents, time.monotonic(), False)
-        if contents != self._draft[0]:
-            self._draft = contents, await asyncio.to_thread(self._draft_of, files)
-        draft = self._draft[1]
-        loses = bool(self.view.entries.keys() - {entry.server.id for entry in draft.entries})
-        wait_s = self.settle.look(contents, time.monotonic(), loses)
+        if contents == self.debouncer.validated:
+            return self.debouncer.seconds_until_due(contents, time.monotonic(), False)
+        if contents != self._parsed[0]:
+            self._parsed = contents, await asyncio.to_thread(self._parse, files)
+        parsed = self._parsed[1]
+        removes_servers = bool(
+            self.view.entries.keys() - {entry.server.id for entry in parsed.entries}
+        )
+        wait_s = self.debouncer.seconds_until_due(contents, time.monotonic(), removes_servers)
         if wait_s is None or (wait_s > 0 and not at_once):
             return wait_s
-        self.settle.done(contents)
-        old = self.view if self.view.number else self.last
-        verdict = await asyncio.to_thread(self._judged, old, draft)
-        self._draft = b"", NO_FILES
-        if isinstance(verdict, Accepted):
-            first = (
-                compare({}, verdict.view.entries) if old is not self.view else verdict.difference
+        self.debouncer.mark_validated(contents)
+        old = self.view if self.view.number else self.previous_view
+        result = await asyncio.to_thread(self._validate, old, parsed)
+        self._parsed = b"", NO_FILES
+        if isinstance(result, Accepted):
+            difference = (
+                compare({}, result.view.entries) if old is not self.view else result.difference
+            )
+            await self._accept(result.view, difference)
+        elif isinstance(result, Unchanged) and not self.view.number:
+            await self._accept(
+                self.previous_view, compare({}, self.previous_view.entries), save=False
             )
-            await self._accept(verdict.view, first)
-        elif isinstance(verdict, Unchanged) and not self.view.number:
-            await self._accept(self.last, compare({}, self.last.entries), keep=False)
-        elif isinstance(verdict, Rejected):
-            self._refuse(verdict)
+        elif isinstance(result, Rejected):
+            self._reject(result)
         return None
 
     def _read(self) -> tuple[Files, bytes]:
         files = read_all(self.sources.paths)
         return files, contents_digest(files)
 
-    def _draft_of(self, files: Files) -> ParsedFiles:
+    def _parse(self, files: Files) -> ParsedFiles:
         return schema.parse_files(
             files, list(self.core.endpoints.roles), self.sources.sole_source, self.loopback_only
         )
 
-    def _judged(self, view: MembershipView, draft: ParsedFiles) -> ValidationResult:
+    def _validate(self, view: MembershipView, parsed: ParsedFiles) -> ValidationResult:
         now_us, guards = self.core.clock.now_us(), self.sources.file.guards
         return validate(
-            view, draft, self.core.endpoints.roles, guards, now_us, self.sources.sole_source
+            view, parsed, self.core.endpoints.roles, guards, now_us, self.sources.sole_source
         )
 
-    def _refuse(self, verdict: Rejected) -> None:
+    def _reject(self, result: Rejected) -> None:
         self.refused += 1
-        shown, more = verdict.reasons[:REASONS_SHOWN], len(verdict.reasons) - REASONS_SHOWN
+        shown, more = result.reasons[:REASONS_SHOWN], len(result.reasons) - REASONS_SHOWN
         log.error("refused", view=self.view.number, why=list(shown), more=max(0, more))
 
-    def _load(self) -> MembershipView:
-        """The last good view of the process before this one; an empty one where there is none of
-        use.
+    def _load_snapshot(self) -> MembershipView:
+        """Load the last accepted view of the previous process; an empty view if none is usable.
 
-        The first files are judged against it as later ones are against the view in force: a restart
-        makes nobody warm, gives no second number to one view, and lets no file through that is cut
-        off.
+        The first files are validated against it as later ones are against the view in force: after
+        a restart recent servers still count as cold, an unchanged view keeps its number, and the
+        guards still reject a truncated file.
         """
         path = self.sources.snapshot
         if path is None or not path.exists():
@@ -187,50 +194,52 @@
             self.core.endpoints.roles
         )
         if unknown and self.sources.sole_source:
-            log.error(
-                "snapshot_unusable", path=str(path), why=f"kinds not known: {sorted(unknown)}"
-            )
+            log.error("snapshot_unusable", path=str(path), why=f"unknown kinds: {sorted(unknown)}")
             return EMPTY_VIEW
         return view
 
-    async def _from_snapshot(self) -> None:
-        """Guards against a start that has nothing to serve with since a file is broken just now."""
-        if not self.last.number:
+    async def _serve_snapshot(self) -> None:
+        """Serve from the snapshot, so that a start with invalid files still has servers."""
+        if not self.previous_view.number:
             log.error("no_view_in_force")
             return
         self.from_snapshot = True
         path = str(self.sources.snapshot)
-        log.error("serving_from_snapshot", path=path, view=self.last.number)
-        await self._accept(self.last, compare({}, self.last.entries), keep=False)
+        log.error("serving_from_snapshot", path=path, view=self.previous_view.number)
+        await self._accept(self.previous_view, compare({}, self.previous_view.entries), save=False)
 
     async def _accept(
-        self, view: MembershipView, difference: ViewDifference, keep: bool = True
+        self, view: MembershipView, difference: ViewDifference, save: bool = True
     ) -> None:
-        if keep:
+        if save:
             self.from_snapshot = False
         old, self.view = self.view, view
         self.accepted += 1
-        # otherwise there is nothing to index: who is there, another source says
+        # In mode "over" there is nothing to index: another source lists the servers.
         if self.sources.sole_source:
             self.index.apply(difference, view.entries)
         weights = {name: entry.server.weight for name, entry in view.entries.items()}
-        fresh = {*difference.added, *difference.moved}
-        self.ramp.aim(weights, fresh, time.monotonic())
+        new_servers = {*difference.added, *difference.moved}
+        self.ramp.set_targets(weights, new_servers, time.monotonic())
         if self.sources.sole_source:
-            self._tell(old, view, difference)
+            self._publish(old, view, difference)
         else:
             self.reapply_overlay()
-        told = {name: len(names) for name, names in difference.told().items()}
-        log.info("view", number=view.number, servers=len(view.entries), digest=view.digest, **told)
+        counts = {name: len(names) for name, names in difference.to_dict().items()}
+        log.info(
+            "view", number=view.number, servers=len(view.entries), digest=view.digest, **counts
+        )
         self.on_view(view)
-        if keep and (path := self.sources.snapshot) is not None:
+        if save and (path := self.sources.snapshot) is not None:
             try:
                 await asyncio.to_thread(snapshot.save, path, view)
-            except OSError as problem:  # in force all the same: it only won't outlive the process
+            except OSError as problem:  # the view stays in force but is not there after a restart
                 log.error("snapshot_not_saved", path=str(path), why=str(problem))
 
-    def _tell(self, old: MembershipView, view: MembershipView, difference: ViewDifference) -> None:
-        """The whole view in one event, or what differs; nothing is awaited in between."""
+    def _publish(
+        self, old: MembershipView, view: MembershipView, difference: ViewDifference
+    ) -> None:
+        """Publish the complete view, or its difference, in one update and without an await."""
         for name in difference.removed:
             address = old.entries[name].address
             if address is not None:
@@ -239,34 +248,36 @@
             address = view.entries[name].address
             if address is not None:
                 self.members.update_member(view.entries[name].server, address, False)
-        gone = [
+        removed = [
             replace(old.entries[name].server, condition=contract.EndpointCondition.REMOVED)
             for name in difference.removed
         ]
         changed = (*difference.added, *difference.moved, *difference.weighed, *difference.changed)
-        now = [self._weighed(view.entries[name].server) for name in changed]
+        updated = [self._with_ramped_weight(view.entries[name].server) for name in changed]
         self.core.endpoints.view_number = view.number
-        form_ = (
+        form = (
             contract.EndpointUpdateForm.DELTA
             if old.number
             else contract.EndpointUpdateForm.COMPLETE
         )
-        self.core.update_endpoints(contract.EndpointUpdate(form_, (*gone, *now), view.number))
+        self.core.update_endpoints(contract.EndpointUpdate(form, (*removed, *updated), view.number))
 
-    def _weighed(self, server: contract.Endpoint) -> contract.Endpoint:
-        return replace(server, weight=self.ramp.now.get(server.id, server.weight))
+    def _with_ramped_weight(self, server: contract.Endpoint) -> contract.Endpoint:
+        return replace(server, weight=self.ramp.current.get(server.id, server.weight))
 
-    async def _ramp(self) -> None:
-        """Tell weights on their way, for as long as some are."""
+    async def _run_ramp(self) -> None:
+        """Publish the weights that are changing; does not return."""
         while True:
-            await asyncio.sleep(min(1.0, self.ramp.next_s or 0.2))
-            changed = self.ramp.step(time.monotonic())
+            await asyncio.sleep(min(1.0, self.ramp.step_interval_s or 0.2))
+            changed = self.ramp.advance(time.monotonic())
             if not changed:
                 continue
             if not self.sources.sole_source:
                 self.reapply_overlay()
                 continue
-            servers = tuple(self._weighed(self.view.entries[name].server) for name in changed)
+            servers = tuple(
+                self._with_ramped_weight(self.view.entries[name].server) for name in changed
+            )
             self.core.update_endpoints(
                 contract.EndpointUpdate(
                     contract.EndpointUpdateForm.DELTA, servers, self.view.number
@@ -274,7 +285,7 @@
             )
 
     def apply_overlay(self, update: contract.EndpointUpdate) -> contract.EndpointUpdate:
-        """Mode "over": what another source tells, with the weights and drains of the files."""
+        """Apply the weights and drains of the files to another source's update (mode "over")."""
         return replace(
             update, endpoints=tuple(self._overlaid(server) for server in update.endpoints)
         )
@@ -286,10 +297,10 @@
         drains = entry.server.condition is not contract.EndpointCondition.UP
         up = server.condition is contract.EndpointCondition.UP
         condition = contract.EndpointCondition.DRAINING if drains and up else server.condition
-        return replace(server, weight=self.ramp.now.get(server.id, 1.0), condition=condition)
+        return replace(server, weight=self.ramp.current.get(server.id, 1.0), condition=condition)
 
     def status(self) -> Mapping[str, object]:
-        """For operators: the view in force, and what became of the versions seen."""
+        """Return the view in force and the counts of accepted and refused versions."""
         return {
             "view": self.view.number,
             "digest": self.view.digest,
@@ -298,5 +309,5 @@
             "accepted": self.accepted,
             "refused": self.refused,
             "from_snapshot": self.from_snapshot,
-            "notified": self.watcher.notified,
+            "notified": self.watcher.notifications_active,
         }
--- a/onyxpass/sources/membership_view.py
+++ b/onyxpass/sources/membership_view.py
@@ -1,6 +1,4 @@
-"""A view of all servers: immutable, numbered, and compared with the one before it. Nothing here
-does I/O.
-"""
+"""An immutable, numbered view of all servers, and the difference of two views, without I/O."""
 
 import hashlib
 import json
@@ -13,7 +11,7 @@
 
 
 def view_digest(entries: Mapping[str, ServerEntry]) -> str:
-    """Names what a view holds; where in which file it stands is no part of it."""
+    """Return a digest of the servers; the file and line of an entry are not part of it."""
     rows = [
         (
             s.id,
@@ -32,8 +30,9 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipView:
-    """``number`` grows with every view that came into force, also over restarts where a snapshot
-    is kept.
+    """All servers of one accepted version.
+
+    ``number`` grows with every applied view, and across restarts if a snapshot is configured.
     """
 
     number: int
@@ -51,18 +50,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewDifference:
-    """By id. ``moved``: at another address or born again, which makes it a new, cold server."""
+    """Ids of the servers that differ between two views.
+
+    ``moved``: another address, kind or start time, so the server counts as new and cold.
+    """
 
     added: tuple[str, ...]
     removed: tuple[str, ...]
     moved: tuple[str, ...]
     weighed: tuple[str, ...]  # only the weight differs
-    changed: tuple[str, ...]  # kind, hall, cell or drain
+    changed: tuple[str, ...]  # hall, cell or drain
 
     def __bool__(self) -> bool:
         return bool(self.added or self.removed or self.moved or self.weighed or self.changed)
 
-    def told(self) -> dict[str, list[str]]:
+    def to_dict(self) -> dict[str, list[str]]:
+        """Return the ids by kind of difference, without empty lists."""
         names = ("added", "removed", "moved", "weighed", "changed")
         return {name: list(getattr(self, name)) for name in names if getattr(self, name)}
 
@@ -73,7 +76,10 @@
     moved, weighed, changed = [], [], []
     for name in sorted(old.keys() & new.keys()):
         before, after = old[name], new[name]
-        if is_another(before, after) or before.server.started_us != after.server.started_us:
+        if (
+            is_different_server(before, after)
+            or before.server.started_us != after.server.started_us
+        ):
             moved.append(name)
         elif before.server == after.server:
             continue
@@ -88,17 +94,21 @@
     return entry.server.condition is contract.EndpointCondition.UP
 
 
-def is_another(before: ServerEntry, after: ServerEntry) -> bool:
-    """Whether the same id stands for another server now: at another address, or of another kind."""
+def is_different_server(before: ServerEntry, after: ServerEntry) -> bool:
+    """Whether one id denotes another server: at another address or of another kind."""
     return before.address != after.address or before.server.kind != after.server.kind
 
 
-def born_again(before: ServerEntry, after: ServerEntry, now_us: int) -> ServerEntry:
-    """Guards against a server that is new at an old id being taken for the old, warm one."""
+def with_start_time(before: ServerEntry, after: ServerEntry, now_us: int) -> ServerEntry:
+    """Return ``after`` with the start time that makes a new server at a known id count as cold.
+
+    The time is ``now_us`` if the id denotes another server; otherwise a time in the files wins over
+    the one in ``before``.
+    """
     started_us = before.server.started_us
-    if is_another(before, after):
+    if is_different_server(before, after):
         started_us = now_us
     elif after.server.started_us is not None:
         return after
-    # What was new lately stays so at the next change of the files, which tell nothing of it.
+    # A recent server stays recent at the next change of the files, which have no start time.
     return replace(after, server=replace(after.server, started_us=started_us))
--- a/onyxpass/sources/schema.py
+++ b/onyxpass/sources/schema.py
@@ -1,7 +1,7 @@
-"""The form of watched files, and of our own file that says what is watched. Nothing here does I/O.
+"""The models of watched files and of the sources file that names them, and their parser; no I/O.
 
-A watched file names servers; several are read as one list. Every fault has a place and a likely
-intent.
+A watched file lists servers; several files are read as one list. Every fault is reported with its
+position and, where a key or a kind is misspelt, with a suggestion.
 """
 
 import ipaddress
@@ -19,24 +19,24 @@
 from onyxpass.config.toml_config import PathPart
 from onyxpass.scheduling import contract
 
-FAULTS_MOST = 50  # of one version that are named
-ROW = re.compile(r"\s*\[\[\s*servers\s*\]\]")
-SIZE_MOST = 16 * 1024 * 1024  # bytes of one watched file
-Id = Annotated[str, Field(min_length=1, max_length=253)]
+MAX_FAULTS = 50  # faults after which servers are not checked for more
+SERVER_HEADER = re.compile(r"\s*\[\[\s*servers\s*\]\]")
+MAX_FILE_BYTES = 16 * 1024 * 1024  # size of one watched file
+ServerId = Annotated[str, Field(min_length=1, max_length=253)]
 Weight = Annotated[float, Field(ge=0, le=1000)]
-Part = Annotated[str, Field(pattern=r"^(100|[1-9]?[0-9])%$")]
+Percentage = Annotated[str, Field(pattern=r"^(100|[1-9]?[0-9])%$")]
 
 
 class ServerTable(toml_config.Model):
-    """A server of a watched file; ``born`` is when it started, if that was lately."""
+    """A server of a watched file; ``born`` is its start time if it started recently."""
 
     model_config = toml_config.schema_description(
         "``weight``: against others of its kind; 0 for nothing new. "
         "``born``: when it started, if lately."
     )
 
-    id: Id
-    kind: str | None = None  # needed where the files are the only source; so are hall and address
+    id: ServerId
+    kind: str | None = None  # required if the files are the only source, like hall and address
     hall: str | None = None
     cell: Annotated[int, Field(ge=0, le=1_000_000)] = 0
     address: toml_config.ConnectAddress | None = None
@@ -46,10 +46,12 @@
 
 
 class ChangeTable(toml_config.Model):
-    """What this version of the files does on purpose."""
+    """Changes of this version of the files that are intended."""
 
-    # servers that may leave, whatever the guards say
-    removes: list[Id] = Field(default_factory=list)
+    model_config = toml_config.schema_description("What this version of the files does on purpose.")
+
+    # ids of servers that may be removed regardless of the guards on removal
+    removes: list[ServerId] = Field(default_factory=list)
 
 
 class WatchedFile(toml_config.Model):
@@ -58,37 +60,43 @@
 
 
 class GuardsTable(toml_config.Model):
-    """What no change may do. Parts are of what the view in force has."""
+    """Limits that every change must keep; percentages are of the view in force."""
+
+    model_config = toml_config.schema_description(
+        "What no change may do. Parts are of what the view in force has."
+    )
 
-    # at least so many that take work, mixed ones among them
+    # fewest servers that accept new requests; mixed servers count for both
     readers: Annotated[int, Field(ge=1)] = 1
     writers: Annotated[int, Field(ge=1)] = 1
-    removed: Part = "34%"  # of all servers, in one change
-    removed_role: Part = "50%"
-    removed_hall: Part = "50%"
-    # the fewest of each hall
+    removed: Percentage = "34%"  # of all servers that accept new requests, in one change
+    removed_role: Percentage = "50%"
+    removed_hall: Percentage = "50%"
+    # fewest servers of each hall that accept new requests
     halls: dict[str, Annotated[int, Field(ge=0)]] = Field(default_factory=dict)
 
 
 class SourcesFile(toml_config.Model):
-    """Times are seconds."""
+    """The sources file; all times are in seconds."""
 
-    # files, and folders whose *.toml are read by name
+    model_config = toml_config.schema_description("Times are seconds.")
+
+    # files, and folders whose *.toml files are read in the order of their names
     watch: Annotated[list[str], Field(min_length=1)]
-    # the only source, or weights and drains on top of discovery
+    # "only": the only source; "over": weights and drains on top of discovery
     mode: Literal["only", "over"] = "only"
-    settle_s: Annotated[float, Field(ge=0, le=60)] = 0.1  # files must be still for so long
-    leave_s: Annotated[float, Field(ge=0, le=600)] = 1.0  # and for so long where a server leaves
-    # files are looked at even if nothing was notified
+    settle_s: Annotated[float, Field(ge=0, le=60)] = 0.1  # how long files must be unchanged
+    leave_s: Annotated[float, Field(ge=0, le=600)] = 1.0  # the same if a server would be removed
+    # interval at which files are checked even without a notification
     poll_s: Annotated[float, Field(gt=0, le=600)] = 1.0
-    ramp_s: Annotated[float, Field(ge=0, le=3600)] = 10.0  # in which a changed weight is reached
-    snapshot: str | None = None  # where the last good view is kept
+    ramp_s: Annotated[float, Field(ge=0, le=3600)] = 10.0  # duration of a weight change
+    snapshot: str | None = None  # file for the last accepted view
     guards: GuardsTable = Field(default_factory=GuardsTable)
 
 
 @dataclass(frozen=True, slots=True)
 class FileFault:
-    """One thing that is wrong, and where: line and column from 1 on, 0 where there are none."""
+    """A fault and its position; line and column count from 1, 0 means unknown."""
 
     file: str
     reason: str
@@ -102,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerEntry:
-    """One server as a file names it. ``address`` None: as discovery tells it."""
+    """A server of a watched file. ``address`` None: discovery provides the address."""
 
     server: contract.Endpoint
     address: Address | None
@@ -112,20 +120,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ParsedFiles:
-    """All watched files read as one. Only one without faults may become a view."""
+    """All watched files read as one list; it can become a view only without faults."""
 
     entries: tuple[ServerEntry, ...]
     removes: frozenset[str]
     faults: tuple[FileFault, ...]
 
 
-def _rows(text: str) -> list[int]:
-    """The lines at which servers begin, found in one pass: there may be ten thousand of them."""
-    return [number for number, line in enumerate(text.splitlines(), 1) if ROW.match(line)]
+def _header_lines(text: str) -> list[int]:
+    """Return the line numbers of the server headers.
+
+    One pass finds them all, since there may be ten thousand servers.
+    """
+    return [number for number, line in enumerate(text.splitlines(), 1) if SERVER_HEADER.match(line)]
 
 
-def _entry(file: str, line: int, table: ServerTable) -> ServerEntry:
-    # A weight of 0 and a drain are one thing to the module: nothing new.
+def _server_entry(file: str, line: int, table: ServerTable) -> ServerEntry:
+    # To the router a weight of 0 and a drain are the same: no new requests.
     draining = table.state == "draining" or table.weight == 0
     born = table.born
     if born is not None and born.tzinfo is None:
@@ -144,9 +155,9 @@
     return ServerEntry(server, Address.parse(table.address) if table.address else None, file, line)
 
 
-def _parse(file: str, data: bytes) -> tuple[WatchedFile | None, str, list[FileFault]]:
-    if len(data) > SIZE_MOST:
-        return None, "", [FileFault(file, f"larger than {SIZE_MOST} bytes")]
+def _parse_file(file: str, data: bytes) -> tuple[WatchedFile | None, str, list[FileFault]]:
+    if len(data) > MAX_FILE_BYTES:
+        return None, "", [FileFault(file, f"larger than {MAX_FILE_BYTES} bytes")]
     try:
         text = data.decode("utf-8-sig")  # some editors write a byte order mark
         raw = tomllib.loads(text)
@@ -172,34 +183,34 @@
             [FileFault(file, f"{reason}: is it cut off?", len(lines), len(lines[-1]) + 1)],
         )
     except (RecursionError, ValueError) as problem:
-        return None, "", [FileFault(file, f"it can't be read: {problem}")]
+        return None, "", [FileFault(file, f"cannot be parsed: {problem}")]
     rows = raw.get("servers")
     faults: list[FileFault] = []
     tables: list[ServerTable] = []
     if isinstance(rows, list):
-        # Row by row: one call for ten thousand would hold up everything else in the process
-        # meanwhile.
+        # Rows are validated one by one: a single call for ten thousand servers would block the
+        # other threads of the process for its whole duration.
         raw = {**raw, "servers": []}
         for number, row in enumerate(rows):
             try:
                 tables.append(ServerTable.model_validate(row))
             except ValidationError as problem:
-                faults += _named(file, text, problem, ("servers", number))
-                if len(faults) >= FAULTS_MOST:
+                faults += _model_faults(file, text, problem, ("servers", number))
+                if len(faults) >= MAX_FAULTS:
                     break
     try:
         found = WatchedFile.model_validate(raw)
     except ValidationError as problem:
-        faults = [*_named(file, text, problem, ()), *faults]
+        faults = [*_model_faults(file, text, problem, ()), *faults]
     if faults:
         return None, text, faults
     return found.model_copy(update={"servers": tables}), text, []
 
 
-def _named(
+def _model_faults(
     file: str, text: str, problem: ValidationError, base: tuple[PathPart, ...]
 ) -> list[FileFault]:
-    """What a model says of its values, with their places."""
+    """Convert a model's validation errors to faults with their positions."""
     faults = []
     for error in problem.errors():
         loc = (*base, *error["loc"])
@@ -218,12 +229,13 @@
     files: Mapping[str, bytes | OSError],
     kinds: Sequence[str],
     sole_source: bool,
-    loopback: bool = False,
+    loopback_only: bool = False,
 ) -> ParsedFiles:
-    """All files, in their order, as one draft. ``kinds``: those that the settings name.
+    """Parse all files, in their order, as one list of servers.
 
-    ``sole_source``: the files are the only source, so each server needs its kind, hall and address.
-    ``loopback``: addresses must lie on this machine.
+    ``kinds`` are the kinds that the settings define. With ``sole_source`` the files are the only
+    source, so each server needs its kind, hall and address. With ``loopback_only`` only loopback
+    addresses are allowed.
     """
     entries: list[ServerEntry] = []
     removes: set[str] = set()
@@ -232,31 +244,31 @@
         if isinstance(data, OSError):
             faults.append(FileFault(file, data.strerror or str(data)))
             continue
-        found, text, wrong = _parse(file, data)
-        faults += wrong
+        found, text, file_faults = _parse_file(file, data)
+        faults += file_faults
         if found is None:
             continue
         removes |= set(found.change.removes)
-        rows = _rows(text)
+        rows = _header_lines(text)
         for number, table in enumerate(found.servers):
-            entries.append(_entry(file, rows[number] if number < len(rows) else 1, table))
-            for key, reason in _lacks(table, kinds, sole_source, loopback):
-                # guards against a place looked up for each of ten thousand
-                if len(faults) >= FAULTS_MOST:
+            entries.append(_server_entry(file, rows[number] if number < len(rows) else 1, table))
+            for key, reason in _server_faults(table, kinds, sole_source, loopback_only):
+                # prevents a position lookup for each of ten thousand servers
+                if len(faults) >= MAX_FAULTS:
                     break
                 faults.append(
                     FileFault(
                         file, reason, *toml_config.position_of(text, ("servers", number, key))
                     )
                 )
-    faults += _doubles(entries)
+    faults += _duplicate_faults(entries)
     return ParsedFiles(tuple(entries), frozenset(removes), tuple(faults))
 
 
-def _lacks(
-    table: ServerTable, kinds: Sequence[str], sole_source: bool, loopback: bool
+def _server_faults(
+    table: ServerTable, kinds: Sequence[str], sole_source: bool, loopback_only: bool
 ) -> Iterable[tuple[PathPart, str]]:
-    """What a server lacks, or names that nothing knows."""
+    """Yield the key and reason of each missing, unknown or invalid value of a server."""
     if sole_source:
         for key in ("kind", "hall", "address"):
             if getattr(table, key) is None:
@@ -264,8 +276,8 @@
     if table.kind is not None and table.kind not in kinds:
         yield "kind", f"no kind {table.kind!r}{toml_config.suggestion(table.kind, kinds)}"
     if not table.id.isprintable() or table.id != table.id.strip():
-        yield "id", f"id {table.id!r} holds characters that can't be seen"
-    if loopback and table.address is not None:
+        yield "id", f"id {table.id!r} contains invisible characters"
+    if loopback_only and table.address is not None:
         try:
             inside = ipaddress.ip_address(Address.parse(table.address).host).is_loopback
         except ValueError:
@@ -274,8 +286,8 @@
             yield "address", f"not a loopback address: {table.address!r}"
 
 
-def _doubles(entries: Iterable[ServerEntry]) -> Iterable[FileFault]:
-    """The same id or the same address twice, in one file or in two."""
+def _duplicate_faults(entries: Iterable[ServerEntry]) -> Iterable[FileFault]:
+    """Yield a fault for each id or address that is listed twice, in one file or in two."""
     ids: dict[str, ServerEntry] = {}
     addresses: dict[Address, ServerEntry] = {}
     for entry in entries:
@@ -283,12 +295,12 @@
         if (first := ids.setdefault(name, entry)) is not entry:
             where = f"{first.file}:{first.line}"
             yield FileFault(
-                entry.file, f"server {name!r} stands here and at {where}", entry.line, 1
+                entry.file, f"server {name!r} is defined here and at {where}", entry.line, 1
             )
         elif entry.address is not None:
             other = addresses.setdefault(entry.address, entry)
             if other is not entry:
-                told = (
+                reason = (
                     f"{name!r} has the address of {other.server.id!r} ({other.file}:{other.line})"
                 )
-                yield FileFault(entry.file, told, entry.line, 1)
+                yield FileFault(entry.file, reason, entry.line, 1)
--- a/onyxpass/sources/snapshot.py
+++ b/onyxpass/sources/snapshot.py
@@ -1,7 +1,7 @@
-"""The last good view on disk: with a checksum, written beside and renamed, and never read half.
+"""Snapshots: the last accepted view on disk, replaced atomically and protected by a checksum.
 
-The first line names the form, the view's number and the checksum of all that follows; then a server
-a line.
+The first line has the format version, the view's number and the checksum of all that follows; each
+further line is a server.
 """
 
 import hashlib
@@ -15,11 +15,11 @@
 from onyxpass.sources.membership_view import MembershipView
 from onyxpass.sources.schema import ServerEntry
 
-FORM = 1
+FORMAT_VERSION = 1
 
 
 class SnapshotError(RuntimeError):
-    """It is absent, damaged or of another form; the message says which."""
+    """The snapshot is missing, damaged or of another format; the message says which."""
 
 
 def _row(entry: ServerEntry) -> dict[str, Any]:
@@ -38,32 +38,41 @@
     }
 
 
-def text_of(view: MembershipView) -> bytes:
+def serialize(view: MembershipView) -> bytes:
     body = b"".join(json.dumps(_row(entry)).encode() + b"\n" for entry in view.entries.values())
     checksum = hashlib.sha256(body).hexdigest()
-    head = {"form": FORM, "view": view.number, "servers": len(view.entries), "sha256": checksum}
+    head = {
+        "form": FORMAT_VERSION,
+        "view": view.number,
+        "servers": len(view.entries),
+        "sha256": checksum,
+    }
     return json.dumps(head).encode() + b"\n" + body
 
 
-def view_of(text: bytes) -> MembershipView:
-    """SnapshotError unless every byte is as it was written."""
+def parse(text: bytes) -> MembershipView:
+    """Parse a snapshot.
+
+    SnapshotError if the first line is invalid, the format version is not supported, or the servers
+    do not match the checksum and the count.
+    """
     first, _, body = text.partition(b"\n")
     try:
         head = json.loads(first)
         form, number, count, checksum = head["form"], head["view"], head["servers"], head["sha256"]
     except (ValueError, KeyError, TypeError, RecursionError) as problem:
-        raise SnapshotError("its first line is damaged") from problem
-    if form != FORM:
-        raise SnapshotError(f"it is of form {form}; this program knows {FORM}")
+        raise SnapshotError("its first line is invalid") from problem
+    if form != FORMAT_VERSION:
+        raise SnapshotError(f"its format version is {form}; this program supports {FORMAT_VERSION}")
     if hashlib.sha256(body).hexdigest() != checksum:
-        raise SnapshotError("its checksum is wrong: it is damaged or cut off")
+        raise SnapshotError("its checksum is wrong: it is damaged or truncated")
     try:
         rows = [json.loads(line) for line in body.splitlines()]
         view = MembershipView.of(int(number), (_entry(row) for row in rows))
     except (ValueError, KeyError, TypeError, ConfigError) as problem:
-        raise SnapshotError(f"it can't be read: {problem!r}") from problem
+        raise SnapshotError(f"it cannot be parsed: {problem!r}") from problem
     if len(view.entries) != count or view.number < 1:
-        raise SnapshotError("it does not hold what its first line says")
+        raise SnapshotError("its first line does not match its contents")
     return view
 
 
@@ -82,12 +91,12 @@
 
 
 def save(path: Path, view: MembershipView) -> None:
-    """Durable once this returns; OSError if it can't be, and then the one before is still there."""
-    atomic_file.replace(path, text_of(view))
+    """Replace the snapshot durably; on OSError the previous one is kept."""
+    atomic_file.replace(path, serialize(view))
 
 
 def load(path: Path) -> MembershipView:
     try:
-        return view_of(path.read_bytes())
+        return parse(path.read_bytes())
     except OSError as problem:
         raise SnapshotError(problem.strerror or str(problem)) from problem
--- a/onyxpass/sources/watcher.py
+++ b/onyxpass/sources/watcher.py
@@ -1,6 +1,4 @@
-"""Watches files and folders: told by the system where that can be had, and by looking now and
-then.
-"""
+"""Watches files and folders, by notifications of the system if available and by polling."""
 
 import asyncio
 import os
@@ -9,64 +7,62 @@
 
 import structlog
 
-FULL_LOOKS = 10  # every so many looks all files are read, whatever their stamps say
+POLLS_PER_FULL_READ = 10  # polls after which all files are read even if unchanged
 SUFFIX = ".toml"
 log = structlog.get_logger("sources")
 
 Stamp = tuple[int, ...]
 
 
-def named(paths: Sequence[Path]) -> list[Path]:
-    """The files to read, in their fixed order: as told, and those of a folder by name.
+def list_files(paths: Sequence[Path]) -> list[Path]:
+    """Return the files to read: in the order of ``paths``, those of a folder sorted by name.
 
-    What begins with a dot, as editors' drafts do, is none of them. A folder that is not there yet
-    is empty; a file that is not there is named all the same, and can't be read.
+    Files of a folder whose names begin with a dot, such as editors' temporary files, are left out.
+    A missing folder counts as empty; a missing file is returned, and reading it fails.
     """
-    found: list[Path] = []
+    files: list[Path] = []
     for path in paths:
         if path.is_dir():
             inside = [
                 p for p in path.iterdir() if p.suffix == SUFFIX and not p.name.startswith(".")
             ]
-            found += sorted(inside, key=lambda p: p.name)
+            files += sorted(inside, key=lambda p: p.name)
         elif path.suffix == SUFFIX:
-            found.append(path)
-    return list(dict.fromkeys(found))
+            files.append(path)
+    return list(dict.fromkeys(files))
 
 
-def stamp_of(paths: Sequence[Path]) -> dict[str, Stamp]:
-    """What tells cheaply that files may have changed."""
-    found: dict[str, Stamp] = {}
-    for path in named(paths):
+def file_stamps(paths: Sequence[Path]) -> dict[str, Stamp]:
+    """Return metadata of each file, which shows a possible change without reading it."""
+    stamps: dict[str, Stamp] = {}
+    for path in list_files(paths):
         try:
-            told = path.stat()
-            found[str(path)] = (
-                told.st_dev,
-                told.st_ino,
-                told.st_mtime_ns,
-                told.st_ctime_ns,
-                told.st_size,
+            status = path.stat()
+            stamps[str(path)] = (
+                status.st_dev,
+                status.st_ino,
+                status.st_mtime_ns,
+                status.st_ctime_ns,
+                status.st_size,
             )
         except OSError as problem:
-            found[str(path)] = (-1, problem.errno or 0)
-    return found
+            stamps[str(path)] = (-1, problem.errno or 0)
+    return stamps
 
 
 def read_all(paths: Sequence[Path]) -> Mapping[str, bytes | OSError]:
-    """All files at once; what can't be read is told in place of its text."""
-    found: dict[str, bytes | OSError] = {}
-    for path in named(paths):
+    """Read all files; the error stands in place of the contents of a file that cannot be read."""
+    contents: dict[str, bytes | OSError] = {}
+    for path in list_files(paths):
         try:
-            found[str(path)] = path.read_bytes()
+            contents[str(path)] = path.read_bytes()
         except OSError as problem:
-            found[str(path)] = problem
-    return found
+            contents[str(path)] = problem
+    return contents
 
 
-def nearest(path: Path) -> Path:
-    """The folder to be told of changes in, which is there: of a path that appears later, one
-    above it.
-    """
+def nearest_existing_folder(path: Path) -> Path:
+    """Return the existing folder to watch: the path itself or its nearest existing parent."""
     folder = path if path.is_dir() else path.parent
     while not folder.is_dir() and folder != folder.parent:
         folder = folder.parent
@@ -74,35 +70,38 @@
 
 
 class FileWatcher:
-    """``looks`` yields whenever the files should be read: after a change, else rarely."""
+    """Detects changes of files and folders."""
 
     def __init__(self, paths: Sequence[Path], poll_s: float) -> None:
         self.paths, self.poll_s = paths, poll_s
-        self.told = asyncio.Event()
-        self.notified = False  # whether the system tells of changes
-        self._stamp: dict[str, Stamp] = {}
-        self._looks = 0
-
-    async def looks(self) -> AsyncIterator[None]:
-        """Once at first, then after each change."""
-        told = True
+        self.changed = asyncio.Event()
+        self.notifications_active = False  # whether the system notifies of changes
+        self._stamps: dict[str, Stamp] = {}
+        self._polls = 0
+
+    async def changes(self) -> AsyncIterator[None]:
+        """Yield whenever the files should be read: at first, after a change, and now and then."""
+        notified = True
         while True:
-            stamp = await asyncio.to_thread(stamp_of, self.paths)
-            self._looks += 1
-            # Guards against two writes within one tick of the file system's clock, which look like
-            # one.
-            if told or stamp != self._stamp or self._looks % FULL_LOOKS == 0:
-                self._stamp = stamp
+            current = await asyncio.to_thread(file_stamps, self.paths)
+            self._polls += 1
+            # The full read finds a second write within one tick of the file system's clock, which
+            # leaves the metadata unchanged.
+            if notified or current != self._stamps or self._polls % POLLS_PER_FULL_READ == 0:
+                self._stamps = current
                 yield
             try:
-                await asyncio.wait_for(self.told.wait(), self.poll_s)
-                told = True
+                await asyncio.wait_for(self.changed.wait(), self.poll_s)
+                notified = True
             except TimeoutError:
-                told = False
-            self.told.clear()
+                notified = False
+            self.changed.clear()
 
     async def listen(self) -> None:
-        """Have the system tell; never ends. Without it, looking now and then is all there is."""
+        """Wait for notifications of the system; does not return.
+
+        Without the package watchfiles changes are found by polling only.
+        """
         try:
             from watchfiles import awatch
         except ImportError:
@@ -114,15 +113,15 @@
             await asyncio.Event().wait()
             return
         while True:
-            folders = {nearest(path) for path in self.paths}
+            folders = {nearest_existing_folder(path) for path in self.paths}
             folders |= {Path(os.path.realpath(folder)) for folder in folders}
             try:
-                self.notified = True
+                self.notifications_active = True
                 async for _ in awatch(*folders, recursive=False, step=20, debounce=50):
-                    self.told.set()
-                    if {nearest(path) for path in self.paths} - folders:
+                    self.changed.set()
+                    if {nearest_existing_folder(path) for path in self.paths} - folders:
                         break  # a folder has appeared
             except (OSError, RuntimeError) as problem:
-                self.notified = False
+                self.notifications_active = False
                 log.warning("file_watch_unavailable", why=str(problem))
                 await asyncio.sleep(self.poll_s)
--- a/onyxpass/sources/weight_ramp.py
+++ b/onyxpass/sources/weight_ramp.py
@@ -1,11 +1,9 @@
-"""Weights that change reach their new value in steps, so that traffic moves gradually. Without
-I/O.
-"""
+"""Ramps changed weights to their new values in steps, so that traffic moves gradually. No I/O."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-STEPS = 20  # of one whole ramp
+STEPS = 20  # steps of one ramp
 
 
 @dataclass(slots=True)
@@ -17,53 +15,63 @@
 
 @dataclass(slots=True)
 class WeightRamp:
-    """``now``: the weights in force. A new server starts at its weight; its slow start is the
-    module's.
+    """The weights in force and those that are changing.
+
+    A new server starts at its full weight; the router applies its slow start.
     """
 
     ramp_s: float
-    now: dict[str, float] = field(default_factory=dict)
-    slopes: dict[str, WeightTransition] = field(default_factory=dict)
+    current: dict[str, float] = field(default_factory=dict)
+    transitions: dict[str, WeightTransition] = field(default_factory=dict)
 
-    def aim(self, weights: Mapping[str, float], fresh: set[str], now_s: float) -> None:
-        """The weights of a new view; ``fresh``: ids that are new servers."""
-        for name in [name for name in self.now if name not in weights]:
-            del self.now[name]
-            self.slopes.pop(name, None)
+    def set_targets(
+        self, weights: Mapping[str, float], new_servers: set[str], now_s: float
+    ) -> None:
+        """Set the target weights of a new view; ``new_servers`` are the ids of new servers."""
+        for name in [name for name in self.current if name not in weights]:
+            del self.current[name]
+            self.transitions.pop(name, None)
         for name, weight in weights.items():
             if (
-                name in fresh
-                or name not in self.now
+                name in new_servers
+                or name not in self.current
                 or self.ramp_s <= 0
-                or 0 in (weight, self.now[name])
+                or 0 in (weight, self.current[name])
             ):
-                # To nothing at once: that is a drain. From nothing: it is cold, and starts slowly
-                # by itself.
-                self.now[name] = weight
-                self.slopes.pop(name, None)
-            elif (slope := self.slopes.get(name)) is not None and slope.end == weight:
-                continue  # on its way there already
-            elif self.now[name] != weight:
-                self.slopes[name] = WeightTransition(self.now[name], weight, now_s)
+                # A weight of 0 is a drain and applies at once. A server whose weight was 0 is cold
+                # and has its slow start.
+                self.current[name] = weight
+                self.transitions.pop(name, None)
+            elif (
+                transition := self.transitions.get(name)
+            ) is not None and transition.end == weight:
+                continue  # already ramping to this weight
+            elif self.current[name] != weight:
+                self.transitions[name] = WeightTransition(self.current[name], weight, now_s)
             else:
-                self.slopes.pop(name, None)
+                self.transitions.pop(name, None)
+
+    def advance(self, now_s: float) -> dict[str, float]:
+        """Advance the weights and return those that changed.
 
-    def step(self, now_s: float) -> dict[str, float]:
-        """The weights that differ now; each moves in ``STEPS`` steps, so that few lists are
-        told.
+        A ramp has ``STEPS`` steps, which limits the number of updates.
         """
         changed = {}
-        for name, slope in list(self.slopes.items()):
-            part = min(1.0, max(0.0, (now_s - slope.since_s) / self.ramp_s))
-            part = 1.0 if part >= 1.0 else int(part * STEPS) / STEPS
-            weight = slope.end if part >= 1.0 else slope.start + (slope.end - slope.start) * part
-            if weight != self.now[name]:
-                self.now[name] = changed[name] = weight
-            if part >= 1.0:
-                del self.slopes[name]
+        for name, transition in list(self.transitions.items()):
+            progress = min(1.0, max(0.0, (now_s - transition.since_s) / self.ramp_s))
+            progress = 1.0 if progress >= 1.0 else int(progress * STEPS) / STEPS
+            weight = (
+                transition.end
+                if progress >= 1.0
+                else transition.start + (transition.end - transition.start) * progress
+            )
+            if weight != self.current[name]:
+                self.current[name] = changed[name] = weight
+            if progress >= 1.0:
+                del self.transitions[name]
         return changed
 
     @property
-    def next_s(self) -> float | None:
-        """Seconds between steps while something moves."""
-        return self.ramp_s / STEPS if self.slopes else None
+    def step_interval_s(self) -> float | None:
+        """Seconds between steps; None if no weight is changing."""
+        return self.ramp_s / STEPS if self.transitions else None
--- a/onyxpass/start.py
+++ b/onyxpass/start.py
@@ -1,8 +1,8 @@
-"""The short way into ``serve``: what a dispatcher does not use is not loaded.
+"""The entry point, with a fast start of ``serve`` that does not import unused modules.
 
-A start takes processor time and memory in every one of hundreds of dispatchers, and after a release
-most of them start at the same moment. So ``serve`` with nothing to parse goes round the command
-line, and the parts that its libraries load only if they are there (see ``UNUSED_MODULES``) are left out.
+Each of hundreds of dispatchers spends processor time and memory on its start, and after a release
+most of them start at the same moment. So ``serve`` without arguments bypasses the command line, and
+optional imports of its libraries (see ``UNUSED_MODULES``) are blocked.
 """
 
 import gc
@@ -13,32 +13,33 @@
 from types import ModuleType
 from typing import cast
 
-# rich: structlog's renderer for developers. ssl: asyncio's TLS. _hashlib: OpenSSL's digests, where
-# Python's
-# own blake2 is meant. Each of the three does without if the import fails.
+# rich: structlog's renderer for development. ssl: asyncio's TLS. _hashlib: OpenSSL's digests, which
+# are not needed beside Python's own blake2. The importing modules work without them.
 UNUSED_MODULES = ("rich", "ssl", "_hashlib")
 
 
 @contextmanager
 def blocked_imports(*names: str) -> Iterator[None]:
-    """Let imports of these modules fail in the block, if they are not loaded yet; later ones
-    succeed.
+    """Make imports of these modules fail in the block unless they are loaded already.
+
+    Imports after the block succeed.
     """
     modules = cast("dict[str, ModuleType | None]", sys.modules)
-    left_out = [name for name in names if name not in modules]
-    modules.update(dict.fromkeys(left_out))
+    blocked = [name for name in names if name not in modules]
+    modules.update(dict.fromkeys(blocked))
     try:
         yield
     finally:
-        for name in left_out:
+        for name in blocked:
             del modules[name]
 
 
 def run(path: Path | None = None, level: str = "info") -> int:
-    """One dispatcher till SIGTERM; the exit code. ``path``: the platform's JSON, else
-    ``$ROUTER_CONFIG``.
+    """Run one dispatcher until SIGTERM and return the exit code.
+
+    ``path`` is the platform's JSON file; the default is ``$ROUTER_CONFIG``.
     """
-    gc.disable()  # nothing that is loaded here is garbage; serve() turns it on again
+    gc.disable()  # the imports leave no garbage; serve() enables it again
     with blocked_imports(*UNUSED_MODULES):
         import asyncio
 
@@ -60,9 +61,10 @@
 
 
 def main() -> int:
-    """The program ``onyxpass``: the short way if there is nothing to parse, else the command line.
+    """Run the program ``onyxpass`` and return the exit code.
 
-    A command whose extra is not there ends with one line and exit code 2.
+    ``serve`` without arguments starts directly; everything else goes through the command line. A
+    command whose extra is not installed prints one line and ends with exit code 2.
     """
     try:
         if sys.argv[1:] == ["serve"]:
@@ -72,11 +74,11 @@
         command_line()
         return 0
     except ModuleNotFoundError as problem:
-        from onyxpass.optional_dependencies import missing_extra
+        from onyxpass.optional_dependencies import missing_extra_message
 
-        if (told := missing_extra(problem)) is None:
+        if (message := missing_extra_message(problem)) is None:
             raise
-        print(f"onyxpass: {told}", file=sys.stderr)
+        print(f"onyxpass: {message}", file=sys.stderr)
         return 2
 
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""The operators' address, its figures, and replicas taken out by hand."""
+"""The operators' address: readiness, metrics, and replicas excluded by operators."""
 
 import asyncio
 import socket
@@ -22,7 +22,7 @@
 
 
 async def call(w: World, *parts: bytes, end: bool = False) -> bytes:
-    """One call, written part by part; its whole answer."""
+    """Send one call part by part and return its complete answer."""
     assert w.dispatcher.control is not None
     reader, writer = await asyncio.open_connection("127.0.0.1", w.dispatcher.control.port)
     try:
@@ -39,30 +39,30 @@
         writer.close()
 
 
-async def post(w: World, what: str) -> int:
+async def post_command(w: World, what: str) -> int:
     return int((await call(w, f"POST /api/{what} HTTP/1.1\r\nHost: x\r\n\r\n".encode())).split()[1])
 
 
-async def figures(w: World) -> dict[str, int]:
+async def metrics(w: World) -> dict[str, int]:
     answer = await call(w, READY.replace(b"ready", b"telemetry"))
     assert answer.startswith(b"HTTP/1.1 200")
     rows = answer.partition(b"\r\n\r\n")[2].decode().split()
     return {name: int(value) for name, value in (row.split("=") for row in rows)}
 
 
-def test_every_request_and_attempt_is_counted_once_and_bad_requests_are_none() -> None:
+def test_every_request_and_attempt_is_counted_once_and_bad_requests_are_not_counted() -> None:
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM, FULL)], control=CONTROL) as w:
-            at_first = await figures(w)
+            at_first = await metrics(w)
             ends = [f"svc.downstream_requests.{c.name}.{e}" for c in SETTINGS.classes for e in
                     ("completed", "rejected", "failed")]  # fmt: skip
             assert all(at_first[name] == 0 for name in ends)
             assert at_first["svc.upstream_requests"] == at_first["svc.pending"] == 0
             assert at_first["svc.members"] == 2 and at_first["svc.members_unavailable"] == 0
             await w.ask("a1")
-            await w.ask("a2")  # the writer is full from now on
+            await w.ask("a2")  # the writer is full after this request
             assert b" 400 " in await w.ask("b1", traffic_class="unheard-of")
-            now = await figures(w)
+            now = await metrics(w)
             assert now["svc.downstream_requests.light.completed"] == 1
             assert now["svc.downstream_requests.light.rejected"] == 1
             assert sum(now[name] for name in ends) == 2 and now["svc.pending"] == 0
@@ -103,7 +103,7 @@
 
 @settings(derandomize=True, max_examples=25, deadline=None)
 @given(st.lists(st.integers(1, len(READY) - 1), max_size=8), st.binary(max_size=60))
-def test_calls_may_come_in_pieces_and_garbage_gets_a_no_or_a_close(
+def test_calls_may_come_in_pieces_and_garbage_gets_an_error_or_a_close(
     places: list[int], noise: bytes
 ) -> None:
     marks = sorted({0, len(READY), *places})
@@ -118,7 +118,7 @@
     run(go)
 
 
-def test_silent_and_half_calls_go_in_time_and_keep_nobody_out(
+def test_silent_and_incomplete_calls_time_out_and_do_not_block_others(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def go() -> None:
@@ -130,7 +130,7 @@
                 for _ in range(control.MAX_CALLS + 4)
             ]
             assert (await call(w, READY)).startswith(b"HTTP/1.1 200"), (
-                "a newcomer takes a silent one's place"
+                "a new call takes the place of a silent one"
             )
             monkeypatch.setattr(control, "CALL_TIMEOUT_US", 30_000)
             assert (await call(w, READY[:20])).startswith(b"HTTP/1.1 408")
@@ -141,11 +141,11 @@
     run(go)
 
 
-def test_not_ready_before_the_whole_list_nor_once_it_stops() -> None:
+def test_not_ready_before_the_complete_list_nor_while_stopping() -> None:
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM)], control=CONTROL) as w:
             found = w.dispatcher.endpoint_watcher
-            # nobody is there who could make it ready again
+            # No discovery listens there, so the watcher cannot become ready by itself.
             found.set_discovery(Address("127.0.0.1", 1))
             await until(found.mailbox.empty)
             await asyncio.sleep(0)
@@ -159,15 +159,17 @@
     run(go)
 
 
-def test_a_replica_taken_out_gets_nothing_new_till_it_is_back_and_then_soon() -> None:
+def test_an_excluded_replica_gets_no_requests_until_it_is_included_and_then_soon() -> None:
     async def go() -> None:
         readers = [Replica(READ), Replica(READ)]
         async with world(readers, [Replica(STREAM)], control=CONTROL) as w:
             await w.ask("a0")
             out = readers[0] if readers[0].heads else readers[1]
             name, seen, opened = f"r{readers.index(out)}", len(out.heads), out.connections
-            assert await post(w, f"exclude?host={name}") == 200
-            assert await post(w, f"exclude?host={name}") == 200, "twice is no fault"
+            assert await post_command(w, f"exclude?host={name}") == 200
+            assert await post_command(w, f"exclude?host={name}") == 200, (
+                "a repeated exclusion succeeds"
+            )
             actor = w.dispatcher.replicas.actors[name]
             w.dispatcher.core._apply(contract.HealthCheck(name))
             listed = [
@@ -180,36 +182,37 @@
             for i in range(6):
                 assert b" 200 " in await w.ask(f"b{i}")
             assert len(out.heads) == seen and not actor.idle and not out.writers, (
-                "and no connection is kept"
+                "no connection is kept"
+            )
+            assert (await metrics(w))["svc.members_unavailable"] == 1
+            assert await post_command(w, f"include?host={name}") == 200, (
+                "one inclusion ends repeated exclusions"
             )
-            assert (await figures(w))["svc.members_unavailable"] == 1
-            assert await post(w, f"include?host={name}") == 200, "once undoes both"
-            for i in range(40):  # cold, so it earns its first request by those of the others
+            # The replica is cold: its first request depends on those of the others.
+            for i in range(40):
                 assert b" 200 " in await w.ask(f"c{i}")
             assert len(out.heads) > seen and out.connections > opened
 
     run(go)
 
 
-def test_a_send_that_waits_for_its_connection_does_not_go_out_once_the_replica_is_taken_out() -> (
-    None
-):
+def test_a_send_that_waits_for_its_connection_is_not_sent_after_the_exclusion() -> None:
     async def go() -> None:
         reader = Replica(READ)
         async with world([reader], [Replica(STREAM)], control=CONTROL) as w:
             actor = w.dispatcher.replicas.actors["r0"]
             open_one, waiting, go_on = actor._open, asyncio.Event(), asyncio.Event()
 
-            async def slowly(most_us: int | None = None) -> Any:
+            async def open_slowly(most_us: int | None = None) -> Any:
                 wire = await open_one(most_us)
                 waiting.set()
                 await go_on.wait()
                 return wire
 
-            actor._open = slowly  # type: ignore[method-assign]
+            actor._open = open_slowly  # type: ignore[method-assign]
             asked = asyncio.create_task(w.ask("a1"))
             await waiting.wait()
-            assert await post(w, "exclude?host=r0") == 200
+            assert await post_command(w, "exclude?host=r0") == 200
             go_on.set()
             assert b" 503 " in await asked
             assert not reader.heads
@@ -217,7 +220,7 @@
     run(go)
 
 
-def test_the_module_leaves_out_what_operators_took_out_and_takes_it_back_cold() -> None:
+def test_the_router_avoids_excluded_servers_and_readmits_them_cold() -> None:
     d = Drive(fleet(2, 2))
     d.serve(1)
     home = d.sent[1][0]
@@ -243,10 +246,12 @@
         "an older start in the list does not make it warm"
     )
     reads = [d.serve(n) for n in range(10, 30)]
-    assert home in reads and reads[0] != home, "work soon, but within its cold budget"
+    assert home in reads and reads[0] != home, (
+        "requests soon, but within the limit of a cold server"
+    )
 
 
-def test_what_the_module_puts_aside_counts_as_avoided() -> None:
+def test_a_server_ejected_by_the_router_counts_as_avoided() -> None:
     d = Drive(fleet(4, 4))
     victim = d.ask(1)
     d.end(1, AttemptStatus.UNREACHABLE)
@@ -254,12 +259,14 @@
     assert victim in d.router.avoided(d.now)
 
 
-def test_the_new_keys_the_variable_first() -> None:
+def test_variables_override_the_control_address_and_set_the_passed_socket() -> None:
     from test_program import RAW
 
     assert parse(RAW, {}).control is None and parse(RAW, {}).folder is None
-    told = parse({**RAW, "control": "127.0.0.1:5"}, {"ROUTER_PASSED_SOCKET": "4", "TMPDIR": "/tmp"})
-    assert (str(told.control), told.listen_descriptor, str(told.folder)) == (
+    config = parse(
+        {**RAW, "control": "127.0.0.1:5"}, {"ROUTER_PASSED_SOCKET": "4", "TMPDIR": "/tmp"}
+    )
+    assert (str(config.control), config.listen_descriptor, str(config.folder)) == (
         "127.0.0.1:5",
         4,
         "/tmp",
@@ -273,23 +280,23 @@
             parse(RAW, wrong)
 
 
-def test_a_request_in_the_making_counts_as_pending() -> None:
+def test_a_request_in_progress_counts_as_pending() -> None:
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM)], control=CONTROL) as w:
-            w.readers[0].answers = [hold := Held()]
+            w.readers[0].answers = [hold := HeldPrefill()]
             reader, writer = await w.send(ask("a1", close=True))
             await hold.there.wait()
-            assert (await figures(w))["svc.pending"] == 1
+            assert (await metrics(w))["svc.pending"] == 1
             hold.go.set()
             await reader.read()
-            assert (await figures(w))["svc.pending"] == 0
+            assert (await metrics(w))["svc.pending"] == 0
             writer.close()
 
     run(go)
 
 
-class Held:
-    """A read that waits for the test."""
+class HeldPrefill:
+    """A prefill answer that waits until the test sets ``go``."""
 
     def __init__(self) -> None:
         self.there, self.go = asyncio.Event(), asyncio.Event()
@@ -300,14 +307,15 @@
         await READ(replica, reader, writer, head)
 
 
-def test_at_the_end_new_connections_are_served_late_requests_refused_and_the_rest_answered(
+def test_shutdown_rejects_late_requests_and_answers_the_others(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def go() -> None:
-        hold = Held()
+        hold = HeldPrefill()
         passed = socket.create_server(("127.0.0.1", 0))
         monkeypatch.setattr(front, "REJECT_NEW_DELAY_US", 0)
-        monkeypatch.setattr(front, "SHUTDOWN_MARGIN_US", -2_900_000)  # all is answered soon
+        # All open requests are answered soon after the shutdown begins.
+        monkeypatch.setattr(front, "SHUTDOWN_MARGIN_US", -2_900_000)
         async with world(
             [Replica(hold)], [Replica(STREAM)], listen_descriptor=passed.detach()
         ) as w:
@@ -321,11 +329,11 @@
             refused = await fresh.read()
             assert refused.startswith(b"HTTP/1.1 503") and b"connection: close" in refused.lower()
             assert (await open_one.read()).startswith(b"HTTP/1.1 50"), (
-                "answered before the process is killed"
+                "the request is answered before the process is killed"
             )
             await stopping
-            figures = w.dispatcher.core.metrics
-            assert figures.pending == 0 and figures.downstream["light"].rejected == 1
+            counters = w.dispatcher.core.metrics
+            assert counters.pending == 0 and counters.downstream["light"].rejected == 1
             for writer in (stays, late):
                 writer.close()
 
@@ -349,7 +357,7 @@
     run(go)
 
 
-def test_a_cold_server_that_has_answered_nothing_is_not_taken_to_be_the_quickest() -> None:
+def test_a_cold_server_without_answers_is_not_estimated_as_the_fastest() -> None:
     d = Drive(fleet(2, 2))
     for i in range(12):
         d.serve(i, f"w{i}", prefix=f"p{i}")
@@ -364,8 +372,10 @@
         fresh.slow_start_factor(d.now) == SETTINGS.slow_start_initial_factor
         and known.us_per_token > 0
     )
-    fresh.pending_tokens[999] = 3_000  # one read is out there
-    assert fresh.expected_prefill_us(3_000, d.now) == 0.0, "by its own answers nothing is known"
+    fresh.pending_tokens[999] = 3_000  # one prefill request is open
+    assert fresh.expected_prefill_us(3_000, d.now) == 0.0, (
+        "without answers of its own there is no estimate"
+    )
     guessed = fresh.expected_prefill_us(3_000, d.now, known.us_per_token)
     assert guessed == pytest.approx(
         known.us_per_token
@@ -378,7 +388,7 @@
     )
     d.router.candidates.sample_warming = lambda request, servers, now_us, holder: servers  # type: ignore
     sent = []
-    # reads pile up at the fresh one, open to all of them, unless its queue counts
+    # All requests may go to the new server and pile up there unless its queue counts.
     for i in range(20, 24):
         fresh.sample_count = 0
         sent.append(d.ask(i, f"x{i}", prefix=f"q{i}"))
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program as its users start it: the command line, the platform's variables, signals."""
+"""The program as users start it: command line, environment variables of the platform, signals."""
 
 import asyncio
 import json
@@ -36,20 +36,20 @@
     path.write_text(json.dumps(RAW))
     good = run.invoke(app, ["check-config", "--config", str(path)])
     assert good.exit_code == 0 and "n3: listens on 127.0.0.1:0" in good.output
-    for told in (
+    for expected in (
         "1024, of them 480 for clients",
         "2.5 s for a request",
         "operators' address: none",
         "clients' socket: bound here",
         "on SIGHUP: discovery at 127.0.0.1:1",
     ):
-        assert told in good.output
+        assert expected in good.output
     path.write_text("{")
     bad = run.invoke(app, ["check-config", "--config", str(path)])
     assert bad.exit_code == 2 and "Traceback" not in bad.output
 
 
-def test_variables_win_over_the_file_and_what_is_missing_is_named() -> None:
+def test_variables_override_the_file_and_missing_keys_are_named() -> None:
     config = parse(RAW, {"ROUTER_NAME": "n9", "ROUTER_LISTEN": "127.0.0.2:5"})
     assert (config.name, str(config.listen), config.seed) == ("n9", "127.0.0.2:5", 0x8C1F)
     for absent in ("name", "listen", "discovery", "settings"):
@@ -60,24 +60,24 @@
             parse({**RAW, **wrong}, {})
 
 
-def test_on_a_reload_the_files_discovery_wins() -> None:
-    started = {"ROUTER_DISCOVERY": "127.0.0.9:9"}
-    assert str(parse(RAW, started).discovery) == "127.0.0.9:9"
-    assert str(parse(RAW, started, reloading=True).discovery) == RAW["discovery"]
-    assert str(parse({**RAW, "discovery": ""}, started, reloading=True).discovery) == "127.0.0.9:9"
+def test_on_a_reload_the_discovery_in_the_file_overrides_the_variable() -> None:
+    environ = {"ROUTER_DISCOVERY": "127.0.0.9:9"}
+    assert str(parse(RAW, environ).discovery) == "127.0.0.9:9"
+    assert str(parse(RAW, environ, reloading=True).discovery) == RAW["discovery"]
+    assert str(parse({**RAW, "discovery": ""}, environ, reloading=True).discovery) == "127.0.0.9:9"
 
 
-def test_the_second_front_serves_the_loopback_only() -> None:
+def test_the_second_front_accepts_loopback_addresses_only() -> None:
     found = service.load(ROOT / "deploy" / "toolcalls.toml")
     assert [s.id for s, _ in found.servers] == ["reader-1", "writer-1"]
     with pytest.raises(ConfigError, match="loopback"):
         service.loopback("10.0.0.1:80")
 
 
-async def started(
+async def start_program(
     path: Path, *fds: int, **environ: str
 ) -> tuple[asyncio.subprocess.Process, dict[str, int]]:
-    """The program, once it has the whole list; and the ports that it listens on."""
+    """Start the program, wait for its complete list, and return it with its ports by log event."""
     process = await asyncio.create_subprocess_exec(
         *(sys.executable, "-m", "onyxpass", "serve", "--config", str(path)),
         cwd=ROOT,
@@ -106,7 +106,9 @@
     return answer
 
 
-def test_an_upgrade_hands_the_clients_over_and_keeps_what_is_out(tmp_path: Path) -> None:
+def test_an_upgrade_hands_over_new_clients_and_keeps_excluded_replicas_excluded(
+    tmp_path: Path,
+) -> None:
     async def go() -> None:
         discovery, reader, writer = Discovery(), Replica(READ), Replica(STREAM)
         spare = Replica(READ)
@@ -116,31 +118,31 @@
             discovery.hosts.append(discovery.entry(name, kind, part.address))
         path = tmp_path / "config.json"
         path.write_text(json.dumps({**RAW, "discovery": discovery.address}))
-        ours = socket.create_server(("127.0.0.1", 0))
-        port, number = ours.getsockname()[1], ours.fileno()
-        told = {
+        listener = socket.create_server(("127.0.0.1", 0))
+        port, number = listener.getsockname()[1], listener.fileno()
+        environ = {
             "ROUTER_PASSED_SOCKET": str(number),
             "TMPDIR": str(tmp_path),
             "ROUTER_CONTROL": "127.0.0.1:0",
         }
-        old, at_old = await started(path, number, **told)
+        old, at_old = await start_program(path, number, **environ)
         assert at_old["listening"] == port
-        kept, idle = await asyncio.open_connection("127.0.0.1", port)
+        idle_source, idle = await asyncio.open_connection("127.0.0.1", port)
         idle.write(ask("a1", "a"))
-        assert (await kept.readuntil(b"0\r\n\r\n")).startswith(b"HTTP/1.1 200")
-        # its request is still on its way
-        fresh, late = await asyncio.open_connection("127.0.0.1", port)
+        assert (await idle_source.readuntil(b"0\r\n\r\n")).startswith(b"HTTP/1.1 200")
+        # This connection's request is sent in part only.
+        late_source, late = await asyncio.open_connection("127.0.0.1", port)
         late.write(ask("a2", "a")[:40])
-        new, at_new = await started(path, number, **told)
+        new, at_new = await start_program(path, number, **environ)
         assert (await call(at_new["control"], "GET /api/ready")).startswith(b"HTTP/1.1 200")
         assert (await call(at_old["control"], "POST /api/exclude?host=r1")).startswith(
             b"HTTP/1.1 200"
         )
         assert b"members_unavailable=1\n" in await call(at_new["control"], "GET /api/telemetry")
         old.send_signal(signal.SIGTERM)
-        assert await kept.read() == b"", "an idle connection is closed"
+        assert await idle_source.read() == b"", "an idle connection is closed"
         late.write(ask("a2", "a")[40:])
-        served = await fresh.read()
+        served = await late_source.read()
         assert served.startswith(b"HTTP/1.1 200") and b"connection: close" in served.lower()
         assert await old.wait() == 0
         for i in range(6):
@@ -153,7 +155,7 @@
         assert not any(b"b" + str(i).encode() in head for head in spare.heads for i in range(6))
         new.send_signal(signal.SIGTERM)
         assert await new.wait() == 0
-        ours.close()
+        listener.close()
         idle.close()
         late.close()
         for part in (discovery, reader, writer, spare):
@@ -162,7 +164,7 @@
     asyncio.run(asyncio.wait_for(go(), 60))
 
 
-def test_a_stream_under_way_goes_over_to_the_new_process_and_its_connections_live_on(
+def test_an_open_stream_and_its_connections_migrate_to_the_new_process(
     tmp_path: Path,
 ) -> None:
     async def go() -> None:
@@ -174,34 +176,32 @@
             discovery.hosts.append(discovery.entry(name, kind, part.address))
         path = tmp_path / "config.json"
         path.write_text(json.dumps({**RAW, "discovery": discovery.address}))
-        ours = socket.create_server(("127.0.0.1", 0))
-        port, number = ours.getsockname()[1], ours.fileno()
-        told = {
+        listener = socket.create_server(("127.0.0.1", 0))
+        port, number = listener.getsockname()[1], listener.fileno()
+        environ = {
             "ROUTER_PASSED_SOCKET": str(number),
             "TMPDIR": str(tmp_path),
             "ROUTER_CONTROL": "127.0.0.1:0",
         }
-        old, _ = await started(path, number, **told)
+        old, _ = await start_program(path, number, **environ)
         source, sink = await asyncio.open_connection("127.0.0.1", port)
         sink.write(ask("a1", "a"))
         await source.readuntil(b"[DONE]\n\n\r\n")
-        new, at_new = await started(path, number, **told)
+        new, at_new = await start_program(path, number, **environ)
         old.send_signal(signal.SIGTERM)
         while b"svc.pending=1\n" not in await call(at_new["control"], "GET /api/telemetry"):
             await asyncio.sleep(0.01)
-        assert await old.wait() == 0, (
-            "it has nothing left to wait for, though the stream has not ended"
-        )
+        assert await old.wait() == 0, "the old process ends although the stream has not ended"
         hold.set()
         assert (await source.readuntil(b"0\r\n\r\n")) == b"0\r\n\r\n"
-        sink.write(ask("a2", "a"))  # the connection is the new process's now
+        sink.write(ask("a2", "a"))  # the new process owns the connection
         assert (await source.readuntil(b"0\r\n\r\n")).startswith(b"HTTP/1.1 200")
-        told_now = await call(at_new["control"], "GET /api/telemetry")
-        assert b".completed=2\n" in told_now and b"svc.pending=0\n" in told_now
+        metrics = await call(at_new["control"], "GET /api/telemetry")
+        assert b".completed=2\n" in metrics and b"svc.pending=0\n" in metrics
         assert len(writer.heads) == 2, "nothing was sent twice"
         new.send_signal(signal.SIGTERM)
         assert await new.wait() == 0
-        ours.close()
+        listener.close()
         sink.close()
         for part in (discovery, reader, writer):
             await part.stop()
@@ -209,10 +209,10 @@
     asyncio.run(asyncio.wait_for(go(), 60))
 
 
-def test_an_address_in_use_ends_the_start_with_a_plain_line(tmp_path: Path) -> None:
-    with socket.create_server(("127.0.0.1", 0)) as ours:
+def test_an_address_in_use_ends_the_start_with_one_log_line(tmp_path: Path) -> None:
+    with socket.create_server(("127.0.0.1", 0)) as listener:
         path = tmp_path / "config.json"
-        path.write_text(json.dumps({**RAW, "listen": f"127.0.0.1:{ours.getsockname()[1]}"}))
+        path.write_text(json.dumps({**RAW, "listen": f"127.0.0.1:{listener.getsockname()[1]}"}))
         done = subprocess.run(
             (sys.executable, "-m", "onyxpass", "serve", "--config", str(path)),
             cwd=ROOT,
@@ -224,7 +224,7 @@
 
 
 async def small_site(folder: Path) -> tuple[Discovery, Replica, Replica, Path]:
-    """Discovery with one reader and one writer, and the file of a dispatcher before them."""
+    """Start a discovery, a reader and a writer, and write a dispatcher's configuration for them."""
     discovery, reader, writer = Discovery(), Replica(READ), Replica(STREAM)
     for part in (discovery, reader, writer):
         await part.start()
@@ -240,12 +240,12 @@
 def test_serve_from_start_to_sigterm(tmp_path: Path) -> None:
     async def go() -> None:
         discovery, reader, writer, path = await small_site(tmp_path)
-        process, ports = await started(path)
+        process, ports = await start_program(path)
         assert process.stdout is not None
         source, sink = await asyncio.open_connection("127.0.0.1", ports["listening"])
         sink.write(ask("a1", "a"))
         assert (await source.readuntil(b"0\r\n\r\n")).startswith(b"HTTP/1.1 200")
-        path.write_text('{"name":')  # half written: the old settings hold
+        path.write_text('{"name":')  # partly written: the old settings stay
         process.send_signal(signal.SIGHUP)
         while json.loads(await process.stdout.readline())["event"] != "configuration_rejected":
             pass
@@ -324,30 +324,30 @@
         ({"extra": {"roleByKind": 5}}, "settings can't be read", False),
     ],
 )
-def test_bad_settings_are_told_in_one_line_with_file_key_and_reason(
+def test_bad_settings_are_reported_in_one_line_with_file_key_and_reason(
     tmp_path: Path, change: dict[str, object], key: str, runs: bool
 ) -> None:
     path = tmp_path / "c.json"
     path.write_text(json.dumps({**RAW, "settings": {**CONF, **change}}))
-    told = CliRunner().invoke(app, ["check-config", "--config", str(path)])
-    assert told.exit_code == 2 and "Traceback" not in told.output
+    result = CliRunner().invoke(app, ["check-config", "--config", str(path)])
+    assert result.exit_code == 2 and "Traceback" not in result.output
     assert (
-        told.output.startswith(f"onyxpass: {path}: ")
-        and key in told.output
-        and told.output.count("\n") == 1
+        result.output.startswith(f"onyxpass: {path}: ")
+        and key in result.output
+        and result.output.count("\n") == 1
     )
-    if runs:  # guards against a deployment refused for what has a safe reading
+    if runs:  # a value with a safe interpretation must not block a deployment
         assert key.startswith(load(path).faults[0].key)
     else:
         with pytest.raises(ConfigError):
             load(path)
 
 
-def test_a_negative_limit_beside_the_settings_is_told_too(tmp_path: Path) -> None:
+def test_a_negative_limit_outside_the_settings_is_reported(tmp_path: Path) -> None:
     path = tmp_path / "c.json"
     path.write_text(json.dumps({**RAW, "limits": {"sockets": -4}}))
-    told = CliRunner().invoke(app, ["check-config", "--config", str(path)])
+    result = CliRunner().invoke(app, ["check-config", "--config", str(path)])
     assert (
-        told.exit_code == 2
-        and f"{path}: limits.sockets: must be a number, 0 at least" in told.output
+        result.exit_code == 2
+        and f"{path}: limits.sockets: must be a number, 0 at least" in result.output
     )
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -1,5 +1,6 @@
-"""Watched files: whole views or none, in parts and under both fronts, through every way a file
-can change.
+"""Watched files: each version is applied completely or rejected.
+
+The tests cover the single parts, both fronts, and the ways in which a file can change.
 """
 
 import asyncio
@@ -49,14 +50,21 @@
 
 ROOT = Path(__file__).parent.parent
 ROLES = {"reader": contract.Role.PREFILL, "writer": contract.Role.DECODE}
-STRICT = GuardsTable()
-LOOSE = GuardsTable(removed="100%", removed_role="100%", removed_hall="100%")
+DEFAULT_GUARDS = GuardsTable()
+NO_REMOVAL_LIMITS = GuardsTable(removed="100%", removed_role="100%", removed_hall="100%")
 
 
 def row(id: str, kind: str = "reader", port: int = 1, hall: str = "derby", **more: object) -> str:
-    told = {"id": id, "kind": kind, "hall": hall, "cell": 0, "address": f"127.0.0.1:{port}", **more}
+    fields = {
+        "id": id,
+        "kind": kind,
+        "hall": hall,
+        "cell": 0,
+        "address": f"127.0.0.1:{port}",
+        **more,
+    }
     return "[[servers]]\n" + "".join(
-        f"{k} = {json.dumps(v, ensure_ascii=False)}\n" for k, v in told.items()
+        f"{k} = {json.dumps(v, ensure_ascii=False)}\n" for k, v in fields.items()
     )
 
 
@@ -71,10 +79,10 @@
 )
 
 
-def verdict(
+def validated(
     *texts: str | bytes,
     old: MembershipView = EMPTY_VIEW,
-    guards: GuardsTable = LOOSE,
+    guards: GuardsTable = NO_REMOVAL_LIMITS,
     now_us: int = 7,
 ) -> Any:
     files = {f"{i}.toml": t.encode() if isinstance(t, str) else t for i, t in enumerate(texts)}
@@ -82,18 +90,18 @@
 
 
 def view(*texts: str) -> MembershipView:
-    found = verdict(*texts)
-    assert isinstance(found, Accepted), found
-    return found.view
+    result = validated(*texts)
+    assert isinstance(result, Accepted), result
+    return result.view
 
 
-# The form
+# Parsing
 
 
 @pytest.mark.parametrize(
     ("old", "new", "place", "why"),
     [
-        ('id = "r2"', 'id = "r1"', "0.toml:8:1", "'r1' stands here and at 0.toml:1"),
+        ('id = "r2"', 'id = "r1"', "0.toml:8:1", "'r1' is defined here and at 0.toml:1"),
         ("127.0.0.1:2", "127.0.0.1:1", "0.toml:8:1", "has the address of 'r1'"),
         ('kind = "writer"', 'kind = "writter"', "0.toml:17:8", "did you mean 'writer'"),
         ('hall = "derby"\n', "", "0.toml:2:6", "no hall"),
@@ -101,25 +109,25 @@
         ("cell = 0", "weight = -1", "0.toml:5:10", "weight"),
         ("cell = 0", "weight = nan", "0.toml:5:10", "weight"),
         ("cell = 0", 'cell = "0"', "0.toml:5:8", "cell"),
-        ('id = "r2"', 'id = "r\\u200b2"', "0.toml:9:6", "can't be seen"),
+        ('id = "r2"', 'id = "r\\u200b2"', "0.toml:9:6", "invisible characters"),
         ("[[servers]]", "[[servers]", "0.toml:1:", ""),
         ("127.0.0.1:2", "here", "0.toml:13:11", "not an address"),
         ("127.0.0.1:2", "127.0.0.1:0", "0.toml:13:11", "port 0 can't be reached"),
     ],
 )
-def test_a_fault_is_named_with_its_place_and_likely_intent(
+def test_a_fault_is_reported_with_its_position_and_a_suggestion(
     old: str, new: str, place: str, why: str
 ) -> None:
-    found = verdict(GOOD.replace(old, new, 1))
-    assert isinstance(found, Rejected)
-    assert any(place in reason and why in reason for reason in found.reasons), found.reasons
+    result = validated(GOOD.replace(old, new, 1))
+    assert isinstance(result, Rejected)
+    assert any(place in reason and why in reason for reason in result.reasons), result.reasons
 
 
 def test_a_byte_order_mark_is_no_fault() -> None:
-    assert set(view(GOOD).entries) == set(verdict(b"\xef\xbb\xbf" + GOOD.encode()).view.entries)
+    assert set(view(GOOD).entries) == set(validated(b"\xef\xbb\xbf" + GOOD.encode()).view.entries)
 
 
-def test_names_of_other_alphabets_are_names_and_a_folder_is_one_list() -> None:
+def test_ids_may_use_other_alphabets_and_several_files_are_one_list() -> None:
     assert set(view(GOOD, row("лектор-9.ресифи", port=9)).entries) == {
         "r1",
         "r2",
@@ -127,23 +135,25 @@
         "w2",
         "лектор-9.ресифи",
     }
-    moved = verdict(GOOD, row("r1", port=9))
+    moved = validated(GOOD, row("r1", port=9))
     unread = validate(
         EMPTY_VIEW,
         schema.parse_files({"a": PermissionError(13, "Permission denied")}, [], True),
         ROLES,
-        LOOSE,
+        NO_REMOVAL_LIMITS,
         0,
     )
     assert unread == Rejected(("a: Permission denied",))
     assert isinstance(moved, Rejected) and "1.toml:1:1" in moved.reasons[0], (
-        "seen twice while it moves"
+        "in both files while it moves"
     )
 
 
 @settings(max_examples=400, deadline=None, derandomize=True)
 @given(st.integers(0, len(GOOD.encode())), st.data())
-def test_no_cut_or_mutation_crashes_or_gives_half_a_view(cut: int, data: st.DataObject) -> None:
+def test_no_truncation_or_mutation_crashes_or_gives_a_partial_view(
+    cut: int, data: st.DataObject
+) -> None:
     old, text = view(GOOD), GOOD.encode()
     kind = data.draw(st.sampled_from(("cut", "flip", "drop", "double")))
     end = data.draw(st.integers(cut, len(text)))
@@ -155,29 +165,33 @@
         text = text[:cut] + text[end:]
     else:
         text = text[:end] + text[cut:]
-    found = verdict(text, old=old, guards=GuardsTable())
-    if isinstance(found, Accepted):
-        draft = schema.parse_files({"x": text}, list(ROLES), True)
-        assert not draft.faults and len(found.view.entries) == len(draft.entries)
-        kinds = Counter(entry.server.kind for entry in found.view.entries.values())
+    result = validated(text, old=old, guards=GuardsTable())
+    if isinstance(result, Accepted):
+        parsed = schema.parse_files({"x": text}, list(ROLES), True)
+        assert not parsed.faults and len(result.view.entries) == len(parsed.entries)
+        kinds = Counter(entry.server.kind for entry in result.view.entries.values())
         assert kinds["reader"] >= 1 and kinds["writer"] >= 1
-    assert dict(old.entries) == dict(view(GOOD).entries), "the view in force never changes"
+    assert dict(old.entries) == dict(view(GOOD).entries), (
+        "validation does not modify the view in force"
+    )
 
 
-# The judgement
+# Validation
 
 
-def test_guards_hold_unless_the_files_say_expressly_who_leaves() -> None:
+def test_guards_hold_and_change_removes_lifts_only_those_on_removal() -> None:
     ten = "".join(
         row(f"r{i}", port=i + 1, hall="derby" if i < 5 else "boa-vista") for i in range(10)
     )
     writers = row("w1", "writer", 98, "boa-vista") + row("w2", "writer", 99, "boa-vista")
     old = view(ten + writers)
 
-    def without(*names: str, change: str = "", guards: GuardsTable = STRICT) -> Any:
+    def without(*names: str, change: str = "", guards: GuardsTable = DEFAULT_GUARDS) -> Any:
         rows = [r for r in (ten + writers).split("[[servers]]\n") if r and not r.startswith(tuple(
             f'id = "{name}"' for name in names))]  # fmt: skip
-        return verdict(change + "".join("[[servers]]\n" + r for r in rows), old=old, guards=guards)
+        return validated(
+            change + "".join("[[servers]]\n" + r for r in rows), old=old, guards=guards
+        )
 
     assert isinstance(without("r1"), Accepted)
     for names, why in (
@@ -186,47 +200,51 @@
         (tuple(f"r{i}" for i in (0, 1, 2, 6, 7)), "guards.removed allows 4"),
         (("r0", "r1", "r2"), "hall 'derby'"),
     ):
-        found = without(*names)
-        assert isinstance(found, Rejected) and why in str(found.reasons)
-    told = '[change]\nremoves = ["r0", "r1", "r2"]\n'
-    assert isinstance(without("r0", "r1", "r2", change=told), Accepted)
-    few = without("r0", change=told, guards=GuardsTable(halls={"derby": 5}))
+        result = without(*names)
+        assert isinstance(result, Rejected) and why in str(result.reasons)
+    removal = '[change]\nremoves = ["r0", "r1", "r2"]\n'
+    assert isinstance(without("r0", "r1", "r2", change=removal), Accepted)
+    few = without("r0", change=removal, guards=GuardsTable(halls={"derby": 5}))
     assert isinstance(few, Rejected) and "guards.halls.derby is 5" in str(few.reasons)
-    nothing = verdict(ten + writers + row("r10", port=50, weight=0), old=old)
+    nothing = validated(ten + writers + row("r10", port=50, weight=0), old=old)
     assert isinstance(nothing, Accepted)
     assert nothing.view.entries["r10"].server.condition is contract.EndpointCondition.DRAINING
-    drained = verdict((ten + writers).replace('"writer"', '"writer"\nstate = "draining"'), old=old)
-    assert isinstance(drained, Rejected), "a drain of all writers takes them all away"
+    drained = validated(
+        (ten + writers).replace('"writer"', '"writer"\nstate = "draining"'), old=old
+    )
+    assert isinstance(drained, Rejected), "draining all writers counts as removing them"
 
 
-def test_what_is_new_at_an_old_id_is_cold_and_what_is_the_same_is_not() -> None:
+def test_a_server_with_a_new_address_is_cold_and_an_unchanged_one_is_not() -> None:
     old = view(GOOD)
-    assert isinstance(verdict(GOOD, old=old), Unchanged)
-    assert isinstance(verdict("# a comment\n" + GOOD.replace("\n\n", "\n"), old=old), Unchanged)
-    found = verdict(
+    assert isinstance(validated(GOOD, old=old), Unchanged)
+    assert isinstance(validated("# a comment\n" + GOOD.replace("\n\n", "\n"), old=old), Unchanged)
+    result = validated(
         GOOD.replace("127.0.0.1:2", "127.0.0.1:22") + row("r9", port=9), old=old, now_us=77
     )
-    assert isinstance(found, Accepted) and found.difference.moved == ("r2",)
-    born = {name: entry.server.started_us for name, entry in found.view.entries.items()}
-    assert born == {"r1": None, "r2": 77, "w1": None, "w2": None, "r9": 77}
-    later = verdict(GOOD.replace("127.0.0.1:2", "127.0.0.1:22"), old=found.view, now_us=99)
+    assert isinstance(result, Accepted) and result.difference.moved == ("r2",)
+    started_us = {name: entry.server.started_us for name, entry in result.view.entries.items()}
+    assert started_us == {"r1": None, "r2": 77, "w1": None, "w2": None, "r9": 77}
+    later = validated(GOOD.replace("127.0.0.1:2", "127.0.0.1:22"), old=result.view, now_us=99)
     assert isinstance(later, Accepted) and later.view.entries["r2"].server.started_us == 77
     assert later.view.number == 3 and later.difference.removed == ("r9",)
 
 
-def test_files_are_judged_once_still_later_if_servers_leave_and_in_a_storm_all_the_same() -> None:
-    settle = Debouncer(settle_s=0.1, leave_s=1.0)
-    assert settle.look(b"a", 0.0, False) == pytest.approx(0.1)
-    assert settle.look(b"a", 0.1, False) == 0.0
-    settle.done(b"a")
-    assert settle.look(b"a", 5.0, False) is None, "judged once"
-    assert settle.look(b"b", 6.0, True) == pytest.approx(1.0)
-    assert settle.look(b"c", 6.5, False) == pytest.approx(0.1), (
-        "the server is in the other file now"
+def test_files_are_validated_once_unchanged_later_for_removals_and_despite_constant_changes() -> (
+    None
+):
+    debouncer = Debouncer(settle_s=0.1, leave_s=1.0)
+    assert debouncer.seconds_until_due(b"a", 0.0, False) == pytest.approx(0.1)
+    assert debouncer.seconds_until_due(b"a", 0.1, False) == 0.0
+    debouncer.mark_validated(b"a")
+    assert debouncer.seconds_until_due(b"a", 5.0, False) is None, "each version is validated once"
+    assert debouncer.seconds_until_due(b"b", 6.0, True) == pytest.approx(1.0)
+    assert debouncer.seconds_until_due(b"c", 6.5, False) == pytest.approx(0.1), (
+        "the server has moved to the other file"
     )
     now_s, n = 7.0, 0
-    settle.done(b"c")
-    while settle.look(b"%d" % n, now_s, False) != 0.0:
+    debouncer.mark_validated(b"c")
+    while debouncer.seconds_until_due(b"%d" % n, now_s, False) != 0.0:
         now_s, n = now_s + 0.05, n + 1
     assert now_s == pytest.approx(8.0, abs=0.1)
     assert contents_digest({"a": b"xy", "b": b""}) != contents_digest({"a": b"x", "b": b"y"})
@@ -238,47 +256,47 @@
         st.dictionaries(st.sampled_from("abcd"), st.sampled_from((0.0, 0.5, 1.0, 4.0))), max_size=8
     )
 )
-def test_weights_move_in_small_steps_to_where_they_should_be(views: list[dict[str, float]]) -> None:
+def test_weights_move_in_small_steps_to_their_targets(views: list[dict[str, float]]) -> None:
     ramp, now_s = WeightRamp(10.0), 0.0
     for weights in views:
-        ramp.aim(weights, set(), now_s)
-        before = dict(ramp.now)
+        ramp.set_targets(weights, set(), now_s)
+        before = dict(ramp.current)
         for _ in range(7):
             now_s += 0.5
-            for name, weight in ramp.step(now_s).items():
+            for name, weight in ramp.advance(now_s).items():
                 assert abs(weight - before[name]) <= 4.0 * 0.5 / 10.0 + 4.0 / 20 + 1e-9
-            before = dict(ramp.now)
+            before = dict(ramp.current)
     now_s += 20
-    ramp.step(now_s)
-    assert ramp.now == (views[-1] if views else {}) and ramp.next_s is None
+    ramp.advance(now_s)
+    assert ramp.current == (views[-1] if views else {}) and ramp.step_interval_s is None
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.integers(0, 2**32))
-def test_the_index_changed_in_place_is_the_one_built_anew(seed: int) -> None:
-    chance = random.Random(seed)
+def test_the_index_updated_in_place_equals_a_rebuilt_one(seed: int) -> None:
+    rng = random.Random(seed)
     names = [f"s{i}" for i in range(12)]
     old: dict[str, schema.ServerEntry] = {}
     index = ServerIndex(ROLES)
     for _ in range(12):
         new = {}
         for name in names:
-            if chance.random() < 0.7:
+            if rng.random() < 0.7:
                 server = contract.Endpoint(
                     name,
-                    chance.choice(("reader", "writer")),
-                    chance.choice(("a", "b")),
-                    chance.randrange(2),
-                    condition=chance.choice(
+                    rng.choice(("reader", "writer")),
+                    rng.choice(("a", "b")),
+                    rng.randrange(2),
+                    condition=rng.choice(
                         (
                             contract.EndpointCondition.UP,
                             contract.EndpointCondition.UP,
                             contract.EndpointCondition.DRAINING,
                         )
                     ),
-                    weight=chance.choice((1.0, 2.0)),
+                    weight=rng.choice((1.0, 2.0)),
                 )
-                new[name] = schema.ServerEntry(server, Address("127.0.0.1", chance.choice((1, 2))))
+                new[name] = schema.ServerEntry(server, Address("127.0.0.1", rng.choice((1, 2))))
         index.apply(compare(old, new), new)
         built = ServerIndex.build(ROLES, new.values())
         assert index.entries == built.entries and index.by_place == built.by_place
@@ -286,7 +304,7 @@
         old = new
 
 
-def test_a_heavier_reader_gets_more_homes_and_a_weight_moves_few() -> None:
+def test_a_reader_of_higher_weight_gets_more_prefixes_and_only_those_move() -> None:
     def homes(weight: float) -> list[str]:
         servers = [
             contract.Endpoint(f"r{i}", "r", weight=weight if i == 0 else 1.0) for i in range(4)
@@ -297,17 +315,17 @@
     even, heavy, light = homes(1.0), homes(3.0), homes(0.2)
     assert heavy.count("r0") > 1.5 * even.count("r0") > 4 * light.count("r0")
     assert all(b in (a, "r0") for a, b in zip(even, heavy, strict=True)), (
-        "what moves, moves to the heavier"
+        "only prefixes of the heavier reader move"
     )
 
 
-def test_a_server_that_is_new_again_and_again_is_spared_each_time() -> None:
+def test_a_server_that_restarts_repeatedly_has_a_slow_start_each_time() -> None:
     servers = [contract.Endpoint(f"r{i}", "r") for i in range(4)] + [
         contract.Endpoint(f"w{i}", "w") for i in range(4)
     ]
     drive, got = Drive(servers), Counter[str]()
     for n in range(400):
-        if n % 20 == 0:  # a storm of changes: the same id, born again each time
+        if n % 20 == 0:  # the same id with a new start time
             fresh = replace(servers[0], started_us=drive.now)
             drive.give(contract.EndpointUpdate(contract.EndpointUpdateForm.DELTA, (fresh,), n + 2))
         got[drive.serve(n, f"s{n}", f"p{n}")] += 1
@@ -319,27 +337,27 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.integers(0, 4000), st.integers(0, 255))
-def test_a_damaged_snapshot_is_refused_and_never_read_half(place: int, byte: int) -> None:
+def test_a_damaged_snapshot_is_rejected_and_never_partly_read(place: int, byte: int) -> None:
     whole = view(GOOD)
-    text = snapshot.text_of(whole)
-    assert snapshot.view_of(text) == whole
+    text = snapshot.serialize(whole)
+    assert snapshot.parse(text) == whole
     with pytest.raises(snapshot.SnapshotError):
-        snapshot.view_of(text[: place % len(text)])
+        snapshot.parse(text[: place % len(text)])
     place %= len(text)
     damaged = text[:place] + bytes([byte]) + text[place + 1 :]
     if damaged != text:
         try:
-            found = snapshot.view_of(damaged)
+            parsed = snapshot.parse(damaged)
         except snapshot.SnapshotError:
             return
-        assert found.entries == whole.entries, "only the number of the view is beside the checksum"
+        assert parsed.entries == whole.entries, "only the view's number is outside the checksum"
 
 
-# The watch, with real files
+# The watcher, with real files
 
 
 class Fleet:
-    """A fleet that only hears what it is told."""
+    """A fleet that only records the addresses."""
 
     def __init__(self) -> None:
         self.addresses: dict[str, Address] = {}
@@ -351,19 +369,19 @@
             self.addresses[server.id] = address
 
 
-class Watched:
+class WatchedFolder:
     def __init__(self, folder: Path, **more: Any) -> None:
         self.folder = folder
         clock = HandClock()
         self.core = RequestDispatcher(read_settings(SETTINGS), 1, clock, TimerWheel(clock))
-        told: dict[str, Any] = {
+        defaults: dict[str, Any] = {
             "settle_s": 0.03,
             "leave_s": 0.06,
             "poll_s": 0.1,
             "ramp_s": 0.0,
             "snapshot": "snap",
         }
-        file = SourcesFile(**{"watch": ["servers.d", "more.toml"], **told, **more})
+        file = SourcesFile(**{"watch": ["servers.d", "more.toml"], **defaults, **more})
         self.fleet = Fleet()
         self.source = membership.FileSource(
             self.core, self.fleet, membership.SourcesConfig(file, folder)
@@ -385,8 +403,10 @@
 
 
 @asynccontextmanager
-async def watched(folder: Path, text: str | None = GOOD, **more: Any) -> AsyncIterator[Watched]:
-    w = Watched(folder, **more)
+async def watched_folder(
+    folder: Path, text: str | None = GOOD, **more: Any
+) -> AsyncIterator[WatchedFolder]:
+    w = WatchedFolder(folder, **more)
     (folder / "more.toml").write_text("")
     if text is not None:
         w.write(text)
@@ -398,18 +418,20 @@
         await asyncio.gather(w.task, return_exceptions=True)
 
 
-def test_files_come_into_force_whole_however_they_are_changed(tmp_path: Path) -> None:
+def test_files_are_applied_completely_however_they_are_changed(tmp_path: Path) -> None:
     async def go() -> None:
-        async with watched(tmp_path, None) as w:
-            await w.refuses(1)  # the folder is not there: no reader, no writer
+        async with watched_folder(tmp_path, None) as w:
+            await w.refuses(1)  # the folder is missing: no reader and no writer
             assert not w.source.ready
-            w.write(GOOD)  # and appears later
+            w.write(GOOD)  # the folder appears later
             await w.holds("r1", "r2", "w1", "w2")
-            w.write(GOOD[: len(GOOD) // 2])  # half written
+            w.write(GOOD[: len(GOOD) // 2])  # partly written
             await w.refuses(2)
             w.write(GOOD + row("r3", port=5))
             await w.holds("r1", "r2", "r3", "w1", "w2")
-            fresh = tmp_path / "servers.d" / ".a.toml.swp"  # an editor's draft, then its rename
+            fresh = (
+                tmp_path / "servers.d" / ".a.toml.swp"
+            )  # an editor's temporary file, then its rename
             fresh.write_text(GOOD)
             fresh.replace(tmp_path / "servers.d" / "a.toml")
             await w.holds("r1", "r2", "w1", "w2")
@@ -418,7 +440,7 @@
             await w.holds("r1", "r2", "r4", "w1", "w2")
             w.write(row("r5", port=7), "more.toml")
             await w.holds("r1", "r2", "r4", "r5", "w1", "w2")
-            # it moves to the other file: for a moment it is seen twice
+            # The server moves to the other file and is in both files for a moment.
             w.write(GOOD + row("r5", port=7))
             w.write("", "more.toml")
             await w.holds("r1", "r2", "r5", "w1", "w2")
@@ -429,10 +451,10 @@
             (tmp_path / "servers.d").symlink_to("1")
             await w.holds("r1", "r2", "w1", "w2")
             (tmp_path / "next").symlink_to("2")
-            (tmp_path / "next").replace(tmp_path / "servers.d")  # a symlink that is switched
+            (tmp_path / "next").replace(tmp_path / "servers.d")  # the symlink is replaced
             await w.holds("r1", "r2", "r6", "w1", "w2")
             version = w.source.view.number
-            for _ in range(500):  # a file replaced with itself
+            for _ in range(500):  # the file is replaced with the same contents
                 (tmp_path / "2" / "b").write_text(GOOD + row("r6", port=8))
                 (tmp_path / "2" / "b").replace(tmp_path / "2" / "a.toml")
             await asyncio.sleep(0.3)
@@ -441,10 +463,10 @@
     run(go)
 
 
-def test_a_notification_that_is_lost_costs_one_poll(tmp_path: Path) -> None:
+def test_polling_finds_a_change_whose_notification_is_lost(tmp_path: Path) -> None:
     async def go() -> None:
-        async with watched(tmp_path) as w:
-            w.source.watcher.told.set = lambda: None  # type: ignore[method-assign]
+        async with watched_folder(tmp_path) as w:
+            w.source.watcher.changed.set = lambda: None  # type: ignore[method-assign]
             await w.holds("r1", "r2", "w1", "w2")
             w.write(GOOD + row("r3", port=5))
             await w.holds("r1", "r2", "r3", "w1", "w2")
@@ -452,45 +474,46 @@
     run(go)
 
 
-def test_a_start_with_broken_files_serves_from_the_snapshot_and_says_so(tmp_path: Path) -> None:
+def test_a_start_with_invalid_files_serves_from_the_snapshot_and_logs_it(tmp_path: Path) -> None:
     async def go() -> None:
-        async with watched(tmp_path) as w:
+        async with watched_folder(tmp_path) as w:
             await w.holds("r1", "r2", "w1", "w2")
             w.write(GOOD + row("r3", port=5))
             await w.holds("r1", "r2", "r3", "w1", "w2")
             number = w.source.view.number
             await until(lambda: snapshot.load(tmp_path / "snap").number == number)
         with structlog.testing.capture_logs() as lines:
-            async with watched(tmp_path, GOOD[:-20]) as w:
+            async with watched_folder(tmp_path, GOOD[:-20]) as w:
                 await w.holds("r1", "r2", "r3", "w1", "w2")
                 assert w.source.from_snapshot and w.source.view.number == number
                 assert any("SNAPSHOT" in line["event"].upper() for line in lines)
                 w.write(GOOD)
                 await w.holds("r1", "r2", "w1", "w2")
                 assert w.source.view.number == number + 1 and not w.source.from_snapshot
-                # Or what is damaged below is written over: saving goes on in a thread.
+                # A thread saves the snapshot; without this wait it would overwrite the damage
+                # below.
                 await until(lambda: snapshot.load(tmp_path / "snap").number == number + 1)
         (tmp_path / "snap").write_bytes((tmp_path / "snap").read_bytes()[:-9])
-        async with watched(tmp_path, "nothing") as w:
+        async with watched_folder(tmp_path, "nothing") as w:
             await w.refuses(1)
             await asyncio.sleep(0.05)
             assert not w.core.endpoints.by_id and not w.source.ready, (
-                "a damaged snapshot is not read half"
+                "a damaged snapshot is not partly read"
             )
 
     run(go)
 
 
-def test_two_processes_of_an_upgrade_have_the_same_view_under_the_same_number(
+def test_both_processes_of_an_upgrade_number_the_same_view_alike(
     tmp_path: Path,
 ) -> None:
     async def go() -> None:
-        async with watched(tmp_path) as old:
+        async with watched_folder(tmp_path) as old:
             await old.holds("r1", "r2", "w1", "w2")
             old.write(GOOD + row("r3", port=5))
             await old.holds("r1", "r2", "r3", "w1", "w2")
             await until(lambda: snapshot.load(tmp_path / "snap").number == 2)
-            async with watched(tmp_path, GOOD + row("r3", port=5)) as new:
+            async with watched_folder(tmp_path, GOOD + row("r3", port=5)) as new:
                 await new.holds("r1", "r2", "r3", "w1", "w2")
                 assert new.source.view == old.source.view and new.source.view.number == 2
                 for number in range(4, 9):
@@ -499,64 +522,65 @@
                     await asyncio.gather(old.holds(*names), new.holds(*names))
                 assert old.source.view.number == new.source.view.number == 7
             await until(lambda: snapshot.load(tmp_path / "snap").number == 7)
-            # The one that was ended may still have been saving: its thread finishes what it has
-            # begun.
+            # The thread of the cancelled source may still be saving; it finishes the file.
             await until(lambda: not list(tmp_path.glob("*.new")))
 
     run(go)
 
 
-def test_files_over_discovery_weigh_and_drain_and_add_nobody() -> None:
+def test_files_over_discovery_set_weights_and_drains_but_add_no_server() -> None:
     clock = HandClock()
     core = RequestDispatcher(read_settings(SETTINGS), 1, clock, TimerWheel(clock))
     file = SourcesFile(watch=["x.toml"], mode="over", ramp_s=0.0)
     source = membership.FileSource(core, Fleet(), membership.SourcesConfig(file, Path()))
     rows = ('"r1"\nweight = 2.5\n', '"r2"\nstate = "draining"\n', '"r9"\n')
-    text = "".join(f"[[servers]]\nid = {told}" for told in rows)
-    verdict = source._judged(source.view, source._draft_of({"x.toml": text.encode()}))
-    assert isinstance(verdict, Accepted)
-    asyncio.run(source._accept(verdict.view, verdict.difference))
-    told = contract.EndpointUpdate(
+    text = "".join(f"[[servers]]\nid = {line}" for line in rows)
+    result = source._validate(source.view, source._parse({"x.toml": text.encode()}))
+    assert isinstance(result, Accepted)
+    asyncio.run(source._accept(result.view, result.difference))
+    update = contract.EndpointUpdate(
         contract.EndpointUpdateForm.COMPLETE,
         tuple(contract.Endpoint(n, "reader") for n in ("r1", "r2", "r3")),
         version=4,
     )
-    found = {server.id: server for server in source.apply_overlay(told).endpoints}
+    by_id = {server.id: server for server in source.apply_overlay(update).endpoints}
     assert (
-        found["r1"].weight == 2.5 and found["r2"].condition is contract.EndpointCondition.DRAINING
+        by_id["r1"].weight == 2.5 and by_id["r2"].condition is contract.EndpointCondition.DRAINING
     )
-    assert found["r3"] == told.endpoints[2] and set(found) == {"r1", "r2", "r3"}
+    assert by_id["r3"] == update.endpoints[2] and set(by_id) == {"r1", "r2", "r3"}
 
 
 # Under traffic
 
 
-def test_thousands_of_versions_under_traffic_route_nothing_by_half_a_view(
+def test_thousands_of_versions_under_traffic_route_nothing_by_a_partial_view(
     tmp_path: Path,
 ) -> None:
-    """Rewritten as fast as it goes, also cut off and invalid; each attempt tells the view that
-    routed it.
+    """Guards against requests routed by a partly applied list.
+
+    The files are rewritten as fast as possible, also truncated and invalid; the log line of each
+    attempt has the number of the view that routed it.
     """
 
     async def go() -> None:
         fleet = await StandinFleet(
             4, 4, speed=Speed(read_s=0.002, first_s=0.002, token_s=0.0001)
         ).start()
-        chance, written, views = random.Random(11), 0, dict[int, frozenset[str]]()
+        rng, written, views = random.Random(11), 0, dict[int, frozenset[str]]()
         names = list(fleet.replicas)
         folder = tmp_path / "servers.d"
         folder.mkdir()
 
-        def text(some: list[str]) -> str:
+        def text(ids: list[str]) -> str:
             rows = [
                 row(
                     n,
                     n.split("-")[0],
                     fleet.replicas[n].port,
                     "boa-vista",
-                    weight=chance.choice((0.5, 1, 2)),
+                    weight=rng.choice((0.5, 1, 2)),
                 )
-                for n in some
+                for n in ids
             ]
             return "".join(rows)
 
@@ -601,12 +625,12 @@
             clients = [asyncio.create_task(client(n)) for n in range(6)]
             while written < 2500:
                 written += 1
-                readers = [n for n in names if n.startswith("reader") and chance.random() < 0.7]
-                writers = [n for n in names if n.startswith("writer") and chance.random() < 0.7]
+                readers = [n for n in names if n.startswith("reader") and rng.random() < 0.7]
+                writers = [n for n in names if n.startswith("writer") and rng.random() < 0.7]
                 whole = text(readers + writers)
-                kind = chance.random()
+                kind = rng.random()
                 if kind < 0.2:
-                    whole = whole[: chance.randrange(len(whole) + 1)]
+                    whole = whole[: rng.randrange(len(whole) + 1)]
                 elif kind < 0.3:
                     whole += row(names[0], "reader", 9) * 2
                 (folder / "a.toml").write_text(whole) if kind > 0.9 else save(whole)
@@ -678,7 +702,7 @@
         assert "result" in await client.response(1) and client.texts == ["one"]
         save(writers[1].port)
         await until(lambda: front.file_source is not None and front.file_source.view.number == 2)
-        # it is another server now, and cold: the first ones may be refused
+        # The server counts as new and cold, so the first requests may be refused.
         for number in range(2, 30):
             client.generate(number, "part-lookup")
             if "result" in await client.response(number):
@@ -690,7 +714,7 @@
             {v.number: {e.address.port for e in v.entries.values() if e.address}}
         )
         before = [len(writer.asked) for writer in writers]
-        for number in range(100, 200):  # a storm, with a request for each version
+        for number in range(100, 200):  # rapid changes, with a request for each version
             text = row("reader-1", port=reader.port) + row("w-1", "writer", writers[0].port)
             text += (
                 row("w-2", "writer", writers[1].port, weight=1 + number % 3) if number % 2 else ""
@@ -734,7 +758,7 @@
     run(go)
 
 
-# The tool
+# The command line
 
 
 def test_the_servers_command_checks_compares_formats_and_shows(tmp_path: Path) -> None:
@@ -743,9 +767,9 @@
     watched_file.write_text("# readers\n" + GOOD)
 
     def call(*words: str) -> tuple[int, str]:
-        found = CliRunner().invoke(servers_app, list(words))
-        assert not isinstance(found.exception, Exception), found.exception
-        return found.exit_code, found.output
+        invocation = CliRunner().invoke(servers_app, list(words))
+        assert not isinstance(invocation.exception, Exception), invocation.exception
+        return invocation.exit_code, invocation.output
 
     assert call("check", sources) == (0, "4 servers in 1 files: 4 added\n")
     assert call("show", sources)[0] == 2
@@ -757,8 +781,8 @@
     watched_file.write_text(
         "# readers\n" + messy.replace("127.0.0.1:4", "127.0.0.1:5") + row("r7", port=7)
     )
-    code, told = call("diff", sources)
-    assert code == 1 and "~ w2: address 127.0.0.1:4 -> 127.0.0.1:5" in told and "+ r7:" in told
+    code, output = call("diff", sources)
+    assert code == 1 and "~ w2: address 127.0.0.1:4 -> 127.0.0.1:5" in output and "+ r7:" in output
     before = watched_file.read_text()
     assert call("fmt", "--check", str(watched_file))[0] == 1 and watched_file.read_text() == before
     assert call("fmt", str(watched_file))[0] == 0
@@ -771,10 +795,10 @@
     assert call("fmt", "--check", str(watched_file))[0] == 0
     watched_file.write_text(GOOD[:-9])
     assert call("check", sources)[0] == 1 and call("fmt", str(watched_file))[0] == 2
-    assert watched_file.read_text() == GOOD[:-9], "what has a fault is not touched"
+    assert watched_file.read_text() == GOOD[:-9], "a file with a fault is left unchanged"
     (tmp_path / "s.toml").write_text("watch = []\n")
-    code, told = call("check", sources)
-    assert code == 2 and f"{sources}:1:" in told and told.count("\n") == 1
+    code, output = call("check", sources)
+    assert code == 2 and f"{sources}:1:" in output and output.count("\n") == 1
     for words, model, title, name in (
         ((), WatchedFile, "onyxpass watched file", "servers"),
         (("--sources",), SourcesFile, "onyxpass sources file", "sources"),
@@ -791,10 +815,10 @@
     st.integers(0, 3),
     st.booleans(),
 )
-def test_formatting_changes_no_value_and_twice_is_once(
+def test_formatting_changes_no_value_and_is_idempotent(
     keys: list[str], blank: int, comment: bool
 ) -> None:
-    told = {
+    values = {
         "id": '"r1"',
         "kind": '"reader"',
         "hall": '"d"',
@@ -803,7 +827,7 @@
         "weight": "2.0",
     }
     body = "".join(
-        f"{key} = {told[key]}{' # why' if comment else ''}\n" + "\n" * blank for key in keys
+        f"{key} = {values[key]}{' # why' if comment else ''}\n" + "\n" * blank for key in keys
     )
     text = f'# top\n[change]\nremoves = []\n[[servers]]\n{body}# between\n[[servers]]\nid = "r2"\n'
     once = formatted(text)
