--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,6 +1,4 @@
-"""A start: what is loaded and asked of the system, and what a dispatcher costs that has nothing
-to do.
-"""
+"""The start of a dispatcher: imported modules, system calls, and the cost of an idle dispatcher."""
 
 import asyncio
 import json
@@ -27,9 +25,9 @@
 from onyxpass.scheduling.router import Router
 from onyxpass.start import UNUSED_MODULES, blocked_imports
 
-# What a host may refuse to a dispatcher. Starting programs ends it at once with exit code 97, so
-# that no
-# handler of ours can hide it; a Unix socket by its path is refused as such a host does.
+# Simulates a host that does not allow a dispatcher to start programs or use Unix sockets. Starting a
+# program ends the process with exit code 97, so that no exception handler can hide it; a Unix socket
+# by path fails with the error of such a host.
 GUARD = """
 import os, runpy, sys
 def guard(event, args):
@@ -45,19 +43,21 @@
 """
 
 
-def test_run_ends_in_one_process_that_needs_no_shell() -> None:
+def test_the_run_commands_exec_python_without_a_shell() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     for key in ("run", "sim"):
         assert re.fullmatch(r"exec \.venv/bin/python -m onyxpass[a-z_. ]*", deploy[key]), key
-    assert deploy["run"].endswith(" serve"), "with nothing to parse: the short way in"
-    assert "compileall" in deploy["build"], "nothing can be written once it runs"
+    assert deploy["run"].endswith(" serve"), "without arguments, for the fast start"
+    assert "compileall" in deploy["build"], "no files can be written once it runs"
 
 
-def guarded(path: Path, folder: Path, script: str, *words: str) -> "subprocess.Popen[str]":
+def start_guarded(
+    path: Path, folder: Path, script: str, *arguments: str
+) -> "subprocess.Popen[str]":
     environ = {k: v for k, v in os.environ.items() if not k.startswith("ROUTER_")}
     environ |= {"ROUTER_CONFIG": str(path), "TMPDIR": str(folder)}
     return subprocess.Popen(
-        [sys.executable, "-c", script, *words],
+        [sys.executable, "-c", script, *arguments],
         cwd=ROOT, env=environ, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True,
     )  # fmt: skip
 
@@ -65,7 +65,7 @@
 def test_serve_starts_no_program_and_needs_no_unix_socket(tmp_path: Path) -> None:
     async def go() -> None:
         discovery, reader, writer, path = await small_site(tmp_path)
-        process = await asyncio.to_thread(guarded, path, tmp_path, GUARD, "serve")
+        process = await asyncio.to_thread(start_guarded, path, tmp_path, GUARD, "serve")
         assert process.stdout is not None
         seen: dict[str, int] = {}
         while not {"listening", "list"} <= seen.keys():
@@ -75,9 +75,9 @@
         sink.write(ask("a1", "a"))
         assert (await source.readuntil(b"0\r\n\r\n")).startswith(b"HTTP/1.1 200")
         process.send_signal(signal.SIGTERM)
-        _, told = await asyncio.to_thread(process.communicate)
-        assert process.returncode == 0, told
-        assert "a Unix socket" in told, "the guard is at work, and what it refused was not needed"
+        _, stderr = await asyncio.to_thread(process.communicate)
+        assert process.returncode == 0, stderr
+        assert "a Unix socket" in stderr, "the guard refused a Unix socket, which was not needed"
         sink.close()
         for part in (discovery, reader, writer):
             await part.stop()
@@ -85,26 +85,28 @@
     asyncio.run(asyncio.wait_for(go(), 60))
 
 
-def test_the_guard_sees_a_program_that_is_started(tmp_path: Path) -> None:
+def test_the_guard_detects_the_start_of_a_program(tmp_path: Path) -> None:
     planted = GUARD.replace(
         "runpy.run_module", "import subprocess; subprocess.run(['true']); runpy.run_module"
     )
-    process = guarded(tmp_path / "none.json", tmp_path, planted, "serve")
-    _, told = process.communicate(timeout=30)
-    assert process.returncode == 97 and "subprocess.Popen" in told
+    process = start_guarded(tmp_path / "none.json", tmp_path, planted, "serve")
+    _, stderr = process.communicate(timeout=30)
+    assert process.returncode == 97 and "subprocess.Popen" in stderr
 
 
-def test_serve_loads_nothing_that_it_does_not_use(tmp_path: Path) -> None:
+def test_serve_imports_no_unused_modules(tmp_path: Path) -> None:
     script = GUARD.replace(
         'runpy.run_module("onyxpass", run_name="__main__")',
         "import atexit; atexit.register(lambda: print('\\n'.join(sys.modules)))\n"
         'runpy.run_module("onyxpass", run_name="__main__")',
     )
-    process = guarded(tmp_path / "none.json", tmp_path, script, "serve")
-    loaded, told = process.communicate(timeout=30)
-    assert process.returncode == 2 and told.startswith("onyxpass: ") and told.count("\n") == 1, told
-    loaded_now = set(loaded.split())
-    assert "onyxpass.serve" in loaded_now, "it got as far as its configuration"
+    process = start_guarded(tmp_path / "none.json", tmp_path, script, "serve")
+    loaded, stderr = process.communicate(timeout=30)
+    assert (
+        process.returncode == 2 and stderr.startswith("onyxpass: ") and stderr.count("\n") == 1
+    ), stderr
+    modules = set(loaded.split())
+    assert "onyxpass.serve" in modules, "the start reached the configuration"
     heavy = {
         *UNUSED_MODULES,
         "typer",
@@ -115,19 +117,19 @@
         "email",
         "tomllib",
     }
-    assert not heavy & loaded_now
+    assert not heavy & modules
 
 
-def test_what_was_left_out_can_be_loaded_later() -> None:
+def test_a_blocked_module_can_be_imported_later() -> None:
     sys.modules.pop("symtable", None)
     with blocked_imports("symtable", "json"):
         with pytest.raises(ImportError):
             __import__("symtable")
-        assert __import__("json") is json, "what is there stays"
+        assert __import__("json") is json, "a loaded module stays"
     assert __import__("symtable").symtable
 
 
-def test_a_bad_level_is_told_in_one_line() -> None:
+def test_a_bad_log_level_is_reported_without_a_traceback() -> None:
     done = subprocess.run(
         [sys.executable, "-m", "onyxpass", "serve", "--log-level", "loud"],
         cwd=ROOT, capture_output=True, text=True, timeout=30,
@@ -135,25 +137,25 @@
     assert done.returncode == 2 and "Traceback" not in done.stderr
 
 
-def test_the_loop_finds_what_is_ready_at_every_look_and_knows_since_when_it_may_be_there() -> None:
+def test_the_loop_finds_ready_sockets_at_every_poll_and_bounds_when_they_became_ready() -> None:
     selector = event_loop.TimedSelector()
-    ours, theirs = socket.socketpair()
-    selector.register(ours, selectors.EVENT_READ)
-    theirs.send(b"x")
+    receiver, sender = socket.socketpair()
+    selector.register(receiver, selectors.EVENT_READ)
+    sender.send(b"x")
     for _ in range(8):
         before_ns = time.monotonic_ns()
-        assert selector.select(0), "also while calls are ready"
-        assert selector.unseen_since_ns <= before_ns, "it came at some time since the look before"
-    ours.recv(1)
+        assert selector.select(0), "ready sockets are found also while callbacks are ready"
+        assert selector.unseen_since_ns <= before_ns, "it became ready after the previous poll"
+    receiver.recv(1)
     waited_from_ns = time.monotonic_ns()
     assert not selector.select(0.02)
-    assert selector.unseen_since_ns > waited_from_ns, "it had to wait till the end of this look"
+    assert selector.unseen_since_ns > waited_from_ns, "nothing was ready until the end of this poll"
     selector.close()
-    for sock in (ours, theirs):
+    for sock in (receiver, sender):
         sock.close()
 
 
-def test_the_module_asks_for_no_ticks_while_there_is_nothing_to_look_at() -> None:
+def test_the_router_sets_no_timer_while_it_has_nothing_to_check() -> None:
     kinds = (
         contract.ServerKind("r", contract.Role.PREFILL, 200_000),
         contract.ServerKind("w", contract.Role.DECODE, 150_000),
@@ -163,22 +165,22 @@
     )
     router = Router(settings)
 
-    def ticks(actions: list[contract.Action]) -> int:
+    def timers(actions: list[contract.Action]) -> int:
         return sum(isinstance(action, contract.SetTimer) for action in actions)
 
     fleet = (contract.Endpoint("r1", "r"), contract.Endpoint("w1", "w"))
     assert (
-        ticks(
+        timers(
             router.handle(0, contract.EndpointUpdate(contract.EndpointUpdateForm.PERSISTED, fleet))
         )
         == 1
     )
-    assert ticks(router.handle(50_000, contract.TimerFired(0))) == 0, "nothing to look at"
-    ask_one = contract.Arrival(1, "a", "s", deadline_us=5_000_000, prompt_tokens=900, max_tokens=50)
-    assert ticks(router.handle(60_000, ask_one)) == 1
-    assert ticks(router.handle(110_000, contract.TimerFired(0))) == 1, "a request is out"
+    assert timers(router.handle(50_000, contract.TimerFired(0))) == 0, "nothing to check"
+    arrival = contract.Arrival(1, "a", "s", deadline_us=5_000_000, prompt_tokens=900, max_tokens=50)
+    assert timers(router.handle(60_000, arrival)) == 1
+    assert timers(router.handle(110_000, contract.TimerFired(0))) == 1, "a request is open"
     assert (
-        ticks(
+        timers(
             router.handle(
                 120_000,
                 contract.AttemptOutcome(
@@ -188,23 +190,23 @@
         )
         == 0
     )
-    assert ticks(router.handle(160_000, contract.TimerFired(0))) == 1, (
-        "a server that is put aside is to come back"
+    assert timers(router.handle(160_000, contract.TimerFired(0))) == 1, (
+        "an ejected server is to be readmitted"
     )
 
 
-def test_alone_in_an_unchanged_folder_nothing_is_listed(tmp_path: Path) -> None:
+def test_a_single_process_does_not_list_an_unchanged_folder(tmp_path: Path) -> None:
     clock = Clock()
     wheel = TimerWheel(clock)
     one, other = (ProcessRegistry(tmp_path, "n0", 100, wheel) for _ in range(2))
-    looks: list[None] = []
+    refreshes: list[None] = []
     one.start()
-    look, one.refresh = one.refresh, lambda: (looks.append(None), look())[1]  # type: ignore[method-assign, func-returns-value]
+    refresh, one.refresh = one.refresh, lambda: (refreshes.append(None), refresh())[1]  # type: ignore[method-assign, func-returns-value]
     for _ in range(10):
         one._refresh_if_changed()
-    assert len(looks) <= 1, "its own file may still be news"
+    assert len(refreshes) <= 1, "its own file may still count as a change"
     other.start()
     one._refresh_if_changed()
-    assert [o.name for o in one.others] == [other.name], "a newcomer is seen at the next look"
+    assert [o.name for o in one.others] == [other.name], "a new process is found at the next check"
     for process in (one, other):
         process.end()
