--- a/onyxpass/serve.py
+++ b/onyxpass/serve.py
@@ -195,26 +195,26 @@
         from onyxpass.admin.running_configuration import classify_changes, with_reloaded_keys
         from onyxpass.admin.serve_configuration import is_reloadable, serve_values
 
-        fresh, old = read(), self.config
-        change = classify_changes(serve_values(old), serve_values(fresh), is_reloadable)
+        new, old = read(), self.config
+        change = classify_changes(serve_values(old), serve_values(new), is_reloadable)
         self.config = replace(
             old,
-            discovery=fresh.discovery,
-            sockets=fresh.sockets,
-            connect_timeout_us=fresh.connect_timeout_us,
-            conn_idle_us=fresh.conn_idle_us,
-            settings=with_reloaded_keys(old.settings, fresh.settings),
+            discovery=new.discovery,
+            sockets=new.sockets,
+            connect_timeout_us=new.connect_timeout_us,
+            conn_idle_us=new.conn_idle_us,
+            settings=with_reloaded_keys(old.settings, new.settings),
         )
         if not self.watches_files_only:
-            self.endpoint_watcher.set_discovery(fresh.discovery)
-        if fresh.sockets != old.sockets:
-            self.process_registry.resize(fresh.sockets)
-        self.replicas.set_connection_timeouts(fresh.connect_timeout_us, fresh.conn_idle_us)
+            self.endpoint_watcher.set_discovery(new.discovery)
+        if new.sockets != old.sockets:
+            self.process_registry.resize(new.sockets)
+        self.replicas.set_connection_timeouts(new.connect_timeout_us, new.conn_idle_us)
         if self.config.settings != old.settings:
             self.core.apply_settings(self.config.settings)
         log.info(
             "reloaded",
-            discovery=str(fresh.discovery),
+            discovery=str(new.discovery),
             taken=list(change.applied),
             needs_a_restart=list(change.needs_restart),
         )
--- a/onyxpass/sources/membership_view.py
+++ b/onyxpass/sources/membership_view.py
@@ -41,8 +41,8 @@
 
     @classmethod
     def of(cls, number: int, entries: Iterable[ServerEntry]) -> "MembershipView":
-        found = {entry.server.id: entry for entry in entries}
-        return cls(number, MappingProxyType(found), view_digest(found))
+        by_id = {entry.server.id: entry for entry in entries}
+        return cls(number, MappingProxyType(by_id), view_digest(by_id))
 
 
 EMPTY_VIEW = MembershipView.of(0, ())
--- a/onyxpass/sources/schema.py
+++ b/onyxpass/sources/schema.py
@@ -199,12 +199,12 @@
                 if len(faults) >= MAX_FAULTS:
                     break
     try:
-        found = WatchedFile.model_validate(raw)
+        watched_file = WatchedFile.model_validate(raw)
     except ValidationError as problem:
         faults = [*_model_faults(file, text, problem, ()), *faults]
     if faults:
         return None, text, faults
-    return found.model_copy(update={"servers": tables}), text, []
+    return watched_file.model_copy(update={"servers": tables}), text, []
 
 
 def _model_faults(
@@ -244,13 +244,13 @@
         if isinstance(data, OSError):
             faults.append(FileFault(file, data.strerror or str(data)))
             continue
-        found, text, file_faults = _parse_file(file, data)
+        watched_file, text, file_faults = _parse_file(file, data)
         faults += file_faults
-        if found is None:
+        if watched_file is None:
             continue
-        removes |= set(found.change.removes)
+        removes |= set(watched_file.change.removes)
         rows = _header_lines(text)
-        for number, table in enumerate(found.servers):
+        for number, table in enumerate(watched_file.servers):
             entries.append(_server_entry(file, rows[number] if number < len(rows) else 1, table))
             for key, reason in _server_faults(table, kinds, sole_source, loopback_only):
                 # prevents a position lookup for each of ten thousand servers
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -144,12 +144,12 @@
 def test_not_ready_before_the_complete_list_nor_while_stopping() -> None:
     async def go() -> None:
         async with world([Replica(READ)], [Replica(STREAM)], control=CONTROL) as w:
-            found = w.dispatcher.endpoint_watcher
+            watcher = w.dispatcher.endpoint_watcher
             # No discovery listens there, so the watcher cannot become ready by itself.
-            found.set_discovery(Address("127.0.0.1", 1))
-            await until(found.mailbox.empty)
+            watcher.set_discovery(Address("127.0.0.1", 1))
+            await until(watcher.mailbox.empty)
             await asyncio.sleep(0)
-            found.ready = False
+            watcher.ready = False
             assert (await call(w, READY)).startswith(b"HTTP/1.1 503")
             w.dispatcher.endpoint_watcher.ready = True
             assert (await call(w, READY)).startswith(b"HTTP/1.1 200")
@@ -321,12 +321,12 @@
         ) as w:
             open_one, stays = await w.send(ask("a1", ms=9000))
             await hold.there.wait()
-            fresh, late = await asyncio.open_connection("127.0.0.1", w.port)
+            late_source, late = await asyncio.open_connection("127.0.0.1", w.port)
             await until(lambda: len(w.dispatcher.front.connections) == 2)
             stopping = asyncio.create_task(w.dispatcher.stop())
             await until(lambda: w.dispatcher.core.shutdown.begun)
             late.write(ask("a2"))
-            refused = await fresh.read()
+            refused = await late_source.read()
             assert refused.startswith(b"HTTP/1.1 503") and b"connection: close" in refused.lower()
             assert (await open_one.read()).startswith(b"HTTP/1.1 50"), (
                 "the request is answered before the process is killed"
@@ -367,29 +367,29 @@
             contract.EndpointUpdateForm.DELTA, (contract.Endpoint("r9", "r", "z0", 0, d.now),)
         )
     )
-    fresh, known = d.router.servers["r9"], d.router.servers[home]
+    new_server, known = d.router.servers["r9"], d.router.servers[home]
     assert (
-        fresh.slow_start_factor(d.now) == SETTINGS.slow_start_initial_factor
+        new_server.slow_start_factor(d.now) == SETTINGS.slow_start_initial_factor
         and known.us_per_token > 0
     )
-    fresh.pending_tokens[999] = 3_000  # one prefill request is open
-    assert fresh.expected_prefill_us(3_000, d.now) == 0.0, (
+    new_server.pending_tokens[999] = 3_000  # one prefill request is open
+    assert new_server.expected_prefill_us(3_000, d.now) == 0.0, (
         "without answers of its own there is no estimate"
     )
-    guessed = fresh.expected_prefill_us(3_000, d.now, known.us_per_token)
-    assert guessed == pytest.approx(
+    estimate = new_server.expected_prefill_us(3_000, d.now, known.us_per_token)
+    assert estimate == pytest.approx(
         known.us_per_token
         / SETTINGS.slow_start_initial_factor
         * (server_state.PREFILL_OVERHEAD_TOKENS + 6_000)
     )
-    fresh.record_success(known.us_per_token * 2, d.now)
-    assert fresh.expected_prefill_us(3_000, d.now, known.us_per_token) == pytest.approx(
-        fresh.us_per_token * (server_state.PREFILL_OVERHEAD_TOKENS + 6_000)
+    new_server.record_success(known.us_per_token * 2, d.now)
+    assert new_server.expected_prefill_us(3_000, d.now, known.us_per_token) == pytest.approx(
+        new_server.us_per_token * (server_state.PREFILL_OVERHEAD_TOKENS + 6_000)
     )
     d.router.candidates.sample_warming = lambda request, servers, now_us, holder: servers  # type: ignore
     sent = []
     # All requests may go to the new server and pile up there unless its queue counts.
     for i in range(20, 24):
-        fresh.sample_count = 0
+        new_server.sample_count = 0
         sent.append(d.ask(i, f"x{i}", prefix=f"q{i}"))
     assert sent.count("r9") < 4
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -68,8 +68,8 @@
 
 
 def test_the_second_front_accepts_loopback_addresses_only() -> None:
-    found = service.load(ROOT / "deploy" / "toolcalls.toml")
-    assert [s.id for s, _ in found.servers] == ["reader-1", "writer-1"]
+    config = service.load(ROOT / "deploy" / "toolcalls.toml")
+    assert [s.id for s, _ in config.servers] == ["reader-1", "writer-1"]
     with pytest.raises(ConfigError, match="loopback"):
         service.loopback("10.0.0.1:80")
 
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -326,8 +326,10 @@
     drive, got = Drive(servers), Counter[str]()
     for n in range(400):
         if n % 20 == 0:  # the same id with a new start time
-            fresh = replace(servers[0], started_us=drive.now)
-            drive.give(contract.EndpointUpdate(contract.EndpointUpdateForm.DELTA, (fresh,), n + 2))
+            restarted = replace(servers[0], started_us=drive.now)
+            drive.give(
+                contract.EndpointUpdate(contract.EndpointUpdateForm.DELTA, (restarted,), n + 2)
+            )
         got[drive.serve(n, f"s{n}", f"p{n}")] += 1
     assert 0 < got["r0"] < 0.5 * got["r1"], got
 
@@ -338,9 +340,9 @@
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.integers(0, 4000), st.integers(0, 255))
 def test_a_damaged_snapshot_is_rejected_and_never_partly_read(place: int, byte: int) -> None:
-    whole = view(GOOD)
-    text = snapshot.serialize(whole)
-    assert snapshot.parse(text) == whole
+    original = view(GOOD)
+    text = snapshot.serialize(original)
+    assert snapshot.parse(text) == original
     with pytest.raises(snapshot.SnapshotError):
         snapshot.parse(text[: place % len(text)])
     place %= len(text)
@@ -350,7 +352,7 @@
             parsed = snapshot.parse(damaged)
         except snapshot.SnapshotError:
             return
-        assert parsed.entries == whole.entries, "only the view's number is outside the checksum"
+        assert parsed.entries == original.entries, "only the view's number is outside the checksum"
 
 
 # The watcher, with real files
@@ -429,11 +431,10 @@
             await w.refuses(2)
             w.write(GOOD + row("r3", port=5))
             await w.holds("r1", "r2", "r3", "w1", "w2")
-            fresh = (
-                tmp_path / "servers.d" / ".a.toml.swp"
-            )  # an editor's temporary file, then its rename
-            fresh.write_text(GOOD)
-            fresh.replace(tmp_path / "servers.d" / "a.toml")
+            # An editor writes a temporary file and renames it.
+            temporary = tmp_path / "servers.d" / ".a.toml.swp"
+            temporary.write_text(GOOD)
+            temporary.replace(tmp_path / "servers.d" / "a.toml")
             await w.holds("r1", "r2", "w1", "w2")
             (tmp_path / "servers.d" / "a.toml").unlink()  # removed, and written again
             w.write(GOOD + row("r4", port=6))
@@ -585,9 +586,9 @@
             return "".join(rows)
 
         def save(content: str) -> None:
-            fresh = folder / ".new"
-            fresh.write_text(content)
-            fresh.replace(folder / "a.toml")
+            temporary = folder / ".new"
+            temporary.write_text(content)
+            temporary.replace(folder / "a.toml")
 
         def in_force(v: MembershipView) -> None:
             views[v.number] = frozenset(v.entries)
@@ -627,13 +628,13 @@
                 written += 1
                 readers = [n for n in names if n.startswith("reader") and rng.random() < 0.7]
                 writers = [n for n in names if n.startswith("writer") and rng.random() < 0.7]
-                whole = text(readers + writers)
+                content = text(readers + writers)
                 kind = rng.random()
                 if kind < 0.2:
-                    whole = whole[: rng.randrange(len(whole) + 1)]
+                    content = content[: rng.randrange(len(content) + 1)]
                 elif kind < 0.3:
-                    whole += row(names[0], "reader", 9) * 2
-                (folder / "a.toml").write_text(whole) if kind > 0.9 else save(whole)
+                    content += row(names[0], "reader", 9) * 2
+                (folder / "a.toml").write_text(content) if kind > 0.9 else save(content)
                 await asyncio.sleep(0.006 if written % 8 == 0 else 0.0005)
             save(text(names))
             last = set(names)
@@ -766,8 +767,8 @@
     watched_file, sources = tmp_path / "w.toml", str(tmp_path / "s.toml")
     watched_file.write_text("# readers\n" + GOOD)
 
-    def call(*words: str) -> tuple[int, str]:
-        invocation = CliRunner().invoke(servers_app, list(words))
+    def call(*arguments: str) -> tuple[int, str]:
+        invocation = CliRunner().invoke(servers_app, list(arguments))
         assert not isinstance(invocation.exception, Exception), invocation.exception
         return invocation.exit_code, invocation.output
 
@@ -799,12 +800,12 @@
     (tmp_path / "s.toml").write_text("watch = []\n")
     code, output = call("check", sources)
     assert code == 2 and f"{sources}:1:" in output and output.count("\n") == 1
-    for words, model, title, name in (
+    for arguments, model, title, name in (
         ((), WatchedFile, "onyxpass watched file", "servers"),
         (("--sources",), SourcesFile, "onyxpass sources file", "sources"),
     ):
         published = (ROOT / "docs" / "schemas" / f"{name}.schema.json").read_text()
-        assert call("schema", *words)[1] == published == schema_text(model, title)
+        assert call("schema", *arguments)[1] == published == schema_text(model, title)
     assert membership.load(ROOT / "deploy" / "sources.toml").sole_source
     assert os.path.exists(ROOT / "deploy" / "servers.toml")
 
