--- a/onyxpass/admin/drain.py
+++ b/onyxpass/admin/drain.py
@@ -11,9 +11,8 @@
 from enum import Enum
 from typing import Any
 
-DEFAULT_NOTICE_US = (
-    1_000_000  # time in which the front layer learns of it and new requests are served
-)
+# While the front layer learns that the instance is not ready, new requests are still served.
+DEFAULT_NOTICE_US = 1_000_000
 DEFAULT_DEADLINE_US = 60_000_000
 
 
@@ -47,7 +46,7 @@
     notice_us: int = DEFAULT_NOTICE_US
     due_us: int = 0
     force: bool = False
-    deadline_passed: bool = False  # whether it passed while requests were open
+    deadline_passed: bool = False  # the deadline passed while requests were open
     aborted_requests: int = 0  # number of requests that ``force`` aborted
 
     @property
--- a/onyxpass/serve.py
+++ b/onyxpass/serve.py
@@ -36,6 +36,8 @@
 
 
 class DispatcherProcess:
+    """The parts of one dispatcher, their start, reload and stop."""
+
     kind = "serve"
 
     def __init__(self, config: Config, load_config: Callable[[], Config] | None = None) -> None:
@@ -155,8 +157,8 @@
     def _log_state(self) -> None:
         """Log the open resources and the servers whose exchanges differ from the router's count."""
         tracked = {
-            h.id: len(h.pending_tokens.keys() | h.streams.keys())
-            for h in self.core.router.servers.values()
+            server.id: len(server.pending_tokens.keys() | server.streams.keys())
+            for server in self.core.router.servers.values()
         }
         open_exchanges = {name: len(actor.tasks) for name, actor in self.replicas.actors.items()}
         log.info(
@@ -169,11 +171,13 @@
             closed={why.value: n for why, n in self.front.connections.closed.items()},
             violations=self.core.invariants.violations.total(),
             differ={
-                n: [b, open_exchanges.get(n, 0)]
-                for n, b in tracked.items()
-                if b != open_exchanges.get(n, 0)
+                name: [count, open_exchanges.get(name, 0)]
+                for name, count in tracked.items()
+                if count != open_exchanges.get(name, 0)
             },
-            aside=[h.id for h in self.core.router.servers.values() if h.ejection_level],
+            aside=[
+                server.id for server in self.core.router.servers.values() if server.ejection_level
+            ],
         )
         self.wheel.after(STATE_LOG_INTERVAL_US, self._log_state)
 
--- a/onyxpass/sources/cli.py
+++ b/onyxpass/sources/cli.py
@@ -34,7 +34,8 @@
 JsonOption = Annotated[bool, typer.Option("--json", help="Print JSON.")]
 
 
-def input_error(problem: Exception) -> typer.Exit:
+def report_input_error(problem: Exception) -> typer.Exit:
+    """Print the problem and return an exit with code 2."""
     typer.echo(f"onyxpass: {problem}", err=True)
     return typer.Exit(2)
 
@@ -43,7 +44,7 @@
     try:
         return load(path)
     except ConfigError as problem:
-        raise input_error(problem) from problem
+        raise report_input_error(problem) from problem
 
 
 def roles_by_kind(
@@ -63,7 +64,7 @@
             else:
                 kinds = configuration.load(config).settings.kinds
         except ConfigError as problem:
-            raise input_error(problem) from problem
+            raise report_input_error(problem) from problem
         return {kind.name: kind.role for kind in kinds}
     named = {entry.server.kind for entry in parsed.entries} if parsed is not None else set()
     return {name: guess_role(name) for name in named if name}
@@ -133,11 +134,11 @@
     """Show the last accepted view from its snapshot."""
     sources = load_sources(file)
     if sources.snapshot is None:
-        raise input_error(ConfigError(f"{file}: no snapshot is configured"))
+        raise report_input_error(ConfigError(f"{file}: no snapshot is configured"))
     try:
         view = snapshot.load(sources.snapshot)
     except snapshot.SnapshotError as problem:
-        raise input_error(ConfigError(f"{sources.snapshot}: {problem}")) from problem
+        raise report_input_error(ConfigError(f"{sources.snapshot}: {problem}")) from problem
     if as_json:
         rows = [server_row(entry) for entry in view.entries.values()]
         typer.echo(
@@ -211,7 +212,7 @@
                 raise ConfigError(str(wrong[0]))
             text_after = formatted(text_before.decode("utf-8-sig")).encode()
         except (OSError, ConfigError) as problem:
-            raise input_error(problem) from problem
+            raise report_input_error(problem) from problem
         if text_after != text_before:
             different += 1
             typer.echo(f"{path}: {'would be changed' if check else 'formatted'}")
--- a/onyxpass/sources/membership.py
+++ b/onyxpass/sources/membership.py
@@ -83,10 +83,8 @@
         self.debouncer = Debouncer(sources.file.settle_s, sources.file.leave_s)
         self.ramp = WeightRamp(sources.file.ramp_s)
         self.watcher = FileWatcher(sources.paths, sources.file.poll_s)
-        self._parsed: tuple[bytes, ParsedFiles] = (
-            b"",
-            NO_FILES,
-        )  # digest and contents that were parsed last
+        # The files that were parsed last, with the digest of their contents.
+        self._parsed: tuple[bytes, ParsedFiles] = b"", NO_FILES
         self.accepted = self.refused = 0
         self.from_snapshot = False
         self.on_view: Callable[[MembershipView], None] = lambda _: None
