--- a/onyxpass/net/replicas.py
+++ b/onyxpass/net/replicas.py
@@ -39,7 +39,7 @@
         else:
             actor.tell(AddressChanged(address, left))
 
-    def member(self, server: contract.Endpoint, address: Address, left: bool) -> None:
+    def update_member(self, server: contract.Endpoint, address: Address, left: bool) -> None:
         """Set a server's address by a source of membership; ``left``: it has left the source."""
         self.set_address(server.id, address, left)
 
--- a/onyxpass/serve.py
+++ b/onyxpass/serve.py
@@ -1,4 +1,4 @@
-"""One dispatcher for the platform: the core, its module, the HTTP front and the fleet behind it."""
+"""A dispatcher process: the core, its router, the HTTP front and the connections to replicas."""
 
 import asyncio
 import gc
@@ -21,26 +21,28 @@
 from onyxpass.net.replicas import Replicas
 from onyxpass.net.stream_migration import StreamReceiver, StreamSender
 
-if TYPE_CHECKING:  # guards against start time spent on what only a managed instance needs
+if TYPE_CHECKING:  # keeps modules that only a managed instance needs out of the start
     from typing import Any
 
     from onyxpass.admin.drain import OpenRequests
-    from onyxpass.admin.running import ConfigurationChange, ConfigurationTable
+    from onyxpass.admin.running_configuration import ConfigurationChange, ConfigurationTable
     from onyxpass.admin.server import AdminServer
-    from onyxpass.sources.interface import Source
+    from onyxpass.sources.interface import MembershipSource
     from onyxpass.sources.membership import FileSource
 
-SWEEP_US = 1_000_000
-STATE_US = 10_000_000
+SWEEP_INTERVAL_US = 1_000_000
+STATE_LOG_INTERVAL_US = 10_000_000
 log = structlog.get_logger("serve")
 
 
 class DispatcherProcess:
+    """The parts of one dispatcher, their start, reload and stop."""
+
     kind = "serve"
 
-    def __init__(self, config: Config, reread: Callable[[], Config] | None = None) -> None:
+    def __init__(self, config: Config, load_config: Callable[[], Config] | None = None) -> None:
         self.config = config
-        self.reread = reread or (lambda: self.config)
+        self.load_config = load_config or (lambda: self.config)
         self.clock = Clock()
         self.wheel = TimerWheel(self.clock)
         self.core = RequestDispatcher(config.settings, config.seed, self.clock, self.wheel)
@@ -48,28 +50,35 @@
             self.core, config.connection_limit, config.connect_timeout_us, config.conn_idle_us
         )
         self.core.connect_fleet(self.replicas)
-        self.list = EndpointWatcher(self.core, self.replicas, config.discovery, config.seed)
-        self.files: FileSource | None = None
+        self.endpoint_watcher = EndpointWatcher(
+            self.core, self.replicas, config.discovery, config.seed
+        )
+        self.file_source: FileSource | None = None
         if config.servers_file is not None:
             from onyxpass.sources import membership
 
             sources = membership.load(config.servers_file)
             if sources.file.mode == "over" and config.discovery == NO_ADDRESS:
                 raise ConfigError(
-                    f"{config.servers_file}: mode 'over' needs a discovery to lie over"
+                    f"{config.servers_file}: mode 'over' needs a discovery whose list it can modify"
                 )
-            self.files = membership.FileSource(
-                self.core, self.replicas, sources, relist=self.list.reapply_overlay
+            self.file_source = membership.FileSource(
+                self.core,
+                self.replicas,
+                sources,
+                reapply_overlay=self.endpoint_watcher.reapply_overlay,
             )
-            if not sources.whole:
-                self.list.overlay = self.files.over
-        passed = inherited_listener(config.listen_descriptor)
-        self.front = Front(self.core, config.listen, self.listed, config.connection_limit, passed)
+            if not sources.sole_source:
+                self.endpoint_watcher.overlay = self.file_source.apply_overlay
+        listener = inherited_listener(config.listen_descriptor)
+        self.front = Front(
+            self.core, config.listen, self.has_complete_list, config.connection_limit, listener
+        )
         self.process_registry = ProcessRegistry(
             config.folder, f"{config.name}|{config.listen}", config.sockets, self.wheel
         )
         self.process_registry.exclusions.on_change = self.core.set_exclusions
-        self.process_registry.on_descriptor_limit = self._share
+        self.process_registry.on_descriptor_limit = self._apply_descriptor_limit
         self.control: ControlServer | None = None
         if config.control is not None:
             self.control = ControlServer(
@@ -79,29 +88,32 @@
         self.admin: AdminServer | None = None
         self.tasks: list[asyncio.Task[None]] = []
 
-    def _share(self, sockets: int) -> None:
-        """How many descriptors this process may hold: fewer while there is another one of this
-        dispatcher.
+    def _apply_descriptor_limit(self, sockets: int) -> None:
+        """Set the connection limits from the number of descriptors that this process may hold.
+
+        The number is lower while another process of the same dispatcher runs.
         """
         self.front.max_connections = self.replicas.budget.limit = connection_limit(sockets)
         self.replicas.budget.shrink()
 
     @property
     def watches_files_only(self) -> bool:
-        return self.files is not None and self.files.sources.whole
-
-    def listed(self) -> bool:
-        """Whether there is a whole list, from whichever source."""
-        source: Source = (
-            self.files if self.files is not None and self.watches_files_only else self.list
+        return self.file_source is not None and self.file_source.sources.sole_source
+
+    def has_complete_list(self) -> bool:
+        """Whether the source in use has a complete list of servers."""
+        source: MembershipSource = (
+            self.file_source
+            if self.file_source is not None and self.watches_files_only
+            else self.endpoint_watcher
         )
         return source.ready
 
     def ready(self) -> bool:
-        """Whether the list is whole and clients are taken."""
+        """Whether the list is complete and the front accepts clients."""
         accepting = self.front.accepting
         return (
-            self.listed()
+            self.has_complete_list()
             and not self.front.closes_after_answer
             and accepting is not None
             and not accepting.done()
@@ -112,11 +124,11 @@
         for work in (self.core.run(), self.wheel.run()):
             self.tasks.append(asyncio.create_task(work))
         if not self.watches_files_only:
-            for work in (self.list.run(), self.list.follow()):
+            for work in (self.endpoint_watcher.run(), self.endpoint_watcher.follow()):
                 self.tasks.append(asyncio.create_task(work))
-            self.list.load_saved(self.config.known_endpoints)
-        if self.files is not None:
-            self.tasks.append(asyncio.create_task(self.files.follow()))
+            self.endpoint_watcher.load_saved(self.config.known_endpoints)
+        if self.file_source is not None:
+            self.tasks.append(asyncio.create_task(self.file_source.follow()))
         self.tasks.append(await self.front.start())
         if (path := self.process_registry.migration_socket()) is not None:
             self.stream_receiver = StreamReceiver(path, self.core, self.front, self.replicas)
@@ -129,7 +141,7 @@
             self.admin = AdminServer(self, self.wheel)
             self.tasks.append(asyncio.create_task(self.admin.run()))
         self._sweep()
-        self.wheel.after(STATE_US, self._tell_state)
+        self.wheel.after(STATE_LOG_INTERVAL_US, self._log_state)
         for fault in self.config.faults:
             log.warning("settings_fault", key=fault.key, why=fault.reason)
         log.info(
@@ -140,84 +152,93 @@
 
     def _sweep(self) -> None:
         self.replicas.sweep()
-        self.wheel.after(SWEEP_US, self._sweep)
+        self.wheel.after(SWEEP_INTERVAL_US, self._sweep)
 
-    def _tell_state(self) -> None:
-        """What is held, and where the module believes in other exchanges than are open."""
-        believed = {
-            h.id: len(h.pending_tokens.keys() | h.streams.keys())
-            for h in self.core.router.servers.values()
+    def _log_state(self) -> None:
+        """Log the open resources and the servers whose exchanges differ from the router's count."""
+        tracked = {
+            server.id: len(server.pending_tokens.keys() | server.streams.keys())
+            for server in self.core.router.servers.values()
         }
-        real = {name: len(actor.tasks) for name, actor in self.replicas.actors.items()}
+        open_exchanges = {name: len(actor.tasks) for name, actor in self.replicas.actors.items()}
         log.info(
             "state",
             requests=len(self.core.registry.by_number),
             cpu_us=cpu_us(),
             clients=len(self.front.connections),
             connections=self.replicas.budget.open,
-            exchanges=sum(real.values()),
+            exchanges=sum(open_exchanges.values()),
             closed={why.value: n for why, n in self.front.connections.closed.items()},
             violations=self.core.invariants.violations.total(),
-            differ={n: [b, real.get(n, 0)] for n, b in believed.items() if b != real.get(n, 0)},
-            aside=[h.id for h in self.core.router.servers.values() if h.ejection_level],
+            differ={
+                name: [count, open_exchanges.get(name, 0)]
+                for name, count in tracked.items()
+                if count != open_exchanges.get(name, 0)
+            },
+            aside=[
+                server.id for server in self.core.router.servers.values() if server.ejection_level
+            ],
         )
-        self.wheel.after(STATE_US, self._tell_state)
+        self.wheel.after(STATE_LOG_INTERVAL_US, self._log_state)
 
     def reload(self, read: Callable[[], Config]) -> None:
-        """Take over what the replaced file says, as far as that can be done in flight; on
-        SIGHUP.
-        """
+        """Apply the reloadable keys of the changed file; called on SIGHUP."""
         try:
-            self.take_over(read)
-        except ConfigError as problem:  # guards against a file half written: the old settings hold
+            self.apply_reload(read)
+        except ConfigError as problem:
+            # The file may be partly written; the old settings stay.
             log.error("configuration_rejected", why=str(problem))
-        except Exception:  # guards against a crash on a file that nobody foresaw
+        except Exception:  # an unforeseen error in the file must not end the process
             log.exception("configuration_unreadable")
 
-    def take_over(self, read: Callable[[], Config]) -> "ConfigurationChange":
-        """All that a running process can change, at once; the rest is named and waits for a
-        restart.
+    def apply_reload(self, read: Callable[[], Config]) -> "ConfigurationChange":
+        """Apply the reloadable keys and return the change; the other keys wait for a restart.
+
+        ConfigError if the file is invalid.
         """
-        from onyxpass.admin.running import compare, with_reloaded_keys
-        from onyxpass.admin.values import serve_in_flight, serve_values
+        from onyxpass.admin.running_configuration import classify_changes, with_reloaded_keys
+        from onyxpass.admin.serve_configuration import is_reloadable, serve_values
 
-        fresh, old = read(), self.config
-        change = compare(serve_values(old), serve_values(fresh), serve_in_flight)
+        new, old = read(), self.config
+        change = classify_changes(serve_values(old), serve_values(new), is_reloadable)
         self.config = replace(
             old,
-            discovery=fresh.discovery,
-            sockets=fresh.sockets,
-            connect_timeout_us=fresh.connect_timeout_us,
-            conn_idle_us=fresh.conn_idle_us,
-            settings=with_reloaded_keys(old.settings, fresh.settings),
+            discovery=new.discovery,
+            sockets=new.sockets,
+            connect_timeout_us=new.connect_timeout_us,
+            conn_idle_us=new.conn_idle_us,
+            settings=with_reloaded_keys(old.settings, new.settings),
         )
         if not self.watches_files_only:
-            self.list.set_discovery(fresh.discovery)
-        if fresh.sockets != old.sockets:
-            self.process_registry.resize(fresh.sockets)
-        self.replicas.set_connection_timeouts(fresh.connect_timeout_us, fresh.conn_idle_us)
+            self.endpoint_watcher.set_discovery(new.discovery)
+        if new.sockets != old.sockets:
+            self.process_registry.resize(new.sockets)
+        self.replicas.set_connection_timeouts(new.connect_timeout_us, new.conn_idle_us)
         if self.config.settings != old.settings:
             self.core.apply_settings(self.config.settings)
         log.info(
             "reloaded",
-            discovery=str(fresh.discovery),
+            discovery=str(new.discovery),
             taken=list(change.applied),
             needs_a_restart=list(change.needs_restart),
         )
         return change
 
-    # As its agent manages it
+    # The interface for the admin socket (ManagedProgram)
 
-    def values(self) -> "ConfigurationTable":
-        from onyxpass.admin.values import serve_values
+    def configuration_values(self) -> "ConfigurationTable":
+        from onyxpass.admin.serve_configuration import serve_values
 
         return serve_values(self.config)
 
     def reload_now(self) -> "ConfigurationChange":
-        return self.take_over(self.reread)
+        return self.apply_reload(self.load_config)
 
-    def load(self) -> "OpenRequests":
-        """A request is open till its answer has left, so connections count as well."""
+    def open_requests(self) -> "OpenRequests":
+        """Return the open requests.
+
+        A request is open until its answer is sent, so connections that answer count as well.
+        """
         from onyxpass.admin.drain import OpenRequests
 
         requests, streams, oldest_us = self.core.registry.in_flight_summary()
@@ -233,7 +254,7 @@
         self.front.close_idle()
 
     def metrics(self) -> "dict[str, Any]":
-        sources = {"sources": self.files.told()} if self.files is not None else {}
+        sources = {"sources": self.file_source.status()} if self.file_source is not None else {}
         return {**self.core.metric_rows(), "clients": len(self.front.connections), **sources}
 
     async def stop(self) -> None:
@@ -242,9 +263,8 @@
         if (path := self.process_registry.successor_socket()) is not None:
             self.replicas.migrate_streams(StreamSender(path, self.core))
         await self.front.stop()
-        while (
-            self.core.registry.by_number
-        ):  # what was taken and left by its client is still being tidied up
+        # Requests whose clients have disconnected are still being cleaned up.
+        while self.core.registry.by_number:
             await self.wheel.sleep(10_000)
         await asyncio.gather(*self.replicas.release_tasks, return_exceptions=True)
         for task in self.tasks:
@@ -253,27 +273,28 @@
         log.info("stopped", name=self.config.name)
 
 
-async def serve(config: Config, reread: Callable[[], Config]) -> None:
-    """Run till SIGTERM or SIGINT, then finish what was taken. SIGHUP reads the file again."""
+async def serve(config: Config, load_config: Callable[[], Config]) -> None:
+    """Run until SIGTERM or SIGINT, then finish the accepted requests; SIGHUP reloads the file."""
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopping.set)
-    dispatcher = DispatcherProcess(config, reread)
-    # Guards against SIGHUP's default, which ends the program with all that it has taken.
-    loop.add_signal_handler(signal.SIGHUP, dispatcher.reload, reread)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopping.set)
+    dispatcher = DispatcherProcess(config, load_config)
+    # Without a handler SIGHUP would end the process and its requests.
+    loop.add_signal_handler(signal.SIGHUP, dispatcher.reload, load_config)
     try:
         await dispatcher.start()
-    except OSError as problem:  # its address is in use, or not this machine's
+    except OSError as problem:  # the address is in use or not of this machine
         log.error("start_failed", why=str(problem))
         raise SystemExit(1) from problem
     gc.collect()
-    gc.enable()  # off while the program was loaded
-    gc.freeze()  # what lives as long as the process is not looked at again by the collector
-    ended = asyncio.create_task(stopping.wait())
-    await asyncio.wait([ended, *dispatcher.tasks], return_when=asyncio.FIRST_COMPLETED)
+    gc.enable()  # disabled by start.run() during the imports
+    gc.freeze()  # excludes the objects of the start from later collections
+    stop_signal = asyncio.create_task(stopping.wait())
+    await asyncio.wait([stop_signal, *dispatcher.tasks], return_when=asyncio.FIRST_COMPLETED)
     for task in dispatcher.tasks:
-        # guards against a dispatcher that lives on without its module, wheel or list
+        # Raises a failed task's exception, so that the process does not run on without its core,
+        # timer wheel or list.
         if task.done():
             task.result()
     await dispatcher.stop()
--- a/onyxpass/sources/snapshot.py
+++ b/onyxpass/sources/snapshot.py
@@ -1,7 +1,7 @@
-"""The last good view on disk: with a checksum, written beside and renamed, and never read half.
+"""Snapshots: the last accepted view on disk, replaced atomically and protected by a checksum.
 
-The first line names the form, the view's number and the checksum of all that follows; then a server
-a line.
+The first line has the format version, the view's number and the checksum of all that follows; each
+further line is a server.
 """
 
 import hashlib
@@ -12,17 +12,17 @@
 from onyxpass import atomic_file
 from onyxpass.config.platform_file import Address, ConfigError
 from onyxpass.scheduling import contract
-from onyxpass.sources.membership_view import View
-from onyxpass.sources.schema import Entry
+from onyxpass.sources.membership_view import MembershipView
+from onyxpass.sources.schema import ServerEntry
 
-FORM = 1
+FORMAT_VERSION = 1
 
 
 class SnapshotError(RuntimeError):
-    """It is absent, damaged or of another form; the message says which."""
+    """The snapshot is missing, damaged or of another format; the message says which."""
 
 
-def _row(entry: Entry) -> dict[str, Any]:
+def _row(entry: ServerEntry) -> dict[str, Any]:
     server = entry.server
     return {
         "id": server.id,
@@ -38,36 +38,45 @@
     }
 
 
-def text_of(view: View) -> bytes:
+def serialize(view: MembershipView) -> bytes:
     body = b"".join(json.dumps(_row(entry)).encode() + b"\n" for entry in view.entries.values())
     checksum = hashlib.sha256(body).hexdigest()
-    head = {"form": FORM, "view": view.number, "servers": len(view.entries), "sha256": checksum}
+    head = {
+        "form": FORMAT_VERSION,
+        "view": view.number,
+        "servers": len(view.entries),
+        "sha256": checksum,
+    }
     return json.dumps(head).encode() + b"\n" + body
 
 
-def view_of(text: bytes) -> View:
-    """SnapshotError unless every byte is as it was written."""
+def parse(text: bytes) -> MembershipView:
+    """Parse a snapshot.
+
+    SnapshotError if the first line is invalid, the format version is not supported, or the servers
+    do not match the checksum and the count.
+    """
     first, _, body = text.partition(b"\n")
     try:
         head = json.loads(first)
         form, number, count, checksum = head["form"], head["view"], head["servers"], head["sha256"]
     except (ValueError, KeyError, TypeError, RecursionError) as problem:
-        raise SnapshotError("its first line is damaged") from problem
-    if form != FORM:
-        raise SnapshotError(f"it is of form {form}; this program knows {FORM}")
+        raise SnapshotError("its first line is invalid") from problem
+    if form != FORMAT_VERSION:
+        raise SnapshotError(f"its format version is {form}; this program supports {FORMAT_VERSION}")
     if hashlib.sha256(body).hexdigest() != checksum:
-        raise SnapshotError("its checksum is wrong: it is damaged or cut off")
+        raise SnapshotError("its checksum is wrong: it is damaged or truncated")
     try:
         rows = [json.loads(line) for line in body.splitlines()]
-        view = View.of(int(number), (_entry(row) for row in rows))
+        view = MembershipView.of(int(number), (_entry(row) for row in rows))
     except (ValueError, KeyError, TypeError, ConfigError) as problem:
-        raise SnapshotError(f"it can't be read: {problem!r}") from problem
+        raise SnapshotError(f"it cannot be parsed: {problem!r}") from problem
     if len(view.entries) != count or view.number < 1:
-        raise SnapshotError("it does not hold what its first line says")
+        raise SnapshotError("its first line does not match its contents")
     return view
 
 
-def _entry(row: dict[str, Any]) -> Entry:
+def _entry(row: dict[str, Any]) -> ServerEntry:
     server = contract.Endpoint(
         id=row["id"],
         kind=row["kind"],
@@ -78,16 +87,16 @@
         weight=row["weight"],
     )
     address = Address.parse(row["address"]) if row["address"] is not None else None
-    return Entry(server, address, row["file"], row["line"])
+    return ServerEntry(server, address, row["file"], row["line"])
 
 
-def save(path: Path, view: View) -> None:
-    """Durable once this returns; OSError if it can't be, and then the one before is still there."""
-    atomic_file.replace(path, text_of(view))
+def save(path: Path, view: MembershipView) -> None:
+    """Replace the snapshot durably; on OSError the previous one is kept."""
+    atomic_file.replace(path, serialize(view))
 
 
-def load(path: Path) -> View:
+def load(path: Path) -> MembershipView:
     try:
-        return view_of(path.read_bytes())
+        return parse(path.read_bytes())
     except OSError as problem:
         raise SnapshotError(problem.strerror or str(problem)) from problem
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -310,7 +310,7 @@
             for name, health in (("r0", "leaving"), ("r1", "active")):
                 replica = w.readers[int(name[1])]
                 d.change(d.entry(name, "r", replica.address, health))
-            await until(lambda: w.dispatcher.list.seq == 43)
+            await until(lambda: w.dispatcher.endpoint_watcher.seq == 43)
             for i in range(6):
                 assert b"200" in await w.ask(f"a{i}")
             assert not w.readers[0].heads and len(w.readers[1].heads) == 6
@@ -359,7 +359,7 @@
         config = Config("n0", listen, Address("127.0.0.1", slow.port), 1, SETTINGS, {})
         dispatcher = DispatcherProcess(config)
         await dispatcher.start()
-        await until(lambda: dispatcher.list.ready)
+        await until(lambda: dispatcher.endpoint_watcher.ready)
         for task in dispatcher.tasks:
             task.cancel()
         await slow.stop()
@@ -385,8 +385,8 @@
             new.hosts, new.seq = w.discovery.hosts, 7
             await w.discovery.stop()
             await paused.wait()
-            w.dispatcher.list.set_discovery(Address("127.0.0.1", new.port))
-            await until(lambda: w.dispatcher.list.seq == 7)
+            w.dispatcher.endpoint_watcher.set_discovery(Address("127.0.0.1", new.port))
+            await until(lambda: w.dispatcher.endpoint_watcher.seq == 7)
             await new.stop()
 
     run(go)
@@ -402,13 +402,15 @@
             reader, writer = await w.send(ask("a1", close=True))
             await reader.readuntil(b"[DONE]")
             await until(lambda: old.writers)
-            d.list.set_discovery(Address("127.0.0.1", new.port))
-            await until(lambda: not old.writers and d.list.seq == 7)
-            assert d.list.ready and new.asked[0] == "/registry/instances"
-            d.list.receive(
-                DiscoveryUpdate({"seq": 90, "whole": False, "hosts": []}, d.list.epoch - 1)
+            d.endpoint_watcher.set_discovery(Address("127.0.0.1", new.port))
+            await until(lambda: not old.writers and d.endpoint_watcher.seq == 7)
+            assert d.endpoint_watcher.ready and new.asked[0] == "/registry/instances"
+            d.endpoint_watcher.receive(
+                DiscoveryUpdate(
+                    {"seq": 90, "whole": False, "hosts": []}, d.endpoint_watcher.epoch - 1
+                )
             )
-            assert d.list.seq == 7, "messages of the old address apply, their versions do not"
+            assert d.endpoint_watcher.seq == 7, "messages of the old address apply, their versions do not"
             new.change(new.entry("r0", "r", w.readers[0].address, "leaving"))
             await until(lambda: not d.core.endpoints.accepts_new_work("r0"))
             hold.set()
