--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -32,7 +32,7 @@
 from onyxpass.emulator.topology import Trouble
 from onyxpass.history_checkers.configuration import latency_s
 from onyxpass.hollow.dispatchers import HollowFleet
-from onyxpass.testbed.configuration import Trial
+from onyxpass.testbed.configuration import ConfigurationTrial
 from onyxpass.testbed.settings import SETTINGS
 from onyxpass.testbed.site import free_port
 
@@ -59,18 +59,18 @@
         before = loopback_bytes()
         fleet = HollowFleet(settings, Address("127.0.0.1", server.port), dispatchers)
         fleet.start()
-        start_s = await until(lambda: fleet.at_least(1) == dispatchers)
+        start_s = await until(lambda: fleet.count_at_version(1) == dispatchers)
         await asyncio.sleep(0.5)
         start_bytes = loopback_bytes() - before
         rest = await resting(server.process.pid, IDLE_S)
         times, before, cpu = [], loopback_bytes(), cpu_s(server.process.pid)
         for _ in range(CHANGES):
             wanted = server.order("change")
-            times.append(await until(lambda: fleet.at_least(wanted) == dispatchers))  # noqa: B023
+            times.append(await until(lambda: fleet.count_at_version(wanted) == dispatchers))  # noqa: B023
         changes_bytes, changes_cpu = loopback_bytes() - before, cpu_s(server.process.pid) - cpu
         before = loopback_bytes()
         wanted = server.order("restart")
-        again_s = await until(lambda: fleet.at_least(wanted) == dispatchers)
+        again_s = await until(lambda: fleet.count_at_version(wanted) == dispatchers)
         await asyncio.sleep(0.5)
         again_bytes = loopback_bytes() - before
         fleet.stop()
@@ -234,7 +234,7 @@
 
             def have(wanted: int) -> bool:
                 real = all(log[-1] >= wanted for log in logs)
-                return real and fleet.at_least(wanted) == DISPATCHERS - count
+                return real and fleet.count_at_version(wanted) == DISPATCHERS - count
 
             start_s = await until(lambda: have(1))
             await asyncio.sleep(1.0)
@@ -269,50 +269,52 @@
     """
     full_scale.check_processes(2 * (hosts + 4))
     with tempfile.TemporaryDirectory(prefix="onyxpass-capacity-") as name:
-        async with Trial(Path(name), controls=3, hosts=hosts) as t:
+        async with ConfigurationTrial(Path(name), controls=3, hosts=hosts) as t:
             names = t.host_names
-            await t.order("north-c0", start=1)
-            await t.in_force(names, lambda values: values.get("start") == 1)
+            await t.set_values("north-c0", start=1)
+            await t.wait_until_in_force(names, lambda values: values.get("start") == 1)
             await asyncio.sleep(SETTLE_S)
-            before, across = loopback_bytes(), t.bytes_across
+            before, across = loopback_bytes(), t.cross_region_bytes
             await asyncio.sleep(IDLE_S)
             rest = (loopback_bytes() - before) / IDLE_S
-            rest_across = (t.bytes_across - across) / IDLE_S
+            rest_across = (t.cross_region_bytes - across) / IDLE_S
             before, began_ns = loopback_bytes(), time.monotonic_ns()
             for number in range(CHANGES):
-                await t.order(f"{'north' if number % 2 else 'south'}-c{number % 3}", paced=number)
+                await t.set_values(
+                    f"{'north' if number % 2 else 'south'}-c{number % 3}", paced=number
+                )
                 await asyncio.sleep(PACE_S)
             paced_s, ended_ns = (time.monotonic_ns() - began_ns) / 1e9, time.monotonic_ns()
             paced_bytes = loopback_bytes() - before - rest * paced_s
             for number in range(CHANGES):
-                await t.order("north-c1", burst=number)
-            await t.in_force(names, lambda values: values.get("burst") == CHANGES - 1)
+                await t.set_values("north-c1", burst=number)
+            await t.wait_until_in_force(names, lambda values: values.get("burst") == CHANGES - 1)
             away = names[:: max(1, len(names) // max(1, len(names) // 10))][
                 : max(1, len(names) // 10)
             ]
             for host in away:
                 await t.kill(host)
-            await t.order("south-c0", away=1)
-            await t.in_force(
+            await t.set_values("south-c0", away=1)
+            await t.wait_until_in_force(
                 [n for n in names if n not in away], lambda values: values.get("away") == 1
             )
             began_s = time.monotonic()
             for host in away:
                 await t.start(host)
-            await t.in_force(names, lambda values: values.get("away") == 1)
+            await t.wait_until_in_force(names, lambda values: values.get("away") == 1)
             back_s = time.monotonic() - began_s
             t.cut()
-            await t.order("north-c0", split=1)
-            await t.order("south-c0", other=1)
+            await t.set_values("north-c0", split=1)
+            await t.set_values("south-c0", other=1)
             await asyncio.sleep(OUTAGE_S)
-            t.mend()
+            t.restore()
             began_s = time.monotonic()
-            await t.in_force(
+            await t.wait_until_in_force(
                 names, lambda values: values.get("split") == 1 and values.get("other") == 1
             )
             mended_s = time.monotonic() - began_s
-            mb = memory_mb(t.process_of(names[0]))
-            words = t.words()
+            mb = memory_mb(t.pid_of(names[0]))
+            words = t.log_entries()
             times = sorted(latency_s(words, names))
             paced = latency_s([word for word in words if began_ns <= word.at_ns <= ended_ns], names)
             return {
--- a/benchmarks/guard.py
+++ b/benchmarks/guard.py
@@ -20,9 +20,9 @@
 from onyxpass.config.settings import read_settings
 from onyxpass.invariants import InvariantChecker
 from onyxpass.scheduling import contract
-from onyxpass.testbed.client import ask
+from onyxpass.testbed.client import send_request
 from onyxpass.testbed.replicas import StandinFleet
-from onyxpass.testbed.settings import SETTINGS, dispatcher_file
+from onyxpass.testbed.settings import SETTINGS, dispatcher_config
 from onyxpass.testbed.site import free_port
 
 ROOT = Path(__file__).parent.parent
@@ -54,7 +54,7 @@
     fleet = await StandinFleet(2, 2).start()
     with tempfile.TemporaryDirectory() as folder:
         path, port = Path(folder) / "config.json", free_port()
-        path.write_text(json.dumps(dispatcher_file("n0", f"127.0.0.1:{port}", fleet)))
+        path.write_text(json.dumps(dispatcher_config("n0", f"127.0.0.1:{port}", fleet)))
         words = (sys.executable, "-m", "onyxpass", "serve", "--config", str(path))
         child = await asyncio.create_subprocess_exec(
             *words, cwd=ROOT, stdout=asyncio.subprocess.PIPE
@@ -67,10 +67,10 @@
 
         async def one(number: int) -> str:
             async with places:
-                answer = await ask(
+                answer = await send_request(
                     fleet.trace, ("127.0.0.1", port), f"r{number}", "part-lookup", f"s{number % 50}"
                 )
-                return answer.end
+                return answer.outcome
 
         await asyncio.gather(*(one(number) for number in range(100)))
         before_s = cpu_s(child.pid)
--- a/benchmarks/parties.py
+++ b/benchmarks/parties.py
@@ -16,7 +16,7 @@
 
 from onyxpass.emulator import full_scale
 from onyxpass.history_checkers.trace import Trace
-from onyxpass.testbed.replicas import Listed, StandinDiscovery, StandinReplica, States
+from onyxpass.testbed.replicas import ListedReplica, PrefillStates, StandinDiscovery, StandinReplica
 
 Found = dict[str, float]
 
@@ -57,13 +57,15 @@
 
 
 async def list_server(servers: int) -> None:
-    trace, states = Trace(), States()
+    trace, states = Trace(), PrefillStates()
     discovery = StandinDiscovery(trace)
     for number in range(servers):
         kind, role = ("reader", "read") if number % 5 < 2 else ("writer", "write")
         replica = StandinReplica(f"{kind}-{number}", role, trace, states, port=1_024 + number)
         discovery.add(
-            Listed(replica, kind, full_scale.ZONES[number % len(full_scale.ZONES)], number % 24)
+            ListedReplica(
+                replica, kind, full_scale.ZONES[number % len(full_scale.ZONES)], number % 24
+            )
         )
     await discovery.start()
     print(discovery.port, flush=True)
--- a/benchmarks/schedules.py
+++ b/benchmarks/schedules.py
@@ -19,7 +19,7 @@
 import structlog
 
 from onyxpass.history_checkers import history
-from onyxpass.testbed.process_trial import drawn, play
+from onyxpass.testbed.process_trial import draw_schedule, run_schedule
 
 ROOT = Path(__file__).parent.parent
 
@@ -29,7 +29,7 @@
         with tempfile.TemporaryDirectory() as folder:
             try:
                 async with asyncio.timeout(180):
-                    await play(Path(folder), seed)
+                    await run_schedule(Path(folder), seed)
                 problem = ""
             except Exception as found:
                 problem = f"{type(found).__name__}: {found}"
@@ -38,7 +38,7 @@
     if problem:
         print(
             f"seed {seed}: {problem}",
-            *(strike.told() for strike in drawn(seed)),
+            *(strike.describe() for strike in draw_schedule(seed)),
             sep="\n  ",
             flush=True,
         )
@@ -49,7 +49,9 @@
     slots, seen, began_s = asyncio.Semaphore(beside), Counter[str](), time.monotonic()
     ends = await asyncio.gather(*(one(seed, slots, seen) for seed in range(first, first + many)))
     failed = [first + i for i, problem in enumerate(ends) if problem]
-    strikes = Counter(strike.what for seed in range(first, first + many) for strike in drawn(seed))
+    strikes = Counter(
+        strike.kind for seed in range(first, first + many) for strike in draw_schedule(seed)
+    )
     machine = f"{platform.machine()}, {os.cpu_count()} cores, Python {platform.python_version()}"
     rows = "\n".join(f"| {what} | {n} |" for what, n in sorted(strikes.items()))
     counts = ", ".join(
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -23,7 +23,7 @@
 from parties import cpu_s, memory_mb
 
 from onyxpass.testbed.replicas import StandinFleet
-from onyxpass.testbed.settings import dispatcher_file
+from onyxpass.testbed.settings import dispatcher_config
 
 ROOT = Path(__file__).parent.parent
 READERS, WRITERS, PEERS = 45, 55, 200
@@ -55,7 +55,7 @@
 async def one(build: Path, fleet: StandinFleet, folder: Path) -> dict[str, float]:
     with socket.create_server(("127.0.0.1", 0)) as sock:
         port = sock.getsockname()[1]
-    told = dispatcher_file("n0", f"127.0.0.1:{port}", fleet, PEERS)
+    told = dispatcher_config("n0", f"127.0.0.1:{port}", fleet, PEERS)
     (folder / "config.json").write_text(json.dumps(told))
     environ = {k: v for k, v in os.environ.items() if not k.startswith(("ROUTER_", "PYTHON"))}
     environ |= {
--- a/onyxpass/faultshim/control.py
+++ b/onyxpass/faultshim/control.py
@@ -19,11 +19,11 @@
 VARIABLE = "ONYXPASS_FAULTS"
 RULES = 32
 SHORT_TRANSFER = -1  # in place of an errno: a read or write of one byte
-WITHOUT_END = -1
+UNLIMITED = -1
 NS = 1_000_000_000
 
 
-class Call(IntEnum):
+class SystemCall(IntEnum):
     """The calls that can be made to fail."""
 
     ACCEPT = 1
@@ -38,15 +38,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Forced:
+class ForcedFault:
     """``error``: an errno, or ``SHORT_TRANSFER``. ``times``: how often at most; negative:
     without end.
     """
 
-    call: Call
+    call: SystemCall
     error: int
     per_thousand: int = 1000
-    times: int = WITHOUT_END
+    times: int = UNLIMITED
 
     def __str__(self) -> str:
         name = (
@@ -72,22 +72,22 @@
         ("send_delay_ns", ctypes.c_int64),
         ("seed", ctypes.c_uint64),
         ("draws", ctypes.c_uint64),
-        ("forced", ctypes.c_uint64 * (len(Call) + 1)),
+        ("forced", ctypes.c_uint64 * (len(SystemCall) + 1)),
         ("rules", _Rule * RULES),
     )
 
 
-class NoCompiler(RuntimeError):
+class NoCompilerError(RuntimeError):
     """There is no C compiler on this machine, so the library can't be built."""
 
 
-def build(folder: Path) -> Path:
-    """Compile the library into ``folder`` once; NoCompiler where there is no ``cc``."""
+def build_library(folder: Path) -> Path:
+    """Compile the library into ``folder`` once; NoCompilerError where there is no ``cc``."""
     library = folder / "faults.so"
     if library.exists():
         return library
     if (compiler := shutil.which("cc")) is None:
-        raise NoCompiler("no C compiler (cc) was found")
+        raise NoCompilerError("no C compiler (cc) was found")
     fresh = library.with_suffix(f".{os.getpid()}.new")
     command = [compiler, "-O2", "-shared", "-fPIC", "-o", str(fresh), str(SOURCE), "-ldl"]
     subprocess.run(command, check=True)
@@ -95,7 +95,7 @@
     return library
 
 
-class Control:
+class FaultControl:
     """The faults of one process; its file must outlive the process."""
 
     def __init__(self, library: Path, path: Path, seed: int = 1) -> None:
@@ -119,7 +119,7 @@
         """Hold the process up for so long before each write to a socket."""
         self._block.send_delay_ns = round(seconds * NS)
 
-    def force(self, *faults: Forced) -> None:
+    def force(self, *faults: ForcedFault) -> None:
         """Just these calls fail from now on; those forced before do no more."""
         for rule in self._block.rules:
             rule.left = 0
@@ -132,6 +132,6 @@
         self.force()
         self.delay_sends(0)
 
-    def count(self, call: Call) -> int:
+    def count(self, call: SystemCall) -> int:
         """How many of these calls have been made to fail so far."""
         return int(self._block.forced[call])
--- a/onyxpass/hollow/dispatchers.py
+++ b/onyxpass/hollow/dispatchers.py
@@ -78,7 +78,7 @@
         for member in self.members:
             member.start()
 
-    def at_least(self, version: int) -> int:
+    def count_at_version(self, version: int) -> int:
         """How many have this version of the list, or a newer one, in force."""
         return sum(member.version >= version for member in self.members)
 
--- a/onyxpass/soak/dispatchers.py
+++ b/onyxpass/soak/dispatchers.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from onyxpass import atomic_file
-from onyxpass.faultshim.control import Control
+from onyxpass.faultshim.control import FaultControl
 from onyxpass.soak.records import NOT_RUN, Records, Span
 from onyxpass.soak.schedule import Shape
 from onyxpass.testbed.link import Link
@@ -86,7 +86,7 @@
         self.port = int(self.passed.getsockname()[1]) if self.passed is not None else free_port()
         self.config = folder / f"{self.name}.json"
         self.log = folder / f"{self.name}.log"
-        self.control: Control | None = None
+        self.control: FaultControl | None = None
         self.child: asyncio.subprocess.Process | None = None
         self.serves = False  # whether clients come
         self.leaves = False  # whether its present process has been told to end
@@ -112,7 +112,7 @@
     async def start(self, library: Path) -> None:
         """Start a process, and let clients come once it says that it has the list."""
         self.lives += 1
-        control = Control(
+        control = FaultControl(
             library, self.folder / f"{self.name}-{self.lives}.block", self.number + self.lives
         )
         environment: Mapping[str, str] = {
--- a/onyxpass/soak/injector.py
+++ b/onyxpass/soak/injector.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from onyxpass.faultshim.control import Control
+from onyxpass.faultshim.control import FaultControl
 from onyxpass.soak.clients import Clients
 from onyxpass.soak.dispatchers import CONNECTIONS, Dispatcher
 from onyxpass.soak.records import Records, Span
@@ -148,10 +148,10 @@
             if fault.kind is Kind.DISCOVERY_SILENT:
                 link.cut()
             else:
-                link.back.set(Mode.PIECES)
+                link.to_client.set_mode(Mode.PIECES)
         await asyncio.sleep(fault.for_s)
         for link in links:
-            link.mend()
+            link.restore()
 
     async def _inject_at_replica(self, fault: Fault, number: int) -> None:
         fleet = self._parties.fleet
@@ -178,7 +178,7 @@
             case Kind.CUT:
                 link.cut()
                 await asyncio.sleep(fault.for_s)
-                link.mend()
+                link.restore()
             case Kind.RESET:
                 link.reset()
             case _:
@@ -187,14 +187,14 @@
     @staticmethod
     async def _slow_down(link: Link, fault: Fault) -> None:
         delay_s = fault.amount if fault.kind is Kind.DELAY else 0.0
-        for direction in (link.there, link.back):
-            direction.set(LINK_MODES[fault.kind], delay_s)
+        for direction in (link.to_server, link.to_client):
+            direction.set_mode(LINK_MODES[fault.kind], delay_s)
         await asyncio.sleep(fault.for_s)
-        for direction in (link.there, link.back):
-            direction.set(Mode.PASS)
+        for direction in (link.to_server, link.to_client):
+            direction.set_mode(Mode.PASS)
 
 
-async def _delay_in_pulses(control: Control, fault: Fault) -> None:
+async def _delay_in_pulses(control: FaultControl, fault: Fault) -> None:
     """Delay the sends of a moment, again and again.
 
     A process is held up for up to 0.15 s (the pages); one whose every send is slow is overloaded.
--- a/onyxpass/soak/run.py
+++ b/onyxpass/soak/run.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from onyxpass.faultshim.control import build
+from onyxpass.faultshim.control import build_library
 from onyxpass.history_checkers.trace import Trace
 from onyxpass.soak import checker
 from onyxpass.soak.clients import Clients
@@ -45,7 +45,7 @@
         self.chance = random.Random(f"clients {seed}")
         self.records = Records(Trace())
         self.fleet = Fleet(shape.readers, shape.writers, self.records)
-        self.parties = Parties(self.records, self.fleet, build(folder))
+        self.parties = Parties(self.records, self.fleet, build_library(folder))
         self.dispatchers = self.parties.dispatchers
         self.clients = self.parties.clients
         self.asks: set[asyncio.Task[None]] = set()
--- a/onyxpass/soak/schedule.py
+++ b/onyxpass/soak/schedule.py
@@ -7,20 +7,20 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from onyxpass.faultshim.control import SHORT_TRANSFER, Call, Forced
+from onyxpass.faultshim.control import SHORT_TRANSFER, ForcedFault, SystemCall
 
 HOUR_S = 3_600.0
 OVERLAP_S = 0.6  # from the first to the last beginning of the faults of one group
 REST_S = 1.5  # between two groups
 MOMENTARY = {
-    Call.ACCEPT: (errno.ECONNABORTED, errno.ENFILE, errno.EPROTO, errno.EINTR),
-    Call.CONNECT: (errno.ENETUNREACH, errno.EADDRNOTAVAIL, errno.ECONNABORTED, errno.ENOBUFS),
-    Call.SOCKET: (errno.ENFILE, errno.ENOBUFS),
-    Call.RECEIVE: (SHORT_TRANSFER,),
-    Call.SEND: (SHORT_TRANSFER,),
-    Call.WAIT: (errno.EINTR,),
-    Call.WRITE: (errno.ENOSPC, errno.EIO),
-    Call.RENAME: (errno.ENOSPC, errno.EIO),
+    SystemCall.ACCEPT: (errno.ECONNABORTED, errno.ENFILE, errno.EPROTO, errno.EINTR),
+    SystemCall.CONNECT: (errno.ENETUNREACH, errno.EADDRNOTAVAIL, errno.ECONNABORTED, errno.ENOBUFS),
+    SystemCall.SOCKET: (errno.ENFILE, errno.ENOBUFS),
+    SystemCall.RECEIVE: (SHORT_TRANSFER,),
+    SystemCall.SEND: (SHORT_TRANSFER,),
+    SystemCall.WAIT: (errno.EINTR,),
+    SystemCall.WRITE: (errno.ENOSPC, errno.EIO),
+    SystemCall.RENAME: (errno.ENOSPC, errno.EIO),
 }
 BROKEN = (errno.ETIMEDOUT, errno.EHOSTUNREACH)
 MAX_EXTRA_SIGNALS = 2  # before and after the SIGTERM of a series
@@ -88,7 +88,7 @@
     kind: Kind
     targets: tuple[int, ...] = ()
     amount: float = 0.0
-    forced: tuple[Forced, ...] = ()
+    forced: tuple[ForcedFault, ...] = ()
     signals: tuple[signal.Signals, ...] = ()
 
     def __str__(self) -> str:
@@ -132,7 +132,7 @@
 def _fault(chance: random.Random, shape: Shape, at_s: float) -> Fault:
     kind = chance.choice(list(Kind))
     at_s += chance.uniform(0, OVERLAP_S)
-    for_s, amount, forced = chance.uniform(0.4, 2.0), 0.0, tuple[Forced, ...]()
+    for_s, amount, forced = chance.uniform(0.4, 2.0), 0.0, tuple[ForcedFault, ...]()
     signals: tuple[signal.Signals, ...] = ()
     if kind in DISPATCHER:
         many = chance.choice((1, 2, max(1, shape.dispatchers // 4)))
@@ -155,11 +155,13 @@
         case Kind.FAIL_CALLS:
             calls = chance.sample(list(MOMENTARY), chance.choice((1, 2, 3)))
             forced = tuple(
-                Forced(call, chance.choice(MOMENTARY[call]), chance.choice((100, 300, 600)))
+                ForcedFault(call, chance.choice(MOMENTARY[call]), chance.choice((100, 300, 600)))
                 for call in calls
             )
         case Kind.BREAK_CALLS:
-            forced = (Forced(Call.RECEIVE, chance.choice(BROKEN), chance.choice((20, 100))),)
+            forced = (
+                ForcedFault(SystemCall.RECEIVE, chance.choice(BROKEN), chance.choice((20, 100))),
+            )
         case Kind.SIGNALS:
             amount = chance.uniform(0.0, 0.3)
             signals = _signal_series(chance)
--- a/onyxpass/soak/testbed.py
+++ b/onyxpass/soak/testbed.py
@@ -9,7 +9,13 @@
 from onyxpass.soak.clients import LONG_TOKENS
 from onyxpass.soak.records import Records, Told
 from onyxpass.testbed.link import Link
-from onyxpass.testbed.replicas import Listed, Speed, StandinDiscovery, StandinReplica, States
+from onyxpass.testbed.replicas import (
+    ListedReplica,
+    PrefillStates,
+    Speed,
+    StandinDiscovery,
+    StandinReplica,
+)
 
 HALLS = ("z0", "z1")
 
@@ -18,7 +24,7 @@
     """Notes the time that each attempt tells it; ``hangs``: takes requests and says nothing."""
 
     def __init__(
-        self, name: str, role: str, records: Records, states: States, speed: Speed
+        self, name: str, role: str, records: Records, states: PrefillStates, speed: Speed
     ) -> None:
         super().__init__(name, role, records.trace, states, speed)
         self.records, self.hangs = records, False
@@ -46,17 +52,17 @@
     """Replicas by number: readers first, then writers; each is listed at its link's address."""
 
     def __init__(self, readers: int, writers: int, records: Records) -> None:
-        self.records, self.states = records, States()
+        self.records, self.states = records, PrefillStates()
         self.discovery = StandinDiscovery(records.trace)
         self.replicas: list[SoakReplica] = []
         self.links: list[Link] = []
-        self.rows: list[Listed] = []
+        self.rows: list[ListedReplica] = []
         speed = Speed(read_s=0.015, first_s=0.02, token_s=0.001, tokens=LONG_TOKENS)
         for role, kind, count in (("read", "reader", readers), ("write", "writer", writers)):
             for number in range(count):
                 replica = SoakReplica(f"{kind}-{number + 1}", role, records, self.states, speed)
                 self.replicas.append(replica)
-                self.rows.append(Listed(replica, kind, HALLS[number % len(HALLS)]))
+                self.rows.append(ListedReplica(replica, kind, HALLS[number % len(HALLS)]))
 
     def tell_start(self, number: int) -> None:
         """Tell of a replica that has just started anew."""
--- a/onyxpass/testbed/client.py
+++ b/onyxpass/testbed/client.py
@@ -11,18 +11,18 @@
 from onyxpass.history_checkers.trace import Trace, What
 
 CLASSES = ("part-lookup", "shift-summary", "stock-booking")
-GIVE_UP_S = 20.0
+CLIENT_TIMEOUT_S = 20.0
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class ClientResult:
     request: str
-    end: str  # served, refused, failed or broken
+    outcome: str  # served, refused, failed or broken
     status: int
     events: int
 
 
-async def ask(
+async def send_request(
     trace: Trace,
     address: tuple[str, int],
     request: str,
@@ -30,7 +30,7 @@
     session: str = "s1",
     max_out: int = 40,
     timeout_ms: int = 6000,
-) -> Answer:
+) -> ClientResult:
     """Ask once and never again. What has no whole answer is ``broken``; so is one whose stream
     was cut.
     """
@@ -52,7 +52,7 @@
     writer: asyncio.StreamWriter | None = None
     trace.put(What.ASKED, request)
     try:
-        async with asyncio.timeout(GIVE_UP_S):
+        async with asyncio.timeout(CLIENT_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(*address)
             wire = h11.Connection(h11.CLIENT)
             head = h11.Request(method="POST", target="/v1/chat/completions", headers=headers)
@@ -83,4 +83,4 @@
         if writer is not None:
             writer.close()
         trace.put(What.ANSWERED, request, detail=end)
-    return Answer(request, end, status, size)
+    return ClientResult(request, end, status, size)
--- a/onyxpass/testbed/configuration.py
+++ b/onyxpass/testbed/configuration.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True)
-class Trial:
+class ConfigurationTrial:
     """``controls`` and ``hosts``: in each region. A relay follows its region, then the other
     one.
     """
@@ -53,7 +53,7 @@
     agents: list[Member] = field(default_factory=list)
     key: str = ""
 
-    async def __aenter__(self) -> "Trial":
+    async def __aenter__(self) -> "ConfigurationTrial":
         make_key(self.folder / "key")
         self.key = read_key(self.folder / "key")
         ports = {f"{r}-c{n}": free_port() for r in REGIONS for n in range(self.controls)}
@@ -147,7 +147,7 @@
         self.write(name, "host", free_port(), [relay], more)
         return name
 
-    async def aims(self, agent: Member) -> list[int]:
+    async def latency_objectives_us(self, agent: Member) -> list[int]:
         """The first class's aim that each dispatcher runs on, in microseconds; 0 if on another
         file.
 
@@ -174,7 +174,7 @@
         assert process is not None
         process.send_signal(number)
 
-    def process_of(self, name: str) -> int:
+    def pid_of(self, name: str) -> int:
         process = self.members[name].process
         assert process is not None
         return process.pid
@@ -189,7 +189,7 @@
         except (RequestNotSentError, ResponseLostError):
             return None
 
-    async def order(self, name: str, **values: Any) -> ApiResponse:
+    async def set_values(self, name: str, **values: Any) -> ApiResponse:
         """Asked till the node is there; a node of a trial that answers has taken it once."""
         while (answer := await self.call(name, "POST", "/v1/change", {"values": values})) is None:
             await asyncio.sleep(0.05)
@@ -203,7 +203,9 @@
     def host_names(self) -> list[str]:
         return [name for name in self.members if "-h" in name]
 
-    async def in_force(self, names: list[str], has: Callable[[dict[str, Any]], bool]) -> None:
+    async def wait_until_in_force(
+        self, names: list[str], has: Callable[[dict[str, Any]], bool]
+    ) -> None:
         """Returns once each of these hosts has such values in force."""
         while True:
             told = [await self.state(name) for name in names]
@@ -211,11 +213,11 @@
                 return
             await asyncio.sleep(0.05)
 
-    def words(self) -> list[rules.Word]:
+    def log_entries(self) -> list[rules.Word]:
         return rules.read(self.folder.glob("*.log"))
 
     def breaches(self) -> list[str]:
-        words = self.words()
+        words = self.log_entries()
         found = [*rules.never_back(words), *rules.one_digest(words)]
         return [*found, *rules.in_force_everywhere(words, self.host_names)]
 
@@ -223,16 +225,16 @@
         for link in self.links:
             link.cut()
 
-    def mend(self) -> None:
+    def restore(self) -> None:
         for link in self.links:
-            link.mend()
+            link.restore()
 
     @property
-    def bytes_across(self) -> int:
-        return sum(link.there.bytes + link.back.bytes for link in self.links)
+    def cross_region_bytes(self) -> int:
+        return sum(link.to_server.bytes + link.to_client.bytes for link in self.links)
 
     def state_file(self, name: str) -> Path:
         return self.folder / name / "state.json"
 
-    def kept(self, name: str) -> str:
+    def read_state_file(self, name: str) -> str:
         return json.dumps(json.loads(self.state_file(name).read_text()))
--- a/onyxpass/testbed/demo.py
+++ b/onyxpass/testbed/demo.py
@@ -16,7 +16,7 @@
 from onyxpass.fleet.controller import FleetController, Report
 from onyxpass.fleet.outcome import ExitCode
 from onyxpass.history_checkers.trace import breaches
-from onyxpass.testbed.client import CLASSES, ask
+from onyxpass.testbed.client import CLASSES, send_request
 from onyxpass.testbed.replicas import Speed, StandinFleet
 from onyxpass.testbed.site import Host, Site
 
@@ -24,7 +24,7 @@
 AT_ONCE = 24
 
 
-async def ready(controller: FleetController, limit_s: float = READY_S) -> Report:
+async def wait_until_serving(controller: FleetController, limit_s: float = READY_S) -> Report:
     """The first report in which every instance is seen and serves, or the last one."""
     due_s = time.monotonic() + limit_s
     while True:
@@ -42,7 +42,7 @@
     async def one(number: int, traffic_class: str, port: int, max_out: int) -> tuple[str, str]:
         async with places:
             session = f"session-{number % 40}"
-            answer = await ask(
+            answer = await send_request(
                 site.fleet.trace,
                 ("127.0.0.1", port),
                 f"r{number:05}",
@@ -50,7 +50,7 @@
                 session,
                 max_out,
             )
-            return traffic_class, answer.end
+            return traffic_class, answer.outcome
 
     work = [
         one(
@@ -73,11 +73,11 @@
         site = Site(
             Path(folder), fleet, (Host("host-1", "boa-vista", ("dispatcher-1", "dispatcher-2")),)
         )
-        site.write()
+        site.write_files()
         try:
             await site.start(site.hosts[0])
             controller = FleetController(fleet_config.load(Path(folder) / "fleet.toml"))
-            first = await ready(controller)
+            first = await wait_until_serving(controller)
             if first.tally.exit_code() is not ExitCode.DONE or not all(
                 v.serving for v in first.views.values()
             ):
--- a/onyxpass/testbed/front.py
+++ b/onyxpass/testbed/front.py
@@ -6,7 +6,7 @@
 import itertools
 
 from onyxpass.history_checkers.trace import Trace
-from onyxpass.testbed.client import Answer, ask
+from onyxpass.testbed.client import ClientResult, send_request
 
 ASK_EVERY_S = 0.05
 ASK_S = 0.5
@@ -46,14 +46,14 @@
         except (OSError, TimeoutError):
             return False
 
-    async def ask(
+    async def send_request(
         self, request: str, traffic_class: str, session: str, max_out: int = 40
-    ) -> Answer:
+    ) -> ClientResult:
         """Through the next dispatcher that is ready; asked once, and never again."""
         while not self.ready:
             await asyncio.sleep(ASK_EVERY_S)
         names = sorted(self.ready)
         name = names[next(self.turn) % len(names)]
-        return await ask(
+        return await send_request(
             self.trace, ("127.0.0.1", self.ports[name]), request, traffic_class, session, max_out
         )
--- a/onyxpass/testbed/link.py
+++ b/onyxpass/testbed/link.py
@@ -21,14 +21,14 @@
     DROP = "drop"
 
 
-class Way:
+class Direction:
     """One direction of all connections over a link."""
 
     def __init__(self) -> None:
         self.mode, self.delay_s, self.bytes = Mode.PASS, 0.0, 0
         self.changed = asyncio.Event()
 
-    def set(self, mode: Mode, delay_s: float = 0.0) -> None:
+    def set_mode(self, mode: Mode, delay_s: float = 0.0) -> None:
         self.mode, self.delay_s = mode, delay_s
         self.changed.set()
         self.changed = asyncio.Event()
@@ -44,19 +44,19 @@
     def __init__(self, to_port: int, to_host: str = "127.0.0.1", port: int = 0) -> None:
         super().__init__(port)
         self.to_host, self.to_port = to_host, to_port
-        self.there, self.back = Way(), Way()
+        self.to_server, self.to_client = Direction(), Direction()
         self.accepts = True  # or new connections come up and lead nowhere, as behind a cut
 
     def cut(self) -> None:
         """Both directions silent, old connections and new ones alike; nothing is told."""
-        self.there.set(Mode.DROP)
-        self.back.set(Mode.DROP)
+        self.to_server.set_mode(Mode.DROP)
+        self.to_client.set_mode(Mode.DROP)
         self.accepts = False
 
-    def mend(self) -> None:
+    def restore(self) -> None:
         """As it was. What went over the cut is lost, so connections from before are reset."""
-        self.there.set(Mode.PASS)
-        self.back.set(Mode.PASS)
+        self.to_server.set_mode(Mode.PASS)
+        self.to_client.set_mode(Mode.PASS)
         self.accepts = True
         self.reset()
 
@@ -70,8 +70,8 @@
             return
         far_reader, far_writer = await asyncio.open_connection(self.to_host, self.to_port)
         ways = (
-            asyncio.create_task(self._relay(self.there, reader, far_writer)),
-            asyncio.create_task(self._relay(self.back, far_reader, writer)),
+            asyncio.create_task(self._relay(self.to_server, reader, far_writer)),
+            asyncio.create_task(self._relay(self.to_client, far_reader, writer)),
         )
         try:
             await asyncio.gather(*ways)
@@ -83,7 +83,9 @@
             far_writer.transport.abort()
 
     @staticmethod
-    async def _relay(way: Way, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _relay(
+        way: Direction, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         while True:
             await way.open()
             data = await reader.read(READ_MOST)
--- a/onyxpass/testbed/process_trial.py
+++ b/onyxpass/testbed/process_trial.py
@@ -23,11 +23,11 @@
 from onyxpass.history_checkers import history
 from onyxpass.history_checkers.history import Line
 from onyxpass.logs import LOG_FILE_VARIABLE
-from onyxpass.testbed.demo import ready
+from onyxpass.testbed.demo import wait_until_serving
 from onyxpass.testbed.link import Link, Mode
 from onyxpass.testbed.replicas import StandinFleet
 from onyxpass.testbed.site import Host, Site
-from onyxpass.testbed.store import Fault, RespStore
+from onyxpass.testbed.store import RespStore, StoreFault
 
 LIMITS = "out = 1\ncanaries = 0\npause_s = 0.4\nabort_after = 1\ndeadline_s = 20.0\n"
 RESTART = "first_s = 0.05\ngrace_s = 5.0\npoll_s = 0.2\n"
@@ -36,7 +36,7 @@
 WORDS = ("fleet", "rollout", "run", "--method", "restart", "--json", "--fleet")
 
 
-class Together:
+class ProcessTrial:
     def __init__(self, site: Site, store: RespStore, tools: str) -> None:
         self.site, self.store = site, store
         self.links = {name: Link(store.port) for name in tools}  # to the store
@@ -114,18 +114,18 @@
 
 
 @asynccontextmanager
-async def together(folder: Path, tools: str = "ab") -> AsyncIterator[Together]:
+async def process_trial(folder: Path, tools: str = "ab") -> AsyncIterator[ProcessTrial]:
     fleet = await StandinFleet(1, 1).start()
     site = Site(folder, fleet, tuple(Host(*host) for host in HOSTS), LIMITS, RESTART)
-    site.write()
+    site.write_files()
     store = RespStore()
     await store.start()
-    found = Together(site, store, tools)
+    found = ProcessTrial(site, store, tools)
     await found.open()
     try:
         for host in site.hosts:
             await site.start(host)
-        await ready(FleetController(fleet_config.load(folder / "fleet.toml")), 60.0)
+        await wait_until_serving(FleetController(fleet_config.load(folder / "fleet.toml")), 60.0)
         yield found
     finally:
         await found.close()
@@ -138,16 +138,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Strike:
+class ScheduledFault:
     """``what`` happens to ``whom`` at ``at_s`` and is mended ``for_s`` later."""
 
     at_s: float
-    what: str
+    kind: str
     whom: str
     for_s: float
 
-    def told(self) -> str:
-        return f"{self.at_s:.2f} s: {self.what} {self.whom} for {self.for_s:.2f} s"
+    def describe(self) -> str:
+        return f"{self.at_s:.2f} s: {self.kind} {self.whom} for {self.for_s:.2f} s"
 
 
 KINDS = {  # and whom it may strike
@@ -167,26 +167,26 @@
 }
 
 
-def drawn(seed: int, strikes: int = 6, over_s: float = 6.0) -> list[Strike]:
+def draw_schedule(seed: int, strikes: int = 6, over_s: float = 6.0) -> list[ScheduledFault]:
     """The same schedule for the same seed."""
     draw = random.Random(seed)
     made = []
     for _ in range(strikes):
-        what = draw.choice(sorted(KINDS))
+        kind = draw.choice(sorted(KINDS))
         made.append(
-            Strike(
-                draw.uniform(0.3, over_s), what, draw.choice(KINDS[what]), draw.uniform(0.1, 2.5)
+            ScheduledFault(
+                draw.uniform(0.3, over_s), kind, draw.choice(KINDS[kind]), draw.uniform(0.1, 2.5)
             )
         )
     return sorted(made, key=lambda strike: strike.at_s)
 
 
-class Play:
+class ScheduleRun:
     """Carries a schedule out while two tools never stop trying; then, all mended, a third has to
     succeed.
     """
 
-    def __init__(self, trial: Together, schedule: list[Strike]) -> None:
+    def __init__(self, trial: ProcessTrial, schedule: list[ScheduledFault]) -> None:
         self.trial, self.schedule = trial, schedule
         self.older = trial.store.snapshot()
 
@@ -216,11 +216,11 @@
             with suppress(ProcessLookupError):
                 process.send_signal(number)
 
-    async def _strike(self, strike: Strike) -> None:
+    async def _strike(self, strike: ScheduledFault) -> None:
         await asyncio.sleep(strike.at_s)
         trial, whom, store = self.trial, strike.whom, self.trial.store
         link = trial.links.get(whom)
-        match strike.what:
+        match strike.kind:
             case "tool stopped":
                 self._signal(whom, signal.SIGSTOP)
                 await asyncio.sleep(strike.for_s)
@@ -230,41 +230,41 @@
             case "tool cut off from the store" if link is not None:
                 link.cut()
                 await asyncio.sleep(strike.for_s)
-                link.mend()
+                link.restore()
             case "tool hears nothing of the store" if link is not None:
-                link.back.set(Mode.STALL)
+                link.to_client.set_mode(Mode.STALL)
                 await asyncio.sleep(strike.for_s)
-                link.back.set(Mode.PASS)
+                link.to_client.set_mode(Mode.PASS)
             case "tool's connections reset" if link is not None:
                 link.reset()
             case "tool cut off from an agent":
                 way = trial.ways[whom, "h1"]
                 way.cut()
                 await asyncio.sleep(strike.for_s)
-                way.mend()
+                way.restore()
             case "store paused":
-                store.going.clear()
+                store.running.clear()
                 await asyncio.sleep(strike.for_s)
-                store.going.set()
+                store.running.set()
             case "store slow":
-                store.slow_s = 0.05
+                store.answer_delay_s = 0.05
                 await asyncio.sleep(strike.for_s)
-                store.slow_s = 0.0
+                store.answer_delay_s = 0.0
             case "store empty":
                 await store.restart()
             case "store older":
                 await store.restart(self.older)
             case "answers lost":
-                store.faults = [Fault.LOST, Fault.REFUSED, Fault.LOST]
+                store.faults = [StoreFault.LOST, StoreFault.REFUSED, StoreFault.LOST]
             case "agent stopped" | "agent killed":
                 await self._agent(strike)
 
-    async def _agent(self, strike: Strike) -> None:
+    async def _agent(self, strike: ScheduledFault) -> None:
         host = next(host for host in self.trial.site.hosts if host.name == f"h{strike.whom}")
         process = host.process
         if process is None or process.returncode is not None:
             return
-        if strike.what == "agent stopped":
+        if strike.kind == "agent stopped":
             process.send_signal(signal.SIGSTOP)
             await asyncio.sleep(strike.for_s)
             with suppress(ProcessLookupError):
@@ -275,9 +275,9 @@
             await self.trial.site.start(host)
 
 
-async def play(folder: Path, seed: int) -> list[Strike]:
+async def run_schedule(folder: Path, seed: int) -> list[ScheduledFault]:
     """One schedule to its end; AssertionError where a checker or the last rollout finds a fault."""
-    schedule = drawn(seed)
-    async with together(folder, "abz") as trial:
-        await Play(trial, schedule).run()
+    schedule = draw_schedule(seed)
+    async with process_trial(folder, "abz") as trial:
+        await ScheduleRun(trial, schedule).run()
     return schedule
--- a/onyxpass/testbed/replicas.py
+++ b/onyxpass/testbed/replicas.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class ReplicaFault:
     """What befalls one request. ``after``: events that still go out before a break or a silence."""
 
     kind: str  # full, error, silent, break
@@ -40,7 +40,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class States:
+class PrefillStates:
     """Which reader holds the read state of which request."""
 
     holder: dict[str, str] = field(default_factory=dict)
@@ -52,17 +52,17 @@
         name: str,
         role: str,
         trace: Trace,
-        states: States,
+        states: PrefillStates,
         speed: Speed = Speed(),
         port: int = 0,
     ) -> None:
         super().__init__(port)
         self.name, self.role, self.trace, self.states, self.speed = name, role, trace, states, speed
-        self.faults: list[Fault] = []
+        self.faults: list[ReplicaFault] = []
         self.served = 0
         self.out: set[str] = set()  # attempts that are not over
-        self.hold = asyncio.Event()  # cleared: streams wait after their first event
-        self.hold.set()
+        self.streams_may_continue = asyncio.Event()  # cleared: streams wait after their first event
+        self.streams_may_continue.set()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         wire = HttpConnection(h11.SERVER, reader, writer)
@@ -154,7 +154,7 @@
             return await self._read(wire, request, fault)
         return await self._write(wire, request, text, fault)
 
-    async def _read(self, wire: HttpConnection, request: str, fault: Fault | None) -> bool:
+    async def _read(self, wire: HttpConnection, request: str, fault: ReplicaFault | None) -> bool:
         await asyncio.sleep(self.speed.read_s)
         if fault is not None and fault.kind == "error":
             self._short(wire, 500, request=request)
@@ -165,7 +165,7 @@
         return True
 
     async def _write(
-        self, wire: HttpConnection, request: str, text: bytes, fault: Fault | None
+        self, wire: HttpConnection, request: str, text: bytes, fault: ReplicaFault | None
     ) -> bool:
         if request not in self.states.holder:
             self._over(request)
@@ -195,7 +195,7 @@
                 await asyncio.Event().wait()
             wire.write(h11.Data(data=event))
             await wire.writer.drain()
-            await self.hold.wait()
+            await self.streams_may_continue.wait()
             await asyncio.sleep(self.speed.token_s * TOKENS_AN_EVENT)
         self._over(request)
         wire.write(h11.EndOfMessage())
@@ -209,7 +209,7 @@
 
 
 @dataclass(slots=True)
-class Listed:
+class ListedReplica:
     """One line of the list."""
 
     replica: StandinReplica
@@ -220,7 +220,7 @@
     born_ms: int = 0
     dial: str = ""  # where it is reached, if not at its own address
 
-    def told(self) -> dict[str, Any]:
+    def to_dict(self) -> dict[str, Any]:
         return {
             "host": self.replica.name,
             "dial": self.dial or self.replica.address,
@@ -240,10 +240,10 @@
         super().__init__(port)
         self.trace = trace
         self.seq = 1
-        self.rows: dict[str, Listed] = {}
+        self.rows: dict[str, ListedReplica] = {}
         self.watches: set[asyncio.Queue[bytes]] = set()
 
-    def add(self, *rows: Listed) -> None:
+    def add(self, *rows: ListedReplica) -> None:
         for row in rows:
             self.rows[row.replica.name] = row
 
@@ -252,7 +252,9 @@
         row = self.rows[name]
         row.health = health
         self.seq += 1
-        line = json.dumps({"seq": self.seq, "whole": False, "hosts": [row.told()]}).encode() + b"\n"
+        line = (
+            json.dumps({"seq": self.seq, "whole": False, "hosts": [row.to_dict()]}).encode() + b"\n"
+        )
         for queue in self.watches:
             queue.put_nowait(line)
         self.trace.put(What.DRAIN_TOLD, server=name, detail="up" if health == "active" else "")
@@ -281,7 +283,7 @@
             return
 
     def _hosts(self) -> list[dict[str, Any]]:
-        return [row.told() for row in self.rows.values() if row.health != "left"]
+        return [row.to_dict() for row in self.rows.values() if row.health != "left"]
 
     async def _watch(self, wire: HttpConnection) -> None:
         queue: asyncio.Queue[bytes] = asyncio.Queue()
@@ -315,7 +317,7 @@
         speed: Speed = Speed(),
         port: int = 0,
     ) -> None:
-        self.trace, self.states = Trace(), States()
+        self.trace, self.states = Trace(), PrefillStates()
         self.discovery = StandinDiscovery(self.trace, port)
         self.replicas: dict[str, StandinReplica] = {}
         for role, kind, count in (("read", "reader", readers), ("write", "writer", writers)):
@@ -325,7 +327,7 @@
                 )
                 self.replicas[replica.name] = replica
                 self.discovery.add(
-                    Listed(replica, kind, halls[number % len(halls)], number % len(halls))
+                    ListedReplica(replica, kind, halls[number % len(halls)], number % len(halls))
                 )
 
     async def start(self) -> "StandinFleet":
--- a/onyxpass/testbed/settings.py
+++ b/onyxpass/testbed/settings.py
@@ -50,7 +50,9 @@
 }
 
 
-def dispatcher_file(name: str, listen: str, fleet: StandinFleet, peers: int = 1) -> dict[str, Any]:
+def dispatcher_config(
+    name: str, listen: str, fleet: StandinFleet, peers: int = 1
+) -> dict[str, Any]:
     """The platform's JSON of one dispatcher before a stand-in fleet."""
     return {
         "name": name,
--- a/onyxpass/testbed/site.py
+++ b/onyxpass/testbed/site.py
@@ -16,7 +16,7 @@
 from onyxpass import atomic_file
 from onyxpass.agent.credentials import make_key
 from onyxpass.testbed.replicas import StandinFleet
-from onyxpass.testbed.settings import dispatcher_file
+from onyxpass.testbed.settings import dispatcher_config
 
 # The numbers that the kernel gives to outgoing connections (ip(7)).
 OUTGOING_PORTS = Path("/proc/sys/net/ipv4/ip_local_port_range")
@@ -64,7 +64,7 @@
     def peers(self) -> int:
         return sum(len(host.instances) for host in self.hosts)
 
-    def write(self) -> None:
+    def write_files(self) -> None:
         """All files of the site. The ports are free ones, and stay what they are."""
         make_key(self.folder / "fleet.key")
         tables = []
@@ -72,8 +72,8 @@
             host.port = free_port()
             for name in host.instances:
                 self.ports[name] = free_port()
-                self.config(name)
-            self.agent_file(host)
+                self.write_instance_config(name)
+            self.write_agent_config(host)
             entries = "".join(f'[[agents.instances]]\nname = "{name}"\n' for name in host.instances)
             where = (
                 f'host = "{host.name}"\nhall = "{host.hall}"\naddress = "127.0.0.1:{host.port}"\n'
@@ -85,7 +85,7 @@
         text += "".join(f'[[halls]]\nname = "{hall}"\n' for hall in halls)
         (self.folder / "fleet.toml").write_text(text + "".join(tables))
 
-    def agent_file(self, host: Host) -> None:
+    def write_agent_config(self, host: Host) -> None:
         rows = [
             f'name = "{host.name}"\nlisten = "127.0.0.1:{host.port}"',
             f'key = "fleet.key"\nstate = "state-{host.name}"',
@@ -98,11 +98,11 @@
             )
         (self.folder / f"agent-{host.name}.toml").write_text("\n".join(rows) + "\n")
 
-    def config(self, name: str, change: Mapping[str, object] | None = None) -> None:
+    def write_instance_config(self, name: str, change: Mapping[str, object] | None = None) -> None:
         """Write an instance's file (again). ``change``: ``sockets`` or ``peers``."""
         told = dict(change or {})
         listen, peers = f"127.0.0.1:{self.ports[name]}", int(str(told.get("peers", self.peers)))
-        made = dispatcher_file(name, listen, self.fleet, peers)
+        made = dispatcher_config(name, listen, self.fleet, peers)
         if "sockets" in told:
             made["limits"]["sockets"] = told["sockets"]
         atomic_file.replace(self.folder / f"{name}.json", json.dumps(made).encode())
--- a/onyxpass/testbed/store.py
+++ b/onyxpass/testbed/store.py
@@ -26,7 +26,7 @@
 Reply = bytes
 
 
-class Fault(Enum):
+class StoreFault(Enum):
     """What happens to one command that comes."""
 
     LOST = "lost"  # it takes effect, and its connection breaks before the answer
@@ -36,8 +36,8 @@
 
 
 ERRORS = {
-    Fault.LOADING: b"-LOADING Redis is loading the dataset in memory\r\n",
-    Fault.READONLY: b"-READONLY You can't write against a read only replica.\r\n",
+    StoreFault.LOADING: b"-LOADING Redis is loading the dataset in memory\r\n",
+    StoreFault.READONLY: b"-READONLY You can't write against a read only replica.\r\n",
 }
 WRITES = ("SET", "DEL")
 
@@ -65,12 +65,12 @@
         self.ttl: dict[str, int] = {}  # seconds, as they were told
         self.ends: dict[str, float] = {}  # when a key is gone, by the clock
         self.versions: dict[str, int] = {}  # of each key that was ever changed, for WATCH
-        self.run = secrets.token_hex(20)
-        self.silent, self.slow_s = False, 0.0
-        self.going = asyncio.Event()  # cleared: paused, nothing is even read
-        self.going.set()
+        self.run_id = secrets.token_hex(20)
+        self.silent, self.answer_delay_s = False, 0.0
+        self.running = asyncio.Event()  # cleared: paused, nothing is even read
+        self.running.set()
         # for the next commands that write, in order; None: none
-        self.faults: list[Fault | None] = []
+        self.faults: list[StoreFault | None] = []
         self.commands: list[list[str]] = []
 
     # Faults
@@ -84,8 +84,8 @@
         await self.stop()
         self.data, self.ends, self.ttl = dict(data or {}), {}, {}
         self.versions = {}
-        self.run = secrets.token_hex(20)
-        self.going.set()
+        self.run_id = secrets.token_hex(20)
+        self.running.set()
         await self.start()
 
     # Connections
@@ -93,7 +93,7 @@
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         parser, session = hiredis.Reader(encoding="utf-8"), Session()
         while data := await reader.read(READ_MOST):
-            await self.going.wait()
+            await self.running.wait()
             try:
                 parser.feed(data)
                 while (words := parser.gets()) is not False:
@@ -121,15 +121,15 @@
         # a transaction is one
         writes = command == "EXEC" or (command in WRITES and session.queued is None)
         fault = self.faults.pop(0) if self.faults and writes else None
-        if fault is Fault.REFUSED:
+        if fault is StoreFault.REFUSED:
             writer.transport.abort()
             return False
         reply = ERRORS[fault] if fault in ERRORS else self.take(command, words[1:], session)
-        if fault is Fault.LOST:
+        if fault is StoreFault.LOST:
             writer.transport.abort()
             return False
-        if self.slow_s:
-            await asyncio.sleep(self.slow_s)
+        if self.answer_delay_s:
+            await asyncio.sleep(self.answer_delay_s)
         if not self.silent:
             writer.write(reply)
         return True
@@ -207,7 +207,7 @@
                 now_us = round(self.wall() * 1e6)
                 return self.array([str(now_us // 1_000_000), str(now_us % 1_000_000)])
             case "INFO":
-                return self.bulk(f"# Server\r\nredis_version:7.2.0\r\nrun_id:{self.run}\r\n")
+                return self.bulk(f"# Server\r\nredis_version:7.2.0\r\nrun_id:{self.run_id}\r\n")
             case "CLIENT" | "SELECT" | "PING":
                 return OK
         return b"-ERR unknown command\r\n"
@@ -249,7 +249,7 @@
     def array(cls, values: list[str]) -> Reply:
         return b"*%d\r\n" % len(values) + b"".join(map(cls.bulk, values))
 
-    def calls(self) -> dict[str, dict[str, Any]]:
+    def recorded_calls(self) -> dict[str, dict[str, Any]]:
         """The claims on tool calls, by their keys."""
         prefix = "onyxpass:call:"
         return {
--- a/onyxpass/toolcalls/front.py
+++ b/onyxpass/toolcalls/front.py
@@ -14,9 +14,9 @@
 from onyxpass.net.http import CLIENT_CLOSE_TIMEOUT_US, TimedProtocol, hung_up
 from onyxpass.scheduling import contract
 from onyxpass.toolcalls import rpc
-from onyxpass.toolcalls.peers import Payload
-from onyxpass.toolcalls.rpc import Call, RpcError
-from onyxpass.toolcalls.tool_call_relay import Desk, State
+from onyxpass.toolcalls.replicas import Payload
+from onyxpass.toolcalls.rpc import RpcError, RpcRequest
+from onyxpass.toolcalls.tool_call_relay import ToolCallRelay, ToolCallState
 
 TOKEN_CHARACTERS = 4
 ID_MOST = 128
@@ -51,7 +51,7 @@
         if self.answered:
             return
         text = event.decode("utf-8", "surrogatepass")
-        self._write(rpc.notice("text", {"id": self.id, "text": text}))
+        self._write(rpc.notification("text", {"id": self.id, "text": text}))
         try:
             await self.writer.drain()
         except OSError:
@@ -65,8 +65,8 @@
     def error(self, code: int, message: str, **data: object) -> None:
         self._answer(rpc.error(self.id, RpcError(code, message, data=data or None)))
 
-    def calls(self, *states: State) -> list[dict[str, Any]]:
-        wanted = states or tuple(State)
+    def calls(self, *states: ToolCallState) -> list[dict[str, Any]]:
+        wanted = states or tuple(ToolCallState)
         told = [c for c in self.payload.calls.values() if c.state in wanted]
         return [{"call": c.call, "name": c.name, "state": c.state.value} for c in told]
 
@@ -76,7 +76,7 @@
 
     def broken(self, code: int, message: str) -> None:
         """A stream that ended too early: what may have happened without a word of it is named."""
-        if unknown := self.calls(State.SENT, State.UNKNOWN):
+        if unknown := self.calls(ToolCallState.SENT, ToolCallState.UNKNOWN):
             self.error(rpc.UNKNOWN, "outcome unknown", calls=unknown, why=message)
         else:
             self.error(code, message, **({"calls": told} if (told := self.calls()) else {}))
@@ -96,7 +96,7 @@
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
     mine: dict[rpc.Id, RpcClient]
-    ended: bool = False  # on our side
+    closed_by_server: bool = False
     since_ns: int | None = None  # a bound of when what was read last can have come
 
     def heard(self) -> None:
@@ -107,10 +107,17 @@
 
 
 class RpcFront:
-    def __init__(self, core: RequestDispatcher, desk: Desk, listen: Address, most: int) -> None:
-        self.core, self.desk, self.listen, self.most = core, desk, listen, most
+    def __init__(
+        self, core: RequestDispatcher, relay: ToolCallRelay, listen: Address, max_connections: int
+    ) -> None:
+        self.core, self.relay, self.listen, self.max_connections = (
+            core,
+            relay,
+            listen,
+            max_connections,
+        )
         self.server: asyncio.Server | None = None
-        self.open: dict[asyncio.Task[None], Connection] = {}  # heard from longest ago first
+        self.connections: dict[asyncio.Task[None], Connection] = {}  # heard from longest ago first
         self.closing = False
 
     async def start(self) -> None:
@@ -127,29 +134,29 @@
         assert self.server is not None
         return int(self.server.sockets[0].getsockname()[1])
 
-    def unsent(self) -> int:
+    def count_unsent(self) -> int:
         """Connections on which an answer has not wholly left."""
-        writers = (connection.writer for connection in self.open.values())
+        writers = (connection.writer for connection in self.connections.values())
         return sum(not w.is_closing() and w.transport.get_write_buffer_size() > 0 for w in writers)
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
         mine: dict[rpc.Id, RpcClient] = {}
-        made_room = len(self.open) < self.most or self._make_room()
-        connection = self.open[task] = Connection(reader, writer, mine)
+        made_room = len(self.connections) < self.max_connections or self._make_room()
+        connection = self.connections[task] = Connection(reader, writer, mine)
         try:
             if not made_room:
                 writer.write(rpc.error(None, RpcError(rpc.REFUSED, "too many connections")))
                 return
             while (line := await rpc.read_line(reader)) is not None:
-                self.open[task] = self.open.pop(task)
+                self.connections[task] = self.connections.pop(task)
                 connection.heard()
-                if connection.ended:
+                if connection.closed_by_server:
                     continue
                 try:
                     message = rpc.parse(line)
-                    if isinstance(message, Call):
+                    if isinstance(message, RpcRequest):
                         self._call(message, connection)
                     else:
                         log.debug("unexpected_client_response", id=str(message.id)[:80])
@@ -165,28 +172,28 @@
         finally:
             for client in mine.values():
                 self._withdraw(client)
-            self.open.pop(task, None)
+            self.connections.pop(task, None)
             writer.close()
 
     def _make_room(self) -> bool:
         """Guards against silent clients that hold every place: one with nothing open goes, the
         longest so.
         """
-        for connection in self.open.values():
+        for connection in self.connections.values():
             idle = all(client.answered for client in connection.mine.values())
             if idle and not connection.writer.is_closing():
                 connection.writer.transport.abort()
                 return True
         return False
 
-    def _call(self, call: Call, connection: Connection) -> None:
+    def _call(self, call: RpcRequest, connection: Connection) -> None:
         writer, mine = connection.writer, connection.mine
         for done in [id for id, client in mine.items() if client.answered]:
             del mine[done]
         match call.method:
             case "generate" if call.id is not None:
                 if call.id in mine:  # a response with that id would be taken for the first one's
-                    raise RpcError(rpc.INVALID, "this id is open", data={"id": call.id})
+                    raise RpcError(rpc.INVALID_REQUEST, "this id is open", data={"id": call.id})
                 if len(mine) >= MOST_OPEN or self.closing:
                     raise RpcError(
                         rpc.REFUSED, "no more requests here", call.id, {"retry_after_ms": 1000}
@@ -206,7 +213,7 @@
             case "ping" if call.id is not None:
                 writer.write(rpc.result(call.id, {"ready": not self.closing}))
             case _ if call.id is not None:
-                raise RpcError(rpc.NO_METHOD, f"no method {call.method[:80]!r}", call.id)
+                raise RpcError(rpc.METHOD_NOT_FOUND, f"no method {call.method[:80]!r}", call.id)
 
     def _withdraw(self, client: RpcClient) -> None:
         """The client has gone: the writer is called off, and the tool server told of what is
@@ -218,44 +225,51 @@
         self.core.answers.client_disconnected(request)
         for call in client.payload.calls.values():
             if not call.told.is_set():
-                self.desk.withdraw(call)
+                self.relay.withdraw(call)
 
     def _generate(self, id: rpc.Id, params: Any, connection: Connection) -> RpcClient:
-        request_id = rpc.text_of(params, "request", secrets.token_hex(8))
+        request_id = rpc.string_param(params, "request", secrets.token_hex(8))
         if (
             not 0 < len(request_id) <= ID_MOST
             or not request_id.isascii()
             or not request_id.isprintable()
         ):
-            raise RpcError(rpc.BAD_PARAMS, f"request must be 1 to {ID_MOST} printable characters")
+            raise RpcError(
+                rpc.INVALID_PARAMS, f"request must be 1 to {ID_MOST} printable characters"
+            )
         if request_id in self.core.registry.by_id:
             raise RpcError(
-                rpc.INVALID, "a request of this name is open", data={"request": request_id}
+                rpc.INVALID_REQUEST, "a request of this name is open", data={"request": request_id}
             )
-        traffic_class, prompt = rpc.text_of(params, "class"), rpc.text_of(params, "prompt")
+        traffic_class, prompt = (
+            rpc.string_param(params, "class"),
+            rpc.string_param(params, "prompt"),
+        )
         if traffic_class not in self.core.deadlines:
             raise RpcError(
-                rpc.BAD_PARAMS,
+                rpc.INVALID_PARAMS,
                 f"no class {traffic_class[:80]!r}",
                 data={"classes": list(self.core.deadlines)},
             )
-        wait_ms = rpc.number_of(
+        wait_ms = rpc.integer_param(
             params, "timeout_ms", self.core.deadlines[traffic_class] // 1000, least=1
         )
-        max_tokens = rpc.number_of(params, "max_tokens", 256, least=1)
-        prompt_tokens = rpc.number_of(params, "prompt_tokens", -(-len(prompt) // TOKEN_CHARACTERS))
+        max_tokens = rpc.integer_param(params, "max_tokens", 256, least=1)
+        prompt_tokens = rpc.integer_param(
+            params, "prompt_tokens", -(-len(prompt) // TOKEN_CHARACTERS)
+        )
         clock, since_ns = self.core.clock, connection.since_ns
         # Guards against telling a server more time than the client has left, as at the HTTP front.
         arrived_us = clock.from_monotonic_ns(since_ns) if since_ns is not None else clock.now_us()
         arrival = contract.Arrival(
             id=self.core.registry.allocate_number(request_id),
             traffic_class=traffic_class,
-            session=rpc.text_of(params, "session", request_id),
+            session=rpc.string_param(params, "session", request_id),
             deadline_us=arrived_us + wait_ms * 1000 - min(ANSWER_MARGIN_US, wait_ms * 500),
             prompt_tokens=prompt_tokens,
             max_tokens=max_tokens,
-            prefix=rpc.text_of(params, "prefix", "") or None,
-            prefix_tokens=rpc.number_of(params, "prefix_tokens", 0),
+            prefix=rpc.string_param(params, "prefix", "") or None,
+            prefix_tokens=rpc.integer_param(params, "prefix_tokens", 0),
         )
         payload = Payload(prompt, max_tokens, traffic_class)
         client = RpcClient(connection.reader, connection.writer, id, payload)
@@ -277,18 +291,18 @@
             await self.core.wheel.sleep(20_000)
         # Guards against a close over unread bytes, which takes with it what is on its way to the
         # client.
-        for connection in self.open.values():
-            connection.ended = True
+        for connection in self.connections.values():
+            connection.closed_by_server = True
             if connection.writer.can_write_eof() and not connection.writer.is_closing():
                 # the client has broken off, and we have not read it yet
                 with contextlib.suppress(OSError):
                     connection.writer.write_eof()
-        if self.open:
+        if self.connections:
             with contextlib.suppress(TimeoutError):
                 async with self.core.wheel.timeout(CLIENT_CLOSE_TIMEOUT_US):
-                    await asyncio.wait(list(self.open))
-        for connection in list(self.open.values()):
+                    await asyncio.wait(list(self.connections))
+        for connection in list(self.connections.values()):
             connection.writer.close()
-        while self.open:
-            await asyncio.wait(list(self.open))
-        await self.desk.settle()
+        while self.connections:
+            await asyncio.wait(list(self.connections))
+        await self.relay.settle()
--- a/onyxpass/toolcalls/peers.py
+++ b/onyxpass/toolcalls/replicas.py
@@ -17,13 +17,13 @@
 from onyxpass.scheduling import contract
 from onyxpass.scheduling.contract import AttemptStatus, HealthCheckResult, Role
 from onyxpass.toolcalls import rpc
-from onyxpass.toolcalls.rpc import Call, Reply, RpcError
-from onyxpass.toolcalls.tool_call_relay import Desk, State, ToolCall
+from onyxpass.toolcalls.rpc import RpcError, RpcRequest, RpcResponse
+from onyxpass.toolcalls.tool_call_relay import ToolCall, ToolCallRelay, ToolCallState
 
 # a stream that says nothing for so long is taken as broken; longer than any tool has
-STALL_US = 30_000_000
-MOST_CALLS = 8  # tool calls that one stream may have out
-RELEASE_US = 120_000
+STREAM_STALL_TIMEOUT_US = 30_000_000
+MAX_OPEN_CALLS = 8  # tool calls that one stream may have out
+CALL_TIMEOUT_US = 120_000
 log = structlog.get_logger("peers")
 
 
@@ -39,19 +39,19 @@
     calls: dict[rpc.Id, ToolCall] = field(default_factory=dict)
 
 
-class Peer(ServerActor):
+class RpcReplica(ServerActor):
     def __init__(
         self,
         name: str,
         role: Role,
         address: Address,
         core: RequestDispatcher,
-        desk: Desk,
+        relay: ToolCallRelay,
         connect_us: int,
         limit: asyncio.Semaphore,
     ) -> None:
         super().__init__(name, core)
-        self.role, self.address, self.desk = role, address, desk
+        self.role, self.address, self.relay = role, address, relay
         self.connect_us, self.limit = connect_us, limit
 
     async def _open(
@@ -88,7 +88,7 @@
         except asyncio.CancelledError:
             status = AttemptStatus.CANCELLED if written else AttemptStatus.NOT_SENT
             if writer is not None and written and not writer.is_closing():
-                writer.write(rpc.notice("cancel", {"request": attempt.request.id}))
+                writer.write(rpc.notification("cancel", {"request": attempt.request.id}))
         except Exception:
             log.exception("exchange_failed", server=self.name)
             status = AttemptStatus.RESET if written else AttemptStatus.UNREACHABLE
@@ -120,24 +120,26 @@
         turn = LoopTurn(self.core.clock)
         try:
             while True:
-                async with self.wheel.timeout(STALL_US):
+                async with self.wheel.timeout(STREAM_STALL_TIMEOUT_US):
                     text = await rpc.read_line(reader)
                 if text is None:
                     return AttemptStatus.RESET, 0, "closed without a response"
                 match rpc.parse(text):
-                    case Reply(id, result, error) if id == attempt.number:
+                    case RpcResponse(id, result, error) if id == attempt.number:
                         return self._end(attempt, result, error)
-                    case Call(None, "text", params) if self.role is not Role.PREFILL:
-                        part = rpc.text_of(params, "text", whole=False).encode(
+                    case RpcRequest(None, "text", params) if self.role is not Role.PREFILL:
+                        part = rpc.string_param(params, "text", whole=False).encode(
                             "utf-8", "surrogatepass"
                         )
                         if not self.core.outcomes.stream_event_received(attempt):
                             return AttemptStatus.CANCELLED, 0, "nobody waits"
                         turn.begin_step()
-                        async with self.wheel.timeout(STALL_US):  # a client that takes nothing
+                        async with self.wheel.timeout(
+                            STREAM_STALL_TIMEOUT_US
+                        ):  # a client that takes nothing
                             await attempt.request.client.forward(part)
                         await turn.end_step()
-                    case Call(int() | str() as id, "tools/call", params) if (
+                    case RpcRequest(int() | str() as id, "tools/call", params) if (
                         self.role is not Role.PREFILL
                     ):
                         # Guards against a second run: the call commits the attempt before it goes
@@ -149,11 +151,13 @@
                             task = asyncio.create_task(self._tell_result(writer, call))
                             answering.add(task)
                             task.add_done_callback(answering.discard)
-                    case Call(int() | str() as id, method, _):
+                    case RpcRequest(int() | str() as id, method, _):
                         writer.write(
-                            rpc.error(id, RpcError(rpc.NO_METHOD, f"no method {method[:80]!r}"))
+                            rpc.error(
+                                id, RpcError(rpc.METHOD_NOT_FOUND, f"no method {method[:80]!r}")
+                            )
                         )
-                    case Reply(id):
+                    case RpcResponse(id):
                         log.warning("unexpected_response", server=self.name, id=str(id)[:80])
         finally:
             for task in answering:
@@ -164,27 +168,28 @@
     ) -> ToolCall | None:
         payload: Payload = attempt.request.payload
         try:
-            name, arguments = rpc.text_of(params, "name"), params.get("arguments", {})
+            name, arguments = rpc.string_param(params, "name"), params.get("arguments", {})
             if not isinstance(arguments, dict) or not name:
                 raise RpcError(
-                    rpc.BAD_PARAMS, "a call needs a name, and arguments that are an object"
+                    rpc.INVALID_PARAMS, "a call needs a name, and arguments that are an object"
                 )
             if id in payload.calls:  # the first one's response is still to come, or has come
                 writer.write(
                     rpc.error(
-                        None, RpcError(rpc.INVALID, "a call id is used twice", data={"call": id})
+                        None,
+                        RpcError(rpc.INVALID_REQUEST, "a call id is used twice", data={"call": id}),
                     )
                 )
                 return None
-            if sum(not c.told.is_set() for c in payload.calls.values()) >= MOST_CALLS:
-                raise RpcError(rpc.NOT_MADE, f"more than {MOST_CALLS} calls out")
+            if sum(not c.told.is_set() for c in payload.calls.values()) >= MAX_OPEN_CALLS:
+                raise RpcError(rpc.NOT_MADE, f"more than {MAX_OPEN_CALLS} calls out")
         except RpcError as problem:
             writer.write(rpc.error(id, problem))
             return None
         call = payload.calls[id] = ToolCall(
             attempt.request.id, id, name, arguments, lambda: not attempt.ended
         )
-        self.desk.make(call)
+        self.relay.make(call)
         return call
 
     async def _tell_result(self, writer: asyncio.StreamWriter, call: ToolCall) -> None:
@@ -204,7 +209,9 @@
                     int(error.code == rpc.NO_STATE),
                     error.message[:200],
                 )
-            unfit = error.code in (rpc.INVALID, rpc.BAD_PARAMS) and not attempt.committed
+            unfit = (
+                error.code in (rpc.INVALID_REQUEST, rpc.INVALID_PARAMS) and not attempt.committed
+            )
             return (
                 (AttemptStatus.INVALID_REQUEST if unfit else AttemptStatus.ERROR),
                 0,
@@ -214,7 +221,9 @@
             cached = result.get("cached_tokens") if isinstance(result, dict) else 0
             return AttemptStatus.PREFILLED, cached if type(cached) is int and cached >= 0 else 0, ""
         payload: Payload = attempt.request.payload
-        if any(c.state in (State.CLAIMING, State.SENT) for c in payload.calls.values()):
+        if any(
+            c.state in (ToolCallState.CLAIMING, ToolCallState.SENT) for c in payload.calls.values()
+        ):
             return AttemptStatus.RESET, 0, "the writer ended its stream with a call out"
         payload.result = result if isinstance(result, dict) else {}
         return (
@@ -225,21 +234,21 @@
 
     async def check_health(self) -> None:
         began_us = self.core.clock.now_us()
-        if (ok := await self.ask("ping", {})) is not None:
+        if (ok := await self.call("ping", {})) is not None:
             self.core.tell(HealthCheckResult(self.name, ok, self.core.clock.now_us() - began_us))
 
-    async def ask(self, method: str, params: Mapping[str, Any]) -> bool | None:
+    async def call(self, method: str, params: Mapping[str, Any]) -> bool | None:
         """A short question beside the attempts; True once it is answered well, None if it can't
         be put.
         """
         writer: asyncio.StreamWriter | None = None
         try:
-            async with self.wheel.timeout(RELEASE_US):
+            async with self.wheel.timeout(CALL_TIMEOUT_US):
                 reader, writer = await self._open()
                 writer.write(rpc.request(0, method, params))
                 text = await rpc.read_line(reader)
                 answer = rpc.parse(text) if text is not None else None
-                return isinstance(answer, Reply) and answer.id == 0 and answer.error is None
+                return isinstance(answer, RpcResponse) and answer.id == 0 and answer.error is None
         except ResourceShortageError:
             return None
         except (RpcError, OSError, TimeoutError):
@@ -249,12 +258,14 @@
                 writer.close()
 
 
-class Peers(ActorFleet[Peer]):
+class RpcReplicas(ActorFleet[RpcReplica]):
     """The fleet over JSON-RPC."""
 
-    def __init__(self, core: RequestDispatcher, desk: Desk, connect_us: int, most: int) -> None:
+    def __init__(
+        self, core: RequestDispatcher, relay: ToolCallRelay, connect_us: int, most: int
+    ) -> None:
         super().__init__(core)
-        self.desk, self.connect_us = desk, connect_us
+        self.relay, self.connect_us = relay, connect_us
         self.limit = asyncio.Semaphore(most)
         self.gone: set[str] = set()  # left the list, and still at work
 
@@ -264,7 +275,7 @@
             known.role, known.address = role, address
         else:
             self.add_actor(
-                Peer(name, role, address, self.core, self.desk, self.connect_us, self.limit)
+                RpcReplica(name, role, address, self.core, self.relay, self.connect_us, self.limit)
             )
 
     def member(self, server: contract.Endpoint, address: Address, left: bool) -> None:
@@ -295,5 +306,5 @@
         )
 
     async def _ask(self, name: str, request_id: str) -> bool:
-        peer = self.actors.get(name)
-        return peer is not None and bool(await peer.ask("release", {"request": request_id}))
+        replica = self.actors.get(name)
+        return replica is not None and bool(await replica.call("release", {"request": request_id}))
--- a/onyxpass/toolcalls/rpc.py
+++ b/onyxpass/toolcalls/rpc.py
@@ -9,7 +9,13 @@
 LINE_LIMIT = 256 * 1024
 Id = str | int
 
-PARSE, INVALID, NO_METHOD, BAD_PARAMS, INTERNAL = -32700, -32600, -32601, -32602, -32603
+PARSE_ERROR, INVALID_REQUEST, METHOD_NOT_FOUND, INVALID_PARAMS, INTERNAL_ERROR = (
+    -32700,
+    -32600,
+    -32601,
+    -32602,
+    -32603,
+)
 REFUSED, FAILED, DEADLINE, UNKNOWN, CANCELLED = -32001, -32002, -32003, -32004, -32005
 STORE_DOWN, NOT_MADE, TOOL_UNKNOWN, CLAIMED = -32010, -32011, -32012, -32013
 FULL, NO_STATE = -32020, -32021
@@ -28,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
+class RpcRequest:
     """A request; ``id`` None makes it a notification, which is never answered."""
 
     id: Id | None
@@ -37,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
+class RpcResponse:
     id: Id | None
     result: Any = None
     error: RpcError | None = None
@@ -47,37 +53,41 @@
     raise ValueError(f"{name} is not JSON")
 
 
-def parse(line: bytes) -> Call | Reply:
+def parse(line: bytes) -> RpcRequest | RpcResponse:
     """One line; RpcError says what is wrong with it, with the id where it could be made out."""
     try:
         message = json.loads(line, parse_constant=_no_constant)
     except (ValueError, RecursionError) as problem:
-        raise RpcError(PARSE, f"not JSON: {str(problem)[:100]}") from problem
+        raise RpcError(PARSE_ERROR, f"not JSON: {str(problem)[:100]}") from problem
     if not isinstance(message, dict):
-        raise RpcError(INVALID, "not an object; batches are not taken")
+        raise RpcError(INVALID_REQUEST, "not an object; batches are not taken")
     id, has_id = message.get("id"), "id" in message
     if isinstance(id, bool) or not isinstance(id, str | int | None) or len(str(id)[:300]) > 256:
-        raise RpcError(INVALID, "an id is a string of up to 256 characters or a whole number")
+        raise RpcError(
+            INVALID_REQUEST, "an id is a string of up to 256 characters or a whole number"
+        )
     if message.get("jsonrpc") != "2.0":
-        raise RpcError(INVALID, 'jsonrpc must be "2.0"', id)
+        raise RpcError(INVALID_REQUEST, 'jsonrpc must be "2.0"', id)
     if "method" in message:
         method, params = message["method"], message.get("params", {})
         if not isinstance(method, str):
-            raise RpcError(INVALID, "method must be a string", id)
+            raise RpcError(INVALID_REQUEST, "method must be a string", id)
         if has_id and id is None:
-            raise RpcError(INVALID, "the id of a request is not null")
+            raise RpcError(INVALID_REQUEST, "the id of a request is not null")
         if not isinstance(params, dict):
-            raise RpcError(BAD_PARAMS if has_id else INVALID, "params must be an object", id)
-        return Call(id, method, params)
+            raise RpcError(
+                INVALID_PARAMS if has_id else INVALID_REQUEST, "params must be an object", id
+            )
+        return RpcRequest(id, method, params)
     if ("result" in message) == ("error" in message) or not has_id:
-        raise RpcError(INVALID, "neither a request nor a response", id)
+        raise RpcError(INVALID_REQUEST, "neither a request nor a response", id)
     if "result" in message:
-        return Reply(id, message["result"])
+        return RpcResponse(id, message["result"])
     error = message["error"]
     if not isinstance(error, dict) or type(error.get("code")) is not int:
-        raise RpcError(INVALID, "an error needs a whole code", id)
+        raise RpcError(INVALID_REQUEST, "an error needs a whole code", id)
     told = RpcError(error["code"], str(error.get("message") or ""), id, error.get("data"))
-    return Reply(id, error=told)
+    return RpcResponse(id, error=told)
 
 
 def line(message: Mapping[str, Any]) -> bytes:
@@ -88,7 +98,7 @@
     return line({"id": id, "method": method, "params": params})
 
 
-def notice(method: str, params: Mapping[str, Any]) -> bytes:
+def notification(method: str, params: Mapping[str, Any]) -> bytes:
     return line({"method": method, "params": params})
 
 
@@ -111,12 +121,12 @@
         except asyncio.IncompleteReadError:
             return None
         except asyncio.LimitOverrunError as problem:
-            raise RpcError(INVALID, f"a line of more than {LINE_LIMIT} bytes") from problem
+            raise RpcError(INVALID_REQUEST, f"a line of more than {LINE_LIMIT} bytes") from problem
         if text.strip():
             return text
 
 
-def text_of(
+def string_param(
     params: Mapping[str, Any], name: str, fallback: str | None = None, whole: bool = True
 ) -> str:
     """A string; ``whole``: without halves of surrogate pairs, which no key can be made of.
@@ -125,12 +135,12 @@
     """
     value = params.get(name, fallback)
     if not isinstance(value, str) or (whole and any("\ud800" <= c <= "\udfff" for c in value)):
-        raise RpcError(BAD_PARAMS, f"{name} must be a string")
+        raise RpcError(INVALID_PARAMS, f"{name} must be a string")
     return value
 
 
-def number_of(params: Mapping[str, Any], name: str, fallback: int, least: int = 0) -> int:
+def integer_param(params: Mapping[str, Any], name: str, fallback: int, least: int = 0) -> int:
     value = params.get(name, fallback)
     if type(value) is not int or not least <= value <= 2**40:
-        raise RpcError(BAD_PARAMS, f"{name} must be a whole number of at least {least}")
+        raise RpcError(INVALID_PARAMS, f"{name} must be a whole number of at least {least}")
     return value
--- a/onyxpass/toolcalls/service.py
+++ b/onyxpass/toolcalls/service.py
@@ -28,8 +28,8 @@
 from onyxpass.scheduling import contract
 from onyxpass.store.redis import RedisStore
 from onyxpass.toolcalls.front import RpcFront
-from onyxpass.toolcalls.peers import STALL_US, Peers
-from onyxpass.toolcalls.tool_call_relay import Desk, ToolServer
+from onyxpass.toolcalls.replicas import STREAM_STALL_TIMEOUT_US, RpcReplicas
+from onyxpass.toolcalls.tool_call_relay import ToolCallRelay, ToolServer
 
 if TYPE_CHECKING:  # guards against start time spent on what only watched files need
     from onyxpass.sources.membership import FileSource
@@ -79,7 +79,7 @@
     return key in IN_FLIGHT or settings_in_flight(key)
 
 
-def loopback(text: str) -> Address:
+def parse_loopback_address(text: str) -> Address:
     """An address on this machine: this front has no transport security, so it serves nothing
     beyond.
     """
@@ -106,14 +106,14 @@
                 raise ConfigError(f"server {entry['id']!r} is of no kind that the settings name")
             zone, cell = str(entry.get("zone", "")), int(entry.get("cell", 0))
             server = contract.Endpoint(str(entry["id"]), str(entry["kind"]), zone, cell)
-            servers.append((server, loopback(str(entry["address"]))))
+            servers.append((server, parse_loopback_address(str(entry["address"]))))
         tools, store = raw["tools"], raw["store"]
         config = ToolcallsConfig(
             name=str(raw["name"]),
-            listen=loopback(raw["listen"]),
+            listen=parse_loopback_address(raw["listen"]),
             settings=settings,
             servers=tuple(servers),
-            tools=loopback(tools["address"]),
+            tools=parse_loopback_address(tools["address"]),
             store_url=str(store["url"]),
             tool_timeout_us=int(tools.get("timeout_ms", 10_000)) * 1000,
             store_timeout_ms=int(store.get("timeout_ms", 300)),
@@ -125,8 +125,10 @@
         raise
     except (ValueError, KeyError, TypeError, AttributeError, IndexError) as problem:
         raise ConfigError(f"the file can't be read: {problem!r}") from problem
-    if not 0 < config.tool_timeout_us < STALL_US:
-        raise ConfigError(f"tools.timeout_ms must lie between 0 and {STALL_US // 1000}")
+    if not 0 < config.tool_timeout_us < STREAM_STALL_TIMEOUT_US:
+        raise ConfigError(
+            f"tools.timeout_ms must lie between 0 and {STREAM_STALL_TIMEOUT_US // 1000}"
+        )
     if len({server.id for server, _ in servers}) < len(servers):
         raise ConfigError("two servers have the same id")
     return config
@@ -151,14 +153,14 @@
         self.wheel = TimerWheel(self.clock)
         self.core = RequestDispatcher(config.settings, config.seed, self.clock, self.wheel)
         self.store = RedisStore(config.store_url, config.store_timeout_ms)
-        self.desk = Desk(self.store, config.claim_ttl_s)
+        self.relay = ToolCallRelay(self.store, config.claim_ttl_s)
         self.tools = ToolServer(
-            config.tools, self.wheel, self.desk.ended, config.tool_timeout_us, config.connect_us
+            config.tools, self.wheel, self.relay.ended, config.tool_timeout_us, config.connect_us
         )
-        self.desk.server = self.tools
-        self.peers = Peers(self.core, self.desk, config.connect_us, config.connections)
-        self.core.connect_fleet(self.peers)
-        self.front = RpcFront(self.core, self.desk, config.listen, config.connections)
+        self.relay.server = self.tools
+        self.replicas = RpcReplicas(self.core, self.relay, config.connect_us, config.connections)
+        self.core.connect_fleet(self.replicas)
+        self.front = RpcFront(self.core, self.relay, config.listen, config.connections)
         self.tasks: list[asyncio.Task[None]] = []
         self.files: FileSource | None = None
         if config.sources is not None:
@@ -167,7 +169,7 @@
             sources = membership.load(config.sources)
             if not sources.whole:
                 raise ConfigError(f"{config.sources}: this front has no discovery to lie over")
-            self.files = membership.FileSource(self.core, self.peers, sources, loopback=True)
+            self.files = membership.FileSource(self.core, self.replicas, sources, loopback=True)
 
     async def start(self) -> None:
         for work in (self.core.run(), self.wheel.run(), self.tools.run()):
@@ -190,7 +192,7 @@
 
     def _serve_with(self, config: ToolcallsConfig) -> None:
         for server, address in config.servers:
-            self.peers.add(server.id, self.core.endpoints.roles[server.kind], address)
+            self.replicas.add(server.id, self.core.endpoints.roles[server.kind], address)
         self.core.update_endpoints(
             contract.EndpointUpdate(
                 contract.EndpointUpdateForm.COMPLETE, tuple(s for s, _ in config.servers)
@@ -222,7 +224,7 @@
             claim_ttl_s=fresh.claim_ttl_s,
             settings=with_reloaded_keys(old.settings, fresh.settings),
         )
-        self.desk.ttl_s = fresh.claim_ttl_s
+        self.relay.ttl_s = fresh.claim_ttl_s
         if self.config.settings != old.settings:
             self.core.apply_settings(self.config.settings)
         if self.files is None:
@@ -243,7 +245,7 @@
 
     def load(self) -> OpenRequests:
         requests, streams, oldest_us = self.core.registry.in_flight_summary()
-        return OpenRequests(max(requests, self.front.unsent()), streams, oldest_us)
+        return OpenRequests(max(requests, self.front.count_unsent()), streams, oldest_us)
 
     def set_draining(self, draining: bool) -> None:
         """Its connections stay: on each of them more requests are refused by their own answers."""
@@ -255,7 +257,7 @@
 
     def metrics(self) -> dict[str, Any]:
         sources = {"sources": self.files.told()} if self.files is not None else {}
-        return {**self.core.metric_rows(), "clients": len(self.front.open), **sources}
+        return {**self.core.metric_rows(), "clients": len(self.front.connections), **sources}
 
     async def stop(self) -> None:
         await self.front.stop()
@@ -266,14 +268,14 @@
         """End all tasks without waiting for anything that is out."""
         mine = [
             *self.tasks,
-            *self.peers.actor_tasks.values(),
-            *self.peers.release_tasks,
-            *self.desk.tasks,
+            *self.replicas.actor_tasks.values(),
+            *self.replicas.release_tasks,
+            *self.relay.tasks,
         ]
         mine += [
             task
-            for peer in self.peers.actors.values()
-            for task in (*peer.tasks.values(), *peer.background_tasks)
+            for replica in self.replicas.actors.values()
+            for task in (*replica.tasks.values(), *replica.background_tasks)
         ]
         mine += [self.tools.task] if self.tools.task else []
         for task in mine:
--- a/onyxpass/toolcalls/tool_call_relay.py
+++ b/onyxpass/toolcalls/tool_call_relay.py
@@ -15,12 +15,12 @@
 from onyxpass.core.timer_wheel import Timer, TimerWheel
 from onyxpass.store.redis import RedisStore, StoreUnavailableError
 from onyxpass.toolcalls import rpc
-from onyxpass.toolcalls.rpc import Reply, RpcError
+from onyxpass.toolcalls.rpc import RpcError, RpcResponse
 
 log = structlog.get_logger("tools")
 
 
-class State(Enum):
+class ToolCallState(Enum):
     """Where a call stands. From SENT on it may have had its effect."""
 
     CLAIMING = "claiming"
@@ -38,7 +38,7 @@
     name: str
     arguments: Mapping[str, Any]
     wanted: Callable[[], bool]  # whether the stream that asked for it still waits
-    state: State = State.CLAIMING
+    state: ToolCallState = ToolCallState.CLAIMING
     result: Any = None
     problem: RpcError | None = None
     withdrawn: bool = False  # its client has gone
@@ -55,7 +55,7 @@
             "name": self.name,
             "withdrawn": self.withdrawn,
         }
-        if self.state is State.DONE:
+        if self.state is ToolCallState.DONE:
             body["result"] = self.result
         if self.problem is not None:
             body["error"] = self.problem.body()
@@ -80,7 +80,7 @@
 @dataclass(frozen=True, slots=True)
 class Heard:
     link: int
-    reply: Reply
+    reply: RpcResponse
 
 
 @dataclass(frozen=True, slots=True)
@@ -123,11 +123,11 @@
                 self._make(call)
             case Withdraw(call):
                 self._withdraw(call)
-            case Slow(call) if call.state is State.SENT:
+            case Slow(call) if call.state is ToolCallState.SENT:
                 # The connection stays: a result that comes late is still recorded.
                 self._end(
                     call,
-                    State.UNKNOWN,
+                    ToolCallState.UNKNOWN,
                     RpcError(rpc.TOOL_UNKNOWN, "no result in time: outcome unknown"),
                 )
             case Heard(link, reply) if link == self.link:
@@ -141,16 +141,18 @@
 
     def recover(self, message: Order) -> None:
         if isinstance(message, Make):
-            sent = message.call.state is State.SENT
+            sent = message.call.state is ToolCallState.SENT
             self._end(
                 message.call,
-                State.UNKNOWN if sent else State.NOT_MADE,
-                RpcError(rpc.INTERNAL, "fault"),
+                ToolCallState.UNKNOWN if sent else ToolCallState.NOT_MADE,
+                RpcError(rpc.INTERNAL_ERROR, "fault"),
             )
 
     def _make(self, call: ToolCall) -> None:
         if call.withdrawn or not call.wanted():  # no call goes out for a stream that has ended
-            self._end(call, State.NOT_MADE, RpcError(rpc.NOT_MADE, "nobody waits for it any more"))
+            self._end(
+                call, ToolCallState.NOT_MADE, RpcError(rpc.NOT_MADE, "nobody waits for it any more")
+            )
             return
         if self.writer is None or self.writer.is_closing():
             self.queued.append(call)
@@ -158,7 +160,7 @@
                 self.link += 1
                 self.task = asyncio.create_task(self._follow(self.link))
             return
-        call.state = State.SENT
+        call.state = ToolCallState.SENT
         self.out[call.key] = call
         call.timer = self.wheel.after(self.timeout_us, lambda: self.tell(Slow(call)))
         params = {"name": call.name, "arguments": call.arguments}
@@ -167,18 +169,18 @@
     def _withdraw(self, call: ToolCall) -> None:
         if call.key in self.out and self.writer is not None and not self.writer.is_closing():
             params = {"requestId": call.key, "reason": "the client has gone"}
-            self.writer.write(rpc.notice("notifications/cancelled", params))
+            self.writer.write(rpc.notification("notifications/cancelled", params))
         self.ended(call)  # recorded as withdrawn now; its result, if one comes, is recorded then
 
-    def _heard(self, reply: Reply) -> None:
+    def _heard(self, reply: RpcResponse) -> None:
         call = self.out.pop(str(reply.id), None)
         if call is None:
             log.warning("unexpected_tool_result", id=str(reply.id)[:80])
         elif reply.error is not None:
-            self._end(call, State.ERROR, reply.error)
+            self._end(call, ToolCallState.ERROR, reply.error)
         else:
             call.result = reply.result
-            self._end(call, State.DONE, None)
+            self._end(call, ToolCallState.DONE, None)
 
     def _lost(self, reason: str) -> None:
         self.task, was_up = None, self.writer is not None
@@ -192,17 +194,17 @@
                 continue
             self._end(
                 call,
-                State.NOT_MADE,
+                ToolCallState.NOT_MADE,
                 RpcError(rpc.NOT_MADE, f"the tool server can't be reached: {reason}"),
             )
         for call in out:  # never sent again: the server may have it
             self._end(
                 call,
-                State.UNKNOWN,
+                ToolCallState.UNKNOWN,
                 RpcError(rpc.TOOL_UNKNOWN, f"the tool server was lost: {reason}"),
             )
 
-    def _end(self, call: ToolCall, state: State, problem: RpcError | None) -> None:
+    def _end(self, call: ToolCall, state: ToolCallState, problem: RpcError | None) -> None:
         if call.timer is not None:
             call.timer.cancel()
         call.state, call.problem = state, problem
@@ -219,11 +221,13 @@
             self.tell(Up(writer))
             while (text := await rpc.read_line(reader)) is not None:
                 message = rpc.parse(text)
-                if isinstance(message, Reply):
+                if isinstance(message, RpcResponse):
                     self.tell(Heard(link, message))
                 elif message.id is not None:
                     writer.write(
-                        rpc.error(message.id, RpcError(rpc.NO_METHOD, "nothing is served here"))
+                        rpc.error(
+                            message.id, RpcError(rpc.METHOD_NOT_FOUND, "nothing is served here")
+                        )
                     )
         except RpcError as problem:  # it talks garbage: nothing more of it is believed
             reason = f"garbage: {problem.message}"
@@ -233,7 +237,7 @@
             self.tell(Lost(link, reason))
 
 
-class Desk:
+class ToolCallRelay:
     """Claims, makes and records calls. A call outlives the stream that asked for it, till it has
     ended.
     """
@@ -248,7 +252,7 @@
     def make(self, call: ToolCall) -> None:
         """Start on a call; ``call.told`` is set once the writer can be answered."""
         if call.key in self.open:
-            call.state = State.NOT_MADE
+            call.state = ToolCallState.NOT_MADE
             call.problem = RpcError(
                 rpc.CLAIMED, "a call with this id is out", data={"call": call.call}
             )
@@ -262,12 +266,12 @@
         told.
         """
         call.withdrawn = True
-        if call.state is State.SENT and self.server is not None:
+        if call.state is ToolCallState.SENT and self.server is not None:
             self.server.tell(Withdraw(call))
 
     def ended(self, call: ToolCall) -> None:
         """How a call stands now goes on record, in the order in which it came to stand so."""
-        if call.state is not State.SENT:
+        if call.state is not ToolCallState.SENT:
             self.open.pop(call.key, None)
         self._beside(self._record(call.key, call.record(), self._last.get(call.key)), call.key)
 
@@ -282,7 +286,7 @@
     async def _claim(self, call: ToolCall) -> None:
         try:
             if await self.store.claim_call(
-                call.key, {"state": State.CLAIMING.value, "name": call.name}, self.ttl_s
+                call.key, {"state": ToolCallState.CLAIMING.value, "name": call.name}, self.ttl_s
             ):
                 if self.server is not None:
                     self.server.tell(Make(call))
@@ -299,13 +303,13 @@
             )
             return
         stood = found.get("state")
-        if stood == State.DONE.value:  # made before, by whomever: its result serves again
-            call.result, call.state = found.get("result"), State.DONE
+        if stood == ToolCallState.DONE.value:  # made before, by whomever: its result serves again
+            call.result, call.state = found.get("result"), ToolCallState.DONE
         else:  # it may be out elsewhere, or its maker may have died: it is not made a second time
             call.state = (
-                State(stood)
-                if stood in (State.NOT_MADE.value, State.ERROR.value)
-                else State.UNKNOWN
+                ToolCallState(stood)
+                if stood in (ToolCallState.NOT_MADE.value, ToolCallState.ERROR.value)
+                else ToolCallState.UNKNOWN
             )
             data = {"call": call.call, "state": call.state.value}
             call.problem = RpcError(rpc.CLAIMED, "claimed before", data=data)
@@ -313,7 +317,7 @@
         call.told.set()
 
     def _not_made(self, call: ToolCall, problem: RpcError) -> None:
-        call.state, call.problem = State.NOT_MADE, problem
+        call.state, call.problem = ToolCallState.NOT_MADE, problem
         self.open.pop(call.key, None)
         call.told.set()
 
--- a/tests/shimmed.py
+++ b/tests/shimmed.py
@@ -13,17 +13,17 @@
 from test_program import RAW
 from world import Discovery, Replica
 
-from onyxpass.faultshim.control import Control, build
+from onyxpass.faultshim.control import FaultControl, build_library
 
 ROOT = Path(__file__).parent.parent
 LIMIT_S = 60.0  # only ends what has failed already
 LIBRARY_FOLDER = Path(tempfile.gettempdir()) / f"onyxpass-faultshim-{os.getpid()}"
 
 
-def control(folder: Path, name: str = "faults", seed: int = 1) -> Control:
+def control(folder: Path, name: str = "faults", seed: int = 1) -> FaultControl:
     """The faults of one process that is yet to start."""
     LIBRARY_FOLDER.mkdir(exist_ok=True)
-    return Control(build(LIBRARY_FOLDER), folder / f"{name}.block", seed)
+    return FaultControl(build_library(LIBRARY_FOLDER), folder / f"{name}.block", seed)
 
 
 def run(work: Coroutine[Any, Any, Any]) -> Any:
@@ -89,7 +89,9 @@
         self._reading = asyncio.create_task(self._read())
 
     @classmethod
-    async def start(cls, *arguments: str, control: Control | None = None, **more: Any) -> "Process":
+    async def start(
+        cls, *arguments: str, control: FaultControl | None = None, **more: Any
+    ) -> "Process":
         environment: Mapping[str, str] = more.pop("environment", {})
         forced = control.environment if control is not None else {}
         stdout = more.pop("stdout", asyncio.subprocess.PIPE)
--- a/tests/test_client_time.py
+++ b/tests/test_client_time.py
@@ -125,7 +125,7 @@
             call = {"jsonrpc": "2.0", "id": 1, "method": "generate", "params": params}
             client = socket.create_connection(("127.0.0.1", service.front.port))
             try:
-                await until(lambda: len(service.front.open) == 1)
+                await until(lambda: len(service.front.connections) == 1)
                 client.sendall(json.dumps(call).encode() + b"\n")
                 sent_us = clock.now_us()
                 time.sleep(STALL_S)
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -119,15 +119,15 @@
         async with test_toolcalls.world() as w:
             core = w.service.core  # type: ignore[attr-defined]
             up, go_on = asyncio.Event(), asyncio.Event()
-            for peer in w.service.peers.actors.values():  # type: ignore[attr-defined]
+            for replica in w.service.replicas.actors.values():  # type: ignore[attr-defined]
 
-                async def held(most_us: int | None = None, dial: Any = peer._open) -> Any:
+                async def held(most_us: int | None = None, dial: Any = replica._open) -> Any:
                     streams = await dial(most_us)
                     up.set()
                     await go_on.wait()
                     return streams
 
-                peer._open = held
+                replica._open = held
             client = socket.create_connection(("127.0.0.1", w.service.front.port))  # type: ignore[attr-defined]
             params = {"class": next(iter(core.deadlines)), "prompt": "x"}
             call = {"jsonrpc": "2.0", "id": 1, "method": "generate", "params": params}
@@ -379,7 +379,7 @@
                 clients[-1].sendall(json.dumps(call).encode() + b"\n")
             for client in clients:
                 assert json.loads(await received(client, b"\n"))["result"] == {"ready": False}
-            await until(lambda: all(c.ended for c in service.front.open.values()))
+            await until(lambda: all(c.closed_by_server for c in service.front.connections.values()))
             for client in clients:
                 client.setblocking(True)
                 # crosses the end of our side
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -267,10 +267,10 @@
 
     async def rpc() -> None:
         async with test_toolcalls.world() as w:
-            peers = w.service.peers  # type: ignore[attr-defined]
-            silent = [name for name in peers.actors if name != "writer-1"]
+            replicas = w.service.replicas  # type: ignore[attr-defined]
+            silent = [name for name in replicas.actors if name != "writer-1"]
             for name in silent:
-                peers.actors[name].ask = lambda *_: asyncio.sleep(60, False)
+                replicas.actors[name].call = lambda *_: asyncio.sleep(60, False)
             request = Request("a1", 1, None, Waits(), None, state_holder="reader-0")  # type: ignore[arg-type]
             request.reserved_since_us = w.service.core.clock.now_us() + 60 * S  # type: ignore[attr-defined]
             done: list[str] = []
@@ -279,8 +279,8 @@
                 done.append("writer-1")
                 return True
 
-            peers.actors["writer-1"].ask = lets_go
-            peers.release(request, False)
+            replicas.actors["writer-1"].call = lets_go
+            replicas.release(request, False)
             await until(lambda: done)
 
     run(go if front == "http" else rpc)
--- a/tests/test_desired.py
+++ b/tests/test_desired.py
@@ -25,7 +25,7 @@
 from onyxpass.desired.upstream_selection import PREFER_S, Puller
 from onyxpass.history_checkers import configuration as rules
 from onyxpass.history_checkers.configuration import Word
-from onyxpass.testbed.configuration import Trial
+from onyxpass.testbed.configuration import ConfigurationTrial
 from onyxpass.testbed.replicas import StandinDiscovery, StandinFleet
 from onyxpass.testbed.settings import SETTINGS
 
@@ -232,18 +232,18 @@
 
 def test_a_region_that_is_cut_off_keeps_what_it_had_and_both_end_alike(tmp_path: Path) -> None:
     async def go() -> None:
-        async with Trial(tmp_path) as t:
-            await t.order("north-c0", a=1, b=1)
-            await t.in_force(t.host_names, has(a=1, b=1))
+        async with ConfigurationTrial(tmp_path) as t:
+            await t.set_values("north-c0", a=1, b=1)
+            await t.wait_until_in_force(t.host_names, has(a=1, b=1))
             t.cut()
-            await t.order("north-c0", a=2, c="n")
-            await t.order("south-c0", a=3, d="s")
+            await t.set_values("north-c0", a=2, c="n")
+            await t.set_values("south-c0", a=3, d="s")
             north = [name for name in t.host_names if name.startswith("north")]
             south = [name for name in t.host_names if name.startswith("south")]
-            await t.in_force(north, has(a=2, b=1, c="n"))
-            await t.in_force(south, has(a=3, b=1, d="s"))
-            t.mend()
-            await t.in_force(t.host_names, has(b=1, c="n", d="s"))
+            await t.wait_until_in_force(north, has(a=2, b=1, c="n"))
+            await t.wait_until_in_force(south, has(a=3, b=1, d="s"))
+            t.restore()
+            await t.wait_until_in_force(t.host_names, has(b=1, c="n", d="s"))
             told = [await t.state(name) for name in t.members]
             while len({s["digest"] for s in told}) > 1 or not all(s["conflicts"] for s in told):
                 await asyncio.sleep(0.1)
@@ -259,16 +259,18 @@
     tmp_path: Path,
 ) -> None:
     async def go() -> None:
-        async with Trial(tmp_path) as t:
-            await t.order("north-c0", a=1)
-            await t.in_force(t.host_names, has(a=1))
-            older = {name: t.kept(name) for name in ("north-c0", "north-relay", "north-h0")}
+        async with ConfigurationTrial(tmp_path) as t:
+            await t.set_values("north-c0", a=1)
+            await t.wait_until_in_force(t.host_names, has(a=1))
+            older = {
+                name: t.read_state_file(name) for name in ("north-c0", "north-relay", "north-h0")
+            }
             # one hangs, one is down, and the relay of the south as well
             t.signal("south-h0", signal.SIGSTOP)
             await t.kill("north-h1")
             await t.kill("south-relay")
-            await t.order("north-c0", a=2, b=2)
-            await t.in_force(["north-h0", "south-h1"], has(a=2, b=2))
+            await t.set_values("north-c0", a=2, b=2)
+            await t.wait_until_in_force(["north-h0", "south-h1"], has(a=2, b=2))
             for name in older:  # these come back with the disk of before
                 await t.kill(name)
                 t.state_file(name).write_text(older[name])
@@ -276,9 +278,9 @@
             t.signal("south-h0", signal.SIGCONT)
             await t.start("north-h1")
             await t.start("south-relay")
-            await t.in_force(t.host_names, has(a=2, b=2))
-            await t.order("north-c0", c=3)
-            await t.in_force(t.host_names, has(a=2, b=2, c=3))
+            await t.wait_until_in_force(t.host_names, has(a=2, b=2))
+            await t.set_values("north-c0", c=3)
+            await t.wait_until_in_force(t.host_names, has(a=2, b=2, c=3))
             assert t.breaches() == []
 
     run(go)
@@ -286,9 +288,9 @@
 
 def test_a_node_with_a_damaged_state_does_not_start_and_does_not_touch_it(tmp_path: Path) -> None:
     async def go() -> None:
-        async with Trial(tmp_path, hosts=1) as t:
-            await t.order("north-c0", a=1)
-            await t.in_force(t.host_names, has(a=1))
+        async with ConfigurationTrial(tmp_path, hosts=1) as t:
+            await t.set_values("north-c0", a=1)
+            await t.wait_until_in_force(t.host_names, has(a=1))
             await t.kill("north-h0")
             torn = t.state_file("north-h0").read_text()[:-20]
             t.state_file("north-h0").write_text(torn)
@@ -303,17 +305,19 @@
 
 def test_an_operator_sets_and_sees_it_by_commands(tmp_path: Path) -> None:
     async def go() -> None:
-        async with Trial(tmp_path, hosts=1) as t:
+        async with ConfigurationTrial(tmp_path, hosts=1) as t:
             cli, key = CliRunner(), ["--key", str(tmp_path / "key")]
             at = {name: ["--at", f"127.0.0.1:{member.port}"] for name, member in t.members.items()}
-            await t.order("north-c0", a=1)
-            await t.in_force(t.host_names, has(a=1))
+            await t.set_values("north-c0", a=1)
+            await t.wait_until_in_force(t.host_names, has(a=1))
             while not await t.state("south-c0"):  # the command calls once; the node may start late
                 await asyncio.sleep(0.05)
             set_it = ["set", "limits.sockets=900", *at["south-c0"], *key]
             told = await asyncio.to_thread(cli.invoke, desired_app, set_it)
             assert told.exit_code == 0, told.output
-            await t.in_force(t.host_names, lambda values: values.get("limits.sockets") == 900)
+            await t.wait_until_in_force(
+                t.host_names, lambda values: values.get("limits.sockets") == 900
+            )
             shown = await asyncio.to_thread(
                 cli.invoke,
                 desired_app,
@@ -337,26 +341,31 @@
     """The last hop: the host's node writes its dispatchers' files and has its agent reload them."""
 
     async def go() -> None:
-        async with Trial(tmp_path, hosts=0) as t, listed() as discovery:
-            await t.order("north-c0", **{AIM: 1_300_000})
+        async with ConfigurationTrial(tmp_path, hosts=0) as t, listed() as discovery:
+            await t.set_values("north-c0", **{AIM: 1_300_000})
             agent = await t.start_agent("north-a0", discovery.address, 2)
             host = t.write_host("north-h0", "north", agent, 2)
             await t.start(host)
-            await t.in_force([host], has(**{AIM: 1_300_000}))
-            assert await t.aims(agent) == [1_300_000] * 2, "read back from what runs"
+            await t.wait_until_in_force([host], has(**{AIM: 1_300_000}))
+            assert await t.latency_objectives_us(agent) == [1_300_000] * 2, (
+                "read back from what runs"
+            )
             await t.kill(host)
-            await t.order("south-c0", **{AIM: 1_400_000})
+            await t.set_values("south-c0", **{AIM: 1_400_000})
             await t.start(host)
-            await t.in_force([host], has(**{AIM: 1_400_000}))
-            assert await t.aims(agent) == [1_400_000] * 2
-            refused = await t.order("north-c0", **{"settings.grades.nobody.promiseUs": 1})
+            await t.wait_until_in_force([host], has(**{AIM: 1_400_000}))
+            assert await t.latency_objectives_us(agent) == [1_400_000] * 2
+            refused = await t.set_values("north-c0", **{"settings.grades.nobody.promiseUs": 1})
             assert refused.status == 200, "the control node knows no dispatcher's file"
             while (await t.state(host))["values"].get("settings.grades.nobody.promiseUs") is None:
                 await asyncio.sleep(0.05)
-            await t.order("north-c0", **{AIM: 1_500_000})
+            await t.set_values("north-c0", **{AIM: 1_500_000})
             await asyncio.sleep(0.5)
             told = await t.state(host)
-            assert told["in_force"] != told["digest"] and await t.aims(agent) == [1_400_000] * 2
+            assert (
+                told["in_force"] != told["digest"]
+                and await t.latency_objectives_us(agent) == [1_400_000] * 2
+            )
             assert "no row named 'nobody'" in (tmp_path / f"{host}.log").read_text()
 
     run(go)
--- a/tests/test_faults_calls.py
+++ b/tests/test_faults_calls.py
@@ -10,7 +10,7 @@
 from shimmed import Process, connection, control, parties, run
 from world import READ, STREAM, Replica, ask
 
-from onyxpass.faultshim.control import SHORT_TRANSFER, Call, Control, Forced
+from onyxpass.faultshim.control import SHORT_TRANSFER, FaultControl, ForcedFault, SystemCall
 from onyxpass.testbed.site import free_port
 
 CLIENTS = 20
@@ -19,7 +19,7 @@
 class Scene:
     """One dispatcher under faults, a reader and a writer."""
 
-    def __init__(self, process: Process, port: int, faults: Control) -> None:
+    def __init__(self, process: Process, port: int, faults: FaultControl) -> None:
         self.process, self.port, self.faults = process, port, faults
 
     async def ask(self, name: str) -> bytes:
@@ -34,7 +34,7 @@
 
 @asynccontextmanager
 async def scene(
-    folder: Path, *faults: Forced, environment: dict[str, str] | None = None
+    folder: Path, *faults: ForcedFault, environment: dict[str, str] | None = None
 ) -> AsyncIterator[Scene]:
     """``faults``: in force from the process's start."""
     async with parties(folder, [Replica(READ)], [Replica(STREAM)]) as (path, _):
@@ -55,7 +55,7 @@
     async def go() -> None:
         for error in (errno.ECONNABORTED, errno.EPROTO, errno.EHOSTUNREACH):
             async with scene(tmp_path) as s:
-                s.faults.force(Forced(Call.ACCEPT, error, per_thousand=500))
+                s.faults.force(ForcedFault(SystemCall.ACCEPT, error, per_thousand=500))
                 s.process.child.terminate()
                 answers = await asyncio.gather(*(s.ask(f"a{n}") for n in range(CLIENTS)))
                 assert all(a.startswith(b"HTTP/1.1") for a in answers), (error, answers.count(b""))
@@ -68,11 +68,11 @@
 ) -> None:
     async def go() -> None:
         async with scene(tmp_path) as s:
-            s.faults.force(Forced(Call.ACCEPT, errno.ENFILE))
+            s.faults.force(ForcedFault(SystemCall.ACCEPT, errno.ENFILE))
             s.process.child.terminate()
             asked = [asyncio.create_task(s.ask(f"a{n}")) for n in range(CLIENTS)]
             # the second look for the last ones has failed as well
-            while s.faults.count(Call.ACCEPT) < 4:
+            while s.faults.count(SystemCall.ACCEPT) < 4:
                 await asyncio.sleep(0.05)
             await asyncio.sleep(0.5)
             s.faults.force()
@@ -86,7 +86,7 @@
     tmp_path: Path,
 ) -> None:
     async def go() -> None:
-        faults = (Forced(Call.ACCEPT, errno.ENFILE, times=3),)
+        faults = (ForcedFault(SystemCall.ACCEPT, errno.ENFILE, times=3),)
         async with scene(tmp_path, *faults, environment={"TMPDIR": str(tmp_path)}) as s:
             assert (await s.ask("a1")).startswith(b"HTTP/1.1 200")
 
@@ -96,16 +96,16 @@
 def test_connections_that_fail_for_a_moment_cost_no_request(tmp_path: Path) -> None:
     async def go() -> None:
         for call, error in (
-            (Call.CONNECT, errno.ENETUNREACH),
-            (Call.CONNECT, errno.EADDRNOTAVAIL),
-            (Call.CONNECT, errno.ECONNABORTED),
-            (Call.CONNECT, errno.EAGAIN),
-            (Call.CONNECT, errno.EINTR),
-            (Call.SOCKET, errno.ENOBUFS),
-            (Call.SOCKET, errno.ENFILE),
+            (SystemCall.CONNECT, errno.ENETUNREACH),
+            (SystemCall.CONNECT, errno.EADDRNOTAVAIL),
+            (SystemCall.CONNECT, errno.ECONNABORTED),
+            (SystemCall.CONNECT, errno.EAGAIN),
+            (SystemCall.CONNECT, errno.EINTR),
+            (SystemCall.SOCKET, errno.ENOBUFS),
+            (SystemCall.SOCKET, errno.ENFILE),
         ):
             async with scene(tmp_path) as s:
-                s.faults.force(Forced(call, error, times=3))
+                s.faults.force(ForcedFault(call, error, times=3))
                 answer = await s.ask("a1")
                 assert answer.startswith(b"HTTP/1.1 200"), (
                     call,
@@ -119,8 +119,13 @@
 
 def test_short_transfers_and_interrupted_waits_change_nothing(tmp_path: Path) -> None:
     async def go() -> None:
-        short = [Forced(call, -1, per_thousand=300) for call in (Call.RECEIVE, Call.SEND)]
-        async with scene(tmp_path, *short, Forced(Call.WAIT, errno.EINTR, per_thousand=200)) as s:
+        short = [
+            ForcedFault(call, -1, per_thousand=300)
+            for call in (SystemCall.RECEIVE, SystemCall.SEND)
+        ]
+        async with scene(
+            tmp_path, *short, ForcedFault(SystemCall.WAIT, errno.EINTR, per_thousand=200)
+        ) as s:
             for number in range(10):
                 answer = await s.ask(f"a{number}")
                 assert answer.startswith(b"HTTP/1.1 200") and answer.endswith(b"0\r\n\r\n")
@@ -147,9 +152,9 @@
                 await asyncio.sleep(0.02)
             s = Scene(process, port, faults)
             for forced in (
-                Forced(Call.WRITE, errno.ENOSPC),
-                Forced(Call.WRITE, errno.EIO, per_thousand=500),
-                Forced(Call.WRITE, SHORT_TRANSFER, per_thousand=500),
+                ForcedFault(SystemCall.WRITE, errno.ENOSPC),
+                ForcedFault(SystemCall.WRITE, errno.EIO, per_thousand=500),
+                ForcedFault(SystemCall.WRITE, SHORT_TRANSFER, per_thousand=500),
             ):
                 faults.force(forced)
                 answers = await asyncio.gather(*(s.ask(f"{forced.error}x{n}") for n in range(4)))
--- a/tests/test_faults_disk.py
+++ b/tests/test_faults_disk.py
@@ -14,13 +14,13 @@
 
 from onyxpass.agent.credentials import make_key
 from onyxpass.config.platform_file import Address
-from onyxpass.faultshim.control import Call, Forced
+from onyxpass.faultshim.control import ForcedFault, SystemCall
 from onyxpass.history_checkers.lines import objects
 from onyxpass.net.http_client import ApiResponse, call_api, tcp_opener
 from onyxpass.testbed.replicas import StandinFleet
 from onyxpass.testbed.site import Host, Site, free_port
 
-FULL_DISK = (Forced(Call.WRITE, errno.ENOSPC), Forced(Call.SYNC, errno.EIO))
+FULL_DISK = (ForcedFault(SystemCall.WRITE, errno.ENOSPC), ForcedFault(SystemCall.SYNC, errno.EIO))
 FULL_S = 1.0  # longer than the pauses between the starts of an instance
 
 
@@ -42,7 +42,7 @@
         fleet = await StandinFleet(1, 1).start()
         restart = "first_s = 0.05\nmost_s = 0.2\ngrace_s = 5.0\npoll_s = 0.2\n"
         site = Site(tmp_path, fleet, (Host("h1", "derby", ("d1",)),), restart=restart)
-        site.write()
+        site.write_files()
         faults = control(tmp_path)
         try:
             await site.start(site.hosts[0], faults.environment)
@@ -51,7 +51,7 @@
             (first,) = running(site)
             faults.force(*FULL_DISK)
             os.kill(first, signal.SIGKILL)
-            while not faults.count(Call.WRITE) + faults.count(Call.SYNC):
+            while not faults.count(SystemCall.WRITE) + faults.count(SystemCall.SYNC):
                 await asyncio.sleep(0.02)
             await asyncio.sleep(FULL_S)
             faults.clear()
@@ -117,7 +117,7 @@
             top.faults.clear()
         below.faults.force(*FULL_DISK)
         assert await top.set(a=3) == 200
-        while not below.faults.count(Call.WRITE):
+        while not below.faults.count(SystemCall.WRITE):
             await asyncio.sleep(0.02)
         assert below.process.child.returncode is None
         below.faults.clear()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -31,7 +31,7 @@
 from onyxpass.fleet.runner import ChangeOrder
 from onyxpass.history_checkers.trace import breaches
 from onyxpass.testbed.client import CLASSES
-from onyxpass.testbed.demo import ready
+from onyxpass.testbed.demo import wait_until_serving
 from onyxpass.testbed.front import FrontLayer
 from onyxpass.testbed.replicas import Speed, StandinFleet
 from onyxpass.testbed.site import Host, Site
@@ -81,8 +81,8 @@
             while not stopping.is_set():
                 self.number += 1
                 traffic_class = CLASSES[self.number % len(CLASSES)]
-                answer = await front.ask(f"t{self.number:06}", traffic_class, f"s{number}")
-                self.ends[answer.end] += 1
+                answer = await front.send_request(f"t{self.number:06}", traffic_class, f"s{number}")
+                self.ends[answer.outcome] += 1
 
         following = asyncio.create_task(front.run())
         asking = [asyncio.create_task(client(number)) for number in range(clients)]
@@ -102,12 +102,12 @@
     ).start()
     made = tuple(Host(name, hall, (f"{hall}-1", f"{hall}-2")) for name, hall in HOSTS[:hosts])
     site = Site(folder, fleet, made, limits, RESTART)
-    site.write()
+    site.write_files()
     try:
         for host in made:
             await site.start(host)
         found = Trial(site)
-        first = await ready(found.controller, 30.0)
+        first = await wait_until_serving(found.controller, 30.0)
         assert all(view.serving for view in first.views.values()), first.to_dict()
         yield found
     finally:
@@ -141,7 +141,7 @@
             before = await t.views()
             async with t.traffic():
                 for name in t.site.ports:
-                    t.site.config(name, {"sockets": 900})
+                    t.site.write_instance_config(name, {"sockets": 900})
                 _, report = await t.controller.run_rollout(
                     t.fleet.members, ChangeOrder(ChangeMethod.AUTO, 20.0)
                 )
@@ -153,7 +153,9 @@
                 )
                 assert all(v.at("config", "generation") == 1 for v in reloaded.values())
                 for name in t.site.ports:
-                    t.site.config(name, {"peers": 7})  # this can't be changed in flight
+                    t.site.write_instance_config(
+                        name, {"peers": 7}
+                    )  # this can't be changed in flight
                 report = await t.controller.order("reload", t.fleet.members, 10.0, {})
                 await t.reported(report, failed=6)
                 assert "needs a restart: settings.routers" in str(report.to_dict())
@@ -178,8 +180,8 @@
         ) as t:
             stopped = await t.pid("derby-1")
             for name in t.site.ports:
-                t.site.config(name, {"sockets": 800})
-            t.site.config("santo-amaro-1")
+                t.site.write_instance_config(name, {"sockets": 800})
+            t.site.write_instance_config("santo-amaro-1")
             (t.site.folder / "santo-amaro-1.json").write_text('{"name": "half')
             os.kill(stopped, signal.SIGSTOP)  # its socket accepts, and nothing is said
             async with t.traffic():
@@ -197,8 +199,8 @@
             told = json.loads(shown.output)
             assert shown.exit_code == 3 and told["counts"]["unknown"] == 1 and told["selected"] == 6
             os.kill(stopped, signal.SIGCONT)
-            t.site.config("santo-amaro-1", {"sockets": 800})
-            await ready(t.controller)
+            t.site.write_instance_config("santo-amaro-1", {"sockets": 800})
+            await wait_until_serving(t.controller)
             _, report = await t.controller.run_rollout(
                 t.fleet.members, ChangeOrder(ChangeMethod.RELOAD, 10.0)
             )
@@ -214,11 +216,12 @@
             with pytest.raises(CommandRejectedError, match="passes the fleet's limits"):
                 await t.controller.order("drain", t.fleet.members, 5.0, {})
             for replica in t.site.fleet.replicas.values():
-                replica.hold.clear()
+                replica.streams_may_continue.clear()
             front = FrontLayer(t.trace, {one.name: t.site.ports[one.name]})
             front.ready.add(one.name)
             streams = [
-                asyncio.create_task(front.ask(f"d{i}", CLASSES[i % 3], "s")) for i in range(3)
+                asyncio.create_task(front.send_request(f"d{i}", CLASSES[i % 3], "s"))
+                for i in range(3)
             ]
             while (await t.views())[one.name].at("drain", "streams") != 3:
                 await asyncio.sleep(0.02)
@@ -232,26 +235,26 @@
                 and view.at("drain", "late")
                 and not view.serving
             )
-            assert (await front.ask("late", "stock-booking", "s")).end == "refused"
+            assert (await front.send_request("late", "stock-booking", "s")).outcome == "refused"
             for replica in t.site.fleet.replicas.values():
-                replica.hold.set()
+                replica.streams_may_continue.set()
             report = await t.controller.order(
                 "drain", [one], 10.0, {"notice_ms": 0}, regardless=True
             )
             await t.reported(report, done=1)
-            assert [(await stream).end for stream in streams] == ["served"] * 3
+            assert [(await stream).outcome for stream in streams] == ["served"] * 3
             await t.reported(await t.controller.order("undrain", [one], 5.0, {}), done=1)
-            assert (await front.ask("again", "part-lookup", "s")).end == "served"
+            assert (await front.send_request("again", "part-lookup", "s")).outcome == "served"
             for replica in t.site.fleet.replicas.values():
-                replica.hold.clear()
-            stream = asyncio.create_task(front.ask("cut", "stock-booking", "s"))
+                replica.streams_may_continue.clear()
+            stream = asyncio.create_task(front.send_request("cut", "stock-booking", "s"))
             while (await t.views())[one.name].at("drain", "streams") != 1:
                 await asyncio.sleep(0.02)
             options = {"notice_ms": 0, "force": True}
             report = await t.controller.order("drain", [one], 0.2, options)
             await t.reported(report, done=1)
             assert report.tally.outcomes()[one.name].reason == "forced: 1 cut short"
-            assert (await stream).end == "broken"
+            assert (await stream).outcome == "broken"
             assert two.name not in report.tally.outcomes() and not breaches(t.trace)
 
     run(go)
@@ -266,10 +269,10 @@
             assert host.process is not None
             before = {name: view.at("launch") for name, view in (await t.views()).items()}
             for replica in t.site.fleet.replicas.values():
-                replica.hold.clear()
+                replica.streams_may_continue.clear()
             front = FrontLayer(t.trace, {one.name: t.site.ports[one.name]})
             front.ready.add(one.name)
-            stream = asyncio.create_task(front.ask("r1", "shift-summary", "s"))
+            stream = asyncio.create_task(front.send_request("r1", "shift-summary", "s"))
             while (await t.views())[one.name].at("drain", "streams") != 1:
                 await asyncio.sleep(0.02)
             order = asyncio.create_task(t.controller.order("restart", [one], 6.0, {"notice_ms": 0}))
@@ -283,9 +286,9 @@
             direct = FrontLayer(t.trace, {two.name: t.site.ports[two.name]})
             direct.ready.add(two.name)
             for replica in t.site.fleet.replicas.values():
-                replica.hold.set()
-            assert (await stream).end == "served", "the instances serve on without their agent"
-            assert (await direct.ask("r2", "stock-booking", "s")).end == "served"
+                replica.streams_may_continue.set()
+            assert (await stream).outcome == "served", "the instances serve on without their agent"
+            assert (await direct.send_request("r2", "stock-booking", "s")).outcome == "served"
             await t.site.start(host)
             await t.reported(await order, unknown=1)
             while (found := await t.views())[two.name].live is None:
@@ -308,7 +311,7 @@
     async def go() -> None:
         async with trial(tmp_path, limits=SLOW) as t:
             for name in t.site.ports:
-                t.site.config(name, {"sockets": 700})
+                t.site.write_instance_config(name, {"sockets": 700})
             tool = await asyncio.create_subprocess_exec(
                 *(
                     sys.executable,
@@ -360,7 +363,7 @@
     async def go() -> None:
         async with trial(tmp_path, limits=SLOW) as t:
             for name in t.site.ports:
-                t.site.config(name, {"sockets": 600})
+                t.site.write_instance_config(name, {"sockets": 600})
             first: list[str] = []
 
             def told(what: str, detail: Any) -> None:
@@ -374,7 +377,7 @@
             )
             while not first:
                 await asyncio.sleep(0.02)
-            t.site.config(first[0])  # the old file is back, and its instance dies
+            t.site.write_instance_config(first[0])  # the old file is back, and its instance dies
             os.kill(await t.pid(first[0]), signal.SIGKILL)
             await t.controller.abort_rollout("", "seen enough")
             id, report = await running
@@ -398,7 +401,7 @@
             await t.reported(await t.controller.survey(t.fleet.members, 0.5), done=4, unknown=2)
             assert loop.time() - began_s < 4.0, "two silent instances cost one deadline of 0.5 s"
             for name in t.site.ports:
-                t.site.config(name, {"sockets": 500})
+                t.site.write_instance_config(name, {"sockets": 500})
             report = await t.controller.order("reload", t.fleet.members, 1.0, {})
             await t.reported(report, done=4, unknown=2)
             assert "it may have arrived" in report.tally.outcomes()["santo-amaro-1"].reason
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -48,7 +48,7 @@
 from onyxpass.fleet.selector import SelectorError, parse, select
 from onyxpass.history_checkers.trace import Trace, What, breaches
 from onyxpass.scheduling import contract
-from onyxpass.testbed.replicas import Speed, StandinReplica, States
+from onyxpass.testbed.replicas import PrefillStates, Speed, StandinReplica
 
 ROOT = Path(__file__).parent.parent
 FLEET = """name = "f"
@@ -443,7 +443,7 @@
     """
 
     async def go() -> None:
-        trace, states = Trace(), States()
+        trace, states = Trace(), PrefillStates()
         for role, ends in (("read", b"}"), ("write", b"0\r\n\r\n")):
             replica = StandinReplica(f"{role}r", role, trace, states, Speed(0.0, 0.0, 0.0))
             await replica.start()
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -37,7 +37,7 @@
 from onyxpass.store.leases import LEASE_KEY_PREFIX, LeaseStore
 from onyxpass.store.redis import StoreUnavailableError
 from onyxpass.testbed.link import Link
-from onyxpass.testbed.store import Fault
+from onyxpass.testbed.store import StoreFault
 
 OPEN = LeaseRecord(token=3, holder="last", expires_at_ms=0, store_run_id="r")
 SMALL = SearchBounds(duration_ms=175, max_states=15_000)
@@ -361,7 +361,7 @@
     async def go() -> None:
         server = await RespStore().start()
         store = await opened(server)
-        server.faults = [Fault.LOST]
+        server.faults = [StoreFault.LOST]
         with pytest.raises(StoreUnavailableError):
             await store.execute("l", AcquireRequest("a", 5000))
         held = parse_record(server.data[LEASE_KEY_PREFIX + "l"])
@@ -374,8 +374,8 @@
     run(go)
 
 
-@pytest.mark.parametrize("fault", [Fault.REFUSED, Fault.LOADING, Fault.READONLY])
-def test_what_the_store_refuses_is_no_answer_and_changes_nothing(fault: Fault) -> None:
+@pytest.mark.parametrize("fault", [StoreFault.REFUSED, StoreFault.LOADING, StoreFault.READONLY])
+def test_what_the_store_refuses_is_no_answer_and_changes_nothing(fault: StoreFault) -> None:
     async def go() -> None:
         server = await RespStore().start()
         store = await opened(server)
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -182,10 +182,10 @@
     try:
         message = rpc.parse(line)
     except rpc.RpcError as problem:
-        assert problem.code in (rpc.PARSE, rpc.INVALID, rpc.BAD_PARAMS)
+        assert problem.code in (rpc.PARSE_ERROR, rpc.INVALID_REQUEST, rpc.INVALID_PARAMS)
         assert rpc.parse(rpc.error(problem.id, problem)).id == problem.id  # type: ignore[union-attr]
     else:
-        assert isinstance(message, rpc.Call | rpc.Reply)
+        assert isinstance(message, rpc.RpcRequest | rpc.RpcResponse)
 
 
 VALUES = st.text(st.characters(codec=None), max_size=4) | st.sampled_from(["light", "once"]) | JSON
@@ -214,7 +214,7 @@
     try:
         client = front._generate(1, given, Connection(None, None, {}))  # type: ignore[arg-type]
     except rpc.RpcError as problem:
-        assert problem.code in (rpc.BAD_PARAMS, rpc.INVALID)
+        assert problem.code in (rpc.INVALID_PARAMS, rpc.INVALID_REQUEST)
     else:
         assert client.request is not None
         client.has_disconnected = lambda: False  # type: ignore[method-assign]
@@ -226,7 +226,7 @@
 def test_cuts_of_json_rpc_lines_change_nothing(text: str, places: list[int]) -> None:
     async def go() -> list[bytes]:
         reader = asyncio.StreamReader(limit=rpc.LINE_LIMIT)
-        for part in cut(rpc.notice("text", {"text": text}) * 2 + b'{"cut off', places):
+        for part in cut(rpc.notification("text", {"text": text}) * 2 + b'{"cut off', places):
             reader.feed_data(part)
         reader.feed_eof()
         lines = []
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -71,7 +71,7 @@
     found = service.load(ROOT / "deploy" / "toolcalls.toml")
     assert [s.id for s, _ in found.servers] == ["reader-1", "writer-1"]
     with pytest.raises(ConfigError, match="loopback"):
-        service.loopback("10.0.0.1:80")
+        service.parse_loopback_address("10.0.0.1:80")
 
 
 async def started(
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -40,9 +40,9 @@
 from onyxpass.sources.schema import GuardsTable, SourcesFile, WatchedFile
 from onyxpass.sources.validation import Accepted, Refused, Same, judge
 from onyxpass.sources.weight_ramp import Ramp
-from onyxpass.testbed.client import ask
+from onyxpass.testbed.client import send_request
 from onyxpass.testbed.replicas import Speed, StandinFleet
-from onyxpass.testbed.settings import SETTINGS, dispatcher_file
+from onyxpass.testbed.settings import SETTINGS, dispatcher_config
 from onyxpass.toolcalls import service
 from onyxpass.toolcalls.service import ToolcallService
 from tests.support.dispatcher_bed import HandClock
@@ -573,7 +573,7 @@
             'watch = ["servers.d"]\nsettle_s = 0.004\nleave_s = 0.004\nramp_s = 0.2\n'
             f'snapshot = "snap"\n{guards}'
         )
-        raw = {**dispatcher_file("d", "127.0.0.1:0", fleet), "discovery": ""}
+        raw = {**dispatcher_config("d", "127.0.0.1:0", fleet), "discovery": ""}
         config: Config = replace(parse(raw, {"ONYXPASS_SERVERS": str(tmp_path / "sources.toml")}))
         with structlog.testing.capture_logs() as lines:
             dispatcher = DispatcherProcess(config)
@@ -589,7 +589,7 @@
                     count += 1
                     traffic_class = ("part-lookup", "shift-summary", "stock-booking")[count % 3]
                     address = ("127.0.0.1", dispatcher.front.port)
-                    await ask(
+                    await send_request(
                         fleet.trace, address, f"c{number}-{count}", traffic_class, f"s{number}", 8
                     )
 
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -19,7 +19,7 @@
 from onyxpass.fleet.runner import ChangeOrder
 from onyxpass.history_checkers import history
 from onyxpass.history_checkers.history import Line
-from onyxpass.testbed.process_trial import Together, drawn, play, together
+from onyxpass.testbed.process_trial import ProcessTrial, draw_schedule, process_trial, run_schedule
 
 
 def changed(lines: list[Line], holder: str) -> int:
@@ -28,7 +28,7 @@
 
 def test_a_tool_that_was_stopped_and_wakes_changes_nothing(tmp_path: Path) -> None:
     async def go() -> None:
-        async with together(tmp_path) as t:
+        async with process_trial(tmp_path) as t:
             await t.start("a")
             await until(lambda: t.seen("begin"), 60)
             await t.start("b")
@@ -60,23 +60,23 @@
     it.
     """
 
-    async def strike(t: Together, older: dict[str, str]) -> None:
+    async def strike(t: ProcessTrial, older: dict[str, str]) -> None:
         match fault:
             case "cut":
                 t.links["a"].cut()
             case "killed":
                 t.tools["a"].kill()
             case "store paused":
-                t.store.going.clear()
+                t.store.running.clear()
                 await until(lambda: t.seen("lost", "tool-a"), 60)
-                t.store.going.set()
+                t.store.running.set()
             case "store empty":
                 await t.store.restart()
             case "store older":
                 await t.store.restart(older)
 
     async def go() -> None:
-        async with together(tmp_path) as t:
+        async with process_trial(tmp_path) as t:
             older = t.store.snapshot()
             await t.start("a")
             await until(lambda: t.seen("begin"), 60)
@@ -107,7 +107,7 @@
     async def go() -> None:
         monkeypatch.setattr(RolloutLeases, "proof_for", believes)
         monkeypatch.setattr("onyxpass.fleet.runner.RolloutRunner.abort", lambda self, reason: None)
-        async with together(tmp_path) as t:
+        async with process_trial(tmp_path) as t:
             controller = FleetController(fleet_config.load(tmp_path / "fleet-a.toml"))
             members = controller.fleet.members
             rollout = asyncio.create_task(
@@ -129,8 +129,8 @@
 
 
 def test_a_schedule_is_the_same_for_its_seed_and_many_seeds_draw_all_faults() -> None:
-    assert drawn(5) == drawn(5) != drawn(6)
-    assert len({strike.what for seed in range(40) for strike in drawn(seed)}) == 13
+    assert draw_schedule(5) == draw_schedule(5) != draw_schedule(6)
+    assert len({strike.kind for seed in range(40) for strike in draw_schedule(seed)}) == 13
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -141,10 +141,10 @@
 
     async def go() -> None:
         try:
-            await play(tmp_path, seed)
+            await run_schedule(tmp_path, seed)
         except AssertionError as problem:
             raise AssertionError(
-                "\n".join([str(problem), *(s.told() for s in drawn(seed))])
+                "\n".join([str(problem), *(s.describe() for s in draw_schedule(seed))])
             ) from problem
 
     run(go)
--- a/tests/test_toolcalls.py
+++ b/tests/test_toolcalls.py
@@ -91,7 +91,7 @@
             ]
             assert [r["result"] for x in w.writers for r in x.results] == [{"booked": 1}]
             w.no_call_twice(1)
-            await st.until(lambda: w.store.calls()["r1:c1"]["state"] == "done")
+            await st.until(lambda: w.store.recorded_calls()["r1:c1"]["state"] == "done")
             assert w.store.ttl["onyxpass:call:r1:c1"] == 86400
             assert len([r for r in client.responses if r.get("id") == 1]) == 1
 
@@ -115,8 +115,8 @@
             assert error["code"] == rpc.UNKNOWN
             assert error["data"]["calls"] == [{"call": "c1", "name": "book_out", "state": "sent"}]
             w.ledger.release.set()  # the late result is recorded
-            await st.until(lambda: w.store.calls()["r1:c1"]["state"] == "done")
-            assert w.store.calls()["r1:c1"]["result"] == {"booked": 1}
+            await st.until(lambda: w.store.recorded_calls()["r1:c1"]["state"] == "done")
+            assert w.store.recorded_calls()["r1:c1"]["result"] == {"booked": 1}
             assert w.writes == 1, "no new attempt"
             w.no_call_twice(1)
             assert [r.get("id") for r in client.responses] == [1]
@@ -147,10 +147,10 @@
             await st.until(lambda: w.ledger.notes)
             assert w.ledger.notes[0]["method"] == "notifications/cancelled"
             assert w.ledger.notes[0]["params"]["requestId"] == "r1:c1"
-            await st.until(lambda: w.store.calls()["r1:c1"].get("withdrawn"))
+            await st.until(lambda: w.store.recorded_calls()["r1:c1"].get("withdrawn"))
             w.ledger.release.set()
-            await st.until(lambda: w.store.calls()["r1:c1"]["state"] == "done")
-            assert w.store.calls()["r1:c1"]["withdrawn"] is True
+            await st.until(lambda: w.store.recorded_calls()["r1:c1"]["state"] == "done")
+            assert w.store.recorded_calls()["r1:c1"]["withdrawn"] is True
             await st.until(lambda: not w.service.core.registry.by_number)
             assert w.writes == 1
             w.no_call_twice(1)
@@ -176,7 +176,7 @@
             for id in (1, 2):
                 client.generate(id, request="r1")
                 assert (await client.response(id))["result"]["calls"][0]["state"] == "done"
-                await st.until(lambda: w.store.calls()["r1:c1"]["state"] == "done")
+                await st.until(lambda: w.store.recorded_calls()["r1:c1"]["state"] == "done")
             assert [r["result"] for x in w.writers for r in x.results] == [{"booked": 1}] * 2
             w.no_call_twice(1)
 
@@ -208,7 +208,7 @@
     async def go() -> None:
         async with world(st.call("c1"), st.say("ok")) as w:
             for reader in w.readers:
-                reader.ends = [{"error": {"code": rpc.INTERNAL, "message": "fault"}}]
+                reader.ends = [{"error": {"code": rpc.INTERNAL_ERROR, "message": "fault"}}]
             client = await w.client()
             client.generate(1, request="r1", traffic_class="part-lookup")
             assert "result" in await client.response(1)
@@ -257,7 +257,7 @@
             answer = await client.response("slow")
             assert answer["result"]["calls"][0]["state"] == "unknown"
             w.ledger.release.set()  # a late result is recorded all the same
-            await st.until(lambda: w.store.calls()["slow:c1"]["state"] == "done")
+            await st.until(lambda: w.store.recorded_calls()["slow:c1"]["state"] == "done")
             w.ledger.garbage = True
             client.generate("garbage", request="garbage")
             assert (await client.response("garbage"))["result"]["calls"][0]["state"] == "unknown"
@@ -298,7 +298,9 @@
                 w.no_call_twice(1)
             else:  # it ended before the claim: then the call is not made at all
                 assert error["code"] == rpc.FAILED
-                await st.until(lambda: w.store.calls().get("r1:c1", {}).get("state") == "not made")
+                await st.until(
+                    lambda: w.store.recorded_calls().get("r1:c1", {}).get("state") == "not made"
+                )
                 w.no_call_twice(0)
             assert w.writes == 1
 
@@ -314,7 +316,7 @@
             states = [c["state"] for c in (await client.response(1))["result"]["calls"]]
             assert states == ["done", "error"]
             results = [r for x in w.writers for r in x.results]
-            assert results[1]["id"] is None and results[1]["error"]["code"] == rpc.INVALID
+            assert results[1]["id"] is None and results[1]["error"]["code"] == rpc.INVALID_REQUEST
             assert results[2]["error"] == {"code": -32602, "message": "no such tool"}
             w.no_call_twice(2)
 
@@ -343,19 +345,19 @@
 
 def test_what_a_client_may_get_wrong_has_its_code() -> None:
     cases: list[tuple[bytes, int, object]] = [
-        (b"{", rpc.PARSE, None),
-        (b"\xff\xfe", rpc.PARSE, None),
-        (b'{"jsonrpc":"2.0","id":1,"method":"generate","params":{"x":NaN}}', rpc.PARSE, None),
-        (b"[" * 20000, rpc.PARSE, None),
-        (b"[]", rpc.INVALID, None),
-        (b'{"id":2,"method":"generate"}', rpc.INVALID, 2),
-        (b'{"jsonrpc":"2.0","id":true,"method":"generate"}', rpc.INVALID, None),
-        (b'{"jsonrpc":"2.0","id":3,"method":"nothing"}', rpc.NO_METHOD, 3),
-        (b'{"jsonrpc":"2.0","id":4,"method":"generate"}', rpc.BAD_PARAMS, 4),
-        (b'{"jsonrpc":"2.0","id":5,"method":"generate","params":[1]}', rpc.BAD_PARAMS, 5),
+        (b"{", rpc.PARSE_ERROR, None),
+        (b"\xff\xfe", rpc.PARSE_ERROR, None),
+        (b'{"jsonrpc":"2.0","id":1,"method":"generate","params":{"x":NaN}}', rpc.PARSE_ERROR, None),
+        (b"[" * 20000, rpc.PARSE_ERROR, None),
+        (b"[]", rpc.INVALID_REQUEST, None),
+        (b'{"id":2,"method":"generate"}', rpc.INVALID_REQUEST, 2),
+        (b'{"jsonrpc":"2.0","id":true,"method":"generate"}', rpc.INVALID_REQUEST, None),
+        (b'{"jsonrpc":"2.0","id":3,"method":"nothing"}', rpc.METHOD_NOT_FOUND, 3),
+        (b'{"jsonrpc":"2.0","id":4,"method":"generate"}', rpc.INVALID_PARAMS, 4),
+        (b'{"jsonrpc":"2.0","id":5,"method":"generate","params":[1]}', rpc.INVALID_PARAMS, 5),
         (
             b'{"jsonrpc":"2.0","id":6,"method":"generate","params":{"class":"?","prompt":""}}',
-            rpc.BAD_PARAMS,
+            rpc.INVALID_PARAMS,
             6,
         ),
     ]
@@ -373,14 +375,14 @@
             client.generate(7, request="two")
             assert (await client.response(None))["error"]["code"]
             client.generate(8, request="one")
-            assert (await client.response(8))["error"]["code"] == rpc.INVALID
+            assert (await client.response(8))["error"]["code"] == rpc.INVALID_REQUEST
             st.put(client.writer, id=99, result={})  # a response to nothing is passed over
             st.put(client.writer, method="cancel", params={"id": 12345})
             st.put(client.writer, id=9, method="ping")
             await client.response(9)
             client.writer.write(b"x" * (rpc.LINE_LIMIT + 10) + b"\n")
             await st.until(lambda: client.closed)
-            assert client.responses[-1]["error"]["code"] == rpc.INVALID
+            assert client.responses[-1]["error"]["code"] == rpc.INVALID_REQUEST
             await st.until(lambda: not w.service.core.registry.by_number)
 
     run(go)
@@ -409,7 +411,7 @@
     async def go() -> None:
         async with world(st.say("a")) as w:
             for reader in w.readers:
-                reader.ends += [{"error": {"code": rpc.BAD_PARAMS, "message": "no"}}] * 4
+                reader.ends += [{"error": {"code": rpc.INVALID_PARAMS, "message": "no"}}] * 4
             client = await w.client()
             for i in range(4):
                 client.generate(i)
@@ -423,7 +425,7 @@
 def test_silent_clients_make_room_and_open_requests_do_not() -> None:
     async def go() -> None:
         async with world(st.call("c1", wait=False), st.hold_on) as w:
-            w.service.front.most = 2  # type: ignore[attr-defined]
+            w.service.front.max_connections = 2  # type: ignore[attr-defined]
             silent = [await w.client() for _ in range(4)]
             held = [await w.client() for _ in range(2)]
             for client in held:
