--- a/onyxpass/faultshim/__init__.py
+++ b/onyxpass/faultshim/__init__.py
@@ -1,3 +1,4 @@
-"""System calls, clocks and disks that fail as Linux documents, in processes of our own; off in
-``run``.
+"""Failures of system calls, disks and the wall clock as Linux documents them, for tests.
+
+A process is affected only if it is started with the fault library preloaded.
 """
--- a/onyxpass/faultshim/control.py
+++ b/onyxpass/faultshim/control.py
@@ -1,7 +1,7 @@
-"""The control block of the fault library: which calls of a process fail from now on, and how.
+"""The control block of the fault library: which system calls of a process fail, and how.
 
-The block is a small file that the process under test maps (``faults.c``), so faults begin and end
-while it runs. Nothing here is loaded by a dispatcher.
+The block is a small file that the process under test maps (``faults.c``), so that faults can begin
+and end while it runs. A dispatcher does not import this module.
 """
 
 import ctypes
@@ -16,15 +16,15 @@
 from pathlib import Path
 
 SOURCE = Path(__file__).with_name("faults.c")
-VARIABLE = "ONYXPASS_FAULTS"
-RULES = 32
-SHORT_TRANSFER = -1  # in place of an errno: a read or write of one byte
-UNLIMITED = -1
-NS = 1_000_000_000
+CONTROL_FILE_VARIABLE = "ONYXPASS_FAULTS"
+MAX_RULES = 32
+SHORT_TRANSFER = -1  # in place of an errno: the call transfers one byte
+UNLIMITED = -1  # for ``ForcedFault.times``
+NS_PER_S = 1_000_000_000
 
 
 class SystemCall(IntEnum):
-    """The calls that can be made to fail."""
+    """The system calls that can be forced to fail."""
 
     ACCEPT = 1
     CONNECT = 2
@@ -39,8 +39,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ForcedFault:
-    """``error``: an errno, or ``SHORT_TRANSFER``. ``times``: how often at most; negative:
-    without end.
+    """A fault of one system call.
+
+    ``error`` is an errno or ``SHORT_TRANSFER``. Each call fails with a probability of
+    ``per_thousand`` / 1000, up to ``times`` calls in all; a negative number sets no bound.
     """
 
     call: SystemCall
@@ -62,7 +64,7 @@
         ("call", ctypes.c_uint32),
         ("error", ctypes.c_int32),
         ("per_thousand", ctypes.c_uint32),
-        ("left", ctypes.c_int32),
+        ("remaining", ctypes.c_int32),
     )
 
 
@@ -73,30 +75,33 @@
         ("seed", ctypes.c_uint64),
         ("draws", ctypes.c_uint64),
         ("forced", ctypes.c_uint64 * (len(SystemCall) + 1)),
-        ("rules", _Rule * RULES),
+        ("rules", _Rule * MAX_RULES),
     )
 
 
 class NoCompilerError(RuntimeError):
-    """There is no C compiler on this machine, so the library can't be built."""
+    """There is no C compiler on this machine, so the library cannot be built."""
 
 
 def build_library(folder: Path) -> Path:
-    """Compile the library into ``folder`` once; NoCompilerError where there is no ``cc``."""
+    """Compile the library into ``folder``, unless it is there, and return its path.
+
+    Raises NoCompilerError if there is no ``cc``.
+    """
     library = folder / "faults.so"
     if library.exists():
         return library
     if (compiler := shutil.which("cc")) is None:
         raise NoCompilerError("no C compiler (cc) was found")
-    fresh = library.with_suffix(f".{os.getpid()}.new")
-    command = [compiler, "-O2", "-shared", "-fPIC", "-o", str(fresh), str(SOURCE), "-ldl"]
+    temporary = library.with_suffix(f".{os.getpid()}.new")
+    command = [compiler, "-O2", "-shared", "-fPIC", "-o", str(temporary), str(SOURCE), "-ldl"]
     subprocess.run(command, check=True)
-    fresh.replace(library)
+    temporary.replace(library)
     return library
 
 
 class FaultControl:
-    """The faults of one process; its file must outlive the process."""
+    """Controls the faults of one process; the file of the block must outlive the process."""
 
     def __init__(self, library: Path, path: Path, seed: int = 1) -> None:
         self.library, self.path = library, path
@@ -108,30 +113,30 @@
 
     @property
     def environment(self) -> Mapping[str, str]:
-        """The variables that a child process needs to be under this control."""
-        return {"LD_PRELOAD": str(self.library), VARIABLE: str(self.path)}
+        """The environment variables that put a child process under this control."""
+        return {"LD_PRELOAD": str(self.library), CONTROL_FILE_VARIABLE: str(self.path)}
 
     def step_wall_clock(self, seconds: float) -> None:
-        """Put the wall clock so far from the true time, at once; the monotonic clock runs on."""
-        self._block.wall_offset_ns = round(seconds * NS)
+        """Set the offset of the wall clock from the true time; the monotonic clock is unaffected."""
+        self._block.wall_offset_ns = round(seconds * NS_PER_S)
 
     def delay_sends(self, seconds: float) -> None:
-        """Hold the process up for so long before each write to a socket."""
-        self._block.send_delay_ns = round(seconds * NS)
+        """Delay each send on a network socket by this time, which blocks the calling thread."""
+        self._block.send_delay_ns = round(seconds * NS_PER_S)
 
     def force(self, *faults: ForcedFault) -> None:
-        """Just these calls fail from now on; those forced before do no more."""
+        """Force these faults from now on, in place of all earlier ones."""
         for rule in self._block.rules:
-            rule.left = 0
+            rule.remaining = 0
         for rule, fault in zip(self._block.rules, faults, strict=False):
             rule.call, rule.error, rule.per_thousand = fault.call, fault.error, fault.per_thousand
-            rule.left = fault.times
+            rule.remaining = fault.times
 
     def clear(self) -> None:
-        """No fault at all; a stepped wall clock stays where it is."""
+        """End all forced faults and delays; the offset of the wall clock stays."""
         self.force()
         self.delay_sends(0)
 
     def count(self, call: SystemCall) -> int:
-        """How many of these calls have been made to fail so far."""
+        """Return how many of these calls have been forced to fail so far."""
         return int(self._block.forced[call])
--- a/onyxpass/hollow/__init__.py
+++ b/onyxpass/hollow/__init__.py
@@ -1,3 +1,1 @@
-"""Hollow parties for trials of scale: a dispatcher's real code without its traffic, many in one
-process.
-"""
+"""Hollow dispatchers for scale tests: a dispatcher's code without its traffic, many in one process."""
--- a/onyxpass/hollow/dispatchers.py
+++ b/onyxpass/hollow/dispatchers.py
@@ -1,6 +1,4 @@
-"""Hollow dispatchers: each keeps its real watch on the list and has its real module, but serves
-nobody.
-"""
+"""Hollow dispatchers: each has the real core and watches the endpoint list, but serves no clients."""
 
 import asyncio
 from collections.abc import Mapping
@@ -15,9 +13,7 @@
 
 
 class NoReplicas:
-    """Stands where connections to replicas would be: the list is told to it and nothing is
-    opened.
-    """
+    """Takes the place of the replicas' connections: records addresses and opens nothing."""
 
     def __init__(self) -> None:
         self.known: dict[str, Address] = {}
@@ -33,17 +29,17 @@
 
 
 class HollowDispatcher:
-    """One dispatcher's module and its list actor over a socket of its own."""
+    """One dispatcher's core and its endpoint watcher, which has a connection of its own."""
 
     def __init__(
         self, settings: contract.Settings, discovery: Address, clock: Clock, wheel: TimerWheel
     ) -> None:
         self.core = RequestDispatcher(settings, settings.ordinal, clock, wheel)
-        self.list = EndpointWatcher(self.core, NoReplicas(), discovery, settings.ordinal)  # type: ignore[arg-type]
+        self.watcher = EndpointWatcher(self.core, NoReplicas(), discovery, settings.ordinal)  # type: ignore[arg-type]
         self.tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        for work in (self.core.run(), self.list.run(), self.list.follow()):
+        for work in (self.core.run(), self.watcher.run(), self.watcher.follow()):
             self.tasks.append(asyncio.create_task(work))
 
     def stop(self) -> None:
@@ -52,12 +48,12 @@
 
     @property
     def version(self) -> int:
-        """Of the list that is in force here; -1 before the first."""
-        return -1 if self.list.seq is None else self.list.seq
+        """The version of the endpoint list in force; -1 before the first list."""
+        return -1 if self.watcher.seq is None else self.watcher.seq
 
 
 class HollowFleet:
-    """Hollow dispatchers in one process, on one clock and one wheel."""
+    """Hollow dispatchers in one process, with a common clock and timer wheel."""
 
     def __init__(self, settings: contract.Settings, discovery: Address, count: int) -> None:
         self.clock = Clock()
@@ -79,7 +75,7 @@
             member.start()
 
     def count_at_version(self, version: int) -> int:
-        """How many have this version of the list, or a newer one, in force."""
+        """Return how many dispatchers have this version of the list, or a newer one, in force."""
         return sum(member.version >= version for member in self.members)
 
     def stop(self) -> None:
--- a/onyxpass/testbed/__init__.py
+++ b/onyxpass/testbed/__init__.py
@@ -1,5 +1,5 @@
-"""Stand-ins for what onyxpass talks to, written from the public specifications, on loopback
-addresses only.
+"""Stand-ins for the services that onyxpass talks to, on loopback addresses only.
 
-They are for trials, demonstrations and tests: each counts what reaches it, and can be told to fail.
+They are written from the public specifications, for trials, demonstrations and tests. They record
+what reaches them and can inject faults.
 """
--- a/onyxpass/testbed/cli.py
+++ b/onyxpass/testbed/cli.py
@@ -1,4 +1,4 @@
-"""``onyxpass standin``: stand-ins as programs, and the demonstration."""
+"""The commands of ``onyxpass standin``: stand-ins as programs, and a demonstration."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -12,7 +12,7 @@
 Port = Annotated[int, typer.Option("--port", min=0, max=65535, help="0: a free one.")]
 
 
-async def _for_ever() -> None:
+async def _wait_forever() -> None:
     await asyncio.Event().wait()
 
 
@@ -24,7 +24,7 @@
     async def serve() -> None:
         server = await RespStore(port).start()
         typer.echo(f"redis://{server.address}/0")
-        await _for_ever()
+        await _wait_forever()
 
     _run(serve())
 
@@ -43,7 +43,7 @@
         made = StandinFleet(readers, writers, speed=Speed(token_s=token_ms / 1000), port=port)
         await made.start()
         typer.echo(f"discovery: {made.discovery.address}; {readers} readers, {writers} writers")
-        await _for_ever()
+        await _wait_forever()
 
     _run(serve())
 
--- a/onyxpass/testbed/client.py
+++ b/onyxpass/testbed/client.py
@@ -1,6 +1,4 @@
-"""A stand-in client of the platform's front: one request a connection, its answer put on the
-trace.
-"""
+"""A stand-in for clients of the platform: one request per connection, recorded in a trace."""
 
 import asyncio
 import json
@@ -31,11 +29,12 @@
     max_out: int = 40,
     timeout_ms: int = 6000,
 ) -> ClientResult:
-    """Ask once and never again. What has no whole answer is ``broken``; so is one whose stream
-    was cut.
+    """Send a request once, without retries, and return its outcome.
+
+    The outcome is ``broken`` if no complete answer arrives, for example if its stream is cut.
     """
     trace.classes[request] = traffic_class
-    text = json.dumps(
+    body = json.dumps(
         {"model": traffic_class, "stream": True, "max_tokens": max_out, "messages": []}
     ).encode()
     headers = [
@@ -45,29 +44,33 @@
         ("x-route-key", session),
         ("x-timeout-ms", str(timeout_ms)),
         ("x-attrs", f"prefix=p-{session},prompt_len=400,prefix_len=200,max_out={max_out}"),
-        ("content-length", str(len(text))),
+        ("content-length", str(len(body))),
         ("connection", "close"),
     ]
-    status, size, end = 0, 0, "broken"
+    status, events, outcome = 0, 0, "broken"
     writer: asyncio.StreamWriter | None = None
     trace.put(What.ASKED, request)
     try:
         async with asyncio.timeout(CLIENT_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(*address)
-            wire = h11.Connection(h11.CLIENT)
+            connection = h11.Connection(h11.CLIENT)
             head = h11.Request(method="POST", target="/v1/chat/completions", headers=headers)
-            parts = [wire.send(head), wire.send(h11.Data(data=text)), wire.send(h11.EndOfMessage())]
+            parts = [
+                connection.send(head),
+                connection.send(h11.Data(data=body)),
+                connection.send(h11.EndOfMessage()),
+            ]
             writer.writelines([part for part in parts if part])
             while True:
-                event = wire.next_event()
+                event = connection.next_event()
                 if event is h11.NEED_DATA:
-                    wire.receive_data(await reader.read(65_536))
+                    connection.receive_data(await reader.read(65_536))
                 elif isinstance(event, h11.Response):
                     status = event.status_code
                 elif isinstance(event, h11.Data):
-                    size += bytes(event.data).count(b"data: ")
+                    events += bytes(event.data).count(b"data: ")
                 elif isinstance(event, h11.EndOfMessage):
-                    end = (
+                    outcome = (
                         "served"
                         if status == 200
                         else "refused"
@@ -78,9 +81,9 @@
                 else:
                     break
     except (OSError, TimeoutError, h11.ProtocolError):
-        end = "broken"
+        outcome = "broken"
     finally:
         if writer is not None:
             writer.close()
-        trace.put(What.ANSWERED, request, detail=end)
-    return ClientResult(request, end, status, size)
+        trace.put(What.ANSWERED, request, detail=outcome)
+    return ClientResult(request, outcome, status, events)
--- a/onyxpass/testbed/configuration.py
+++ b/onyxpass/testbed/configuration.py
@@ -1,6 +1,4 @@
-"""A trial of the desired configuration: real nodes in two regions, links between them that can
-be cut.
-"""
+"""A trial of the desired configuration: real nodes in two regions, with links that can be cut."""
 
 import asyncio
 import json
@@ -31,7 +29,7 @@
 
 @dataclass(slots=True)
 class Member:
-    """One node: its file, its port and its process, if it runs."""
+    """A node or an agent: its file, its port and its process, once it was started."""
 
     name: str
     file: Path
@@ -41,15 +39,16 @@
 
 @dataclass(slots=True)
 class ConfigurationTrial:
-    """``controls`` and ``hosts``: in each region. A relay follows its region, then the other
-    one.
+    """Nodes as processes; ``controls`` and ``hosts`` count those of each region.
+
+    A relay's upstreams are the control nodes of its own region, then those of the other region.
     """
 
     folder: Path
     controls: int = 1
     hosts: int = 2
     members: dict[str, Member] = field(default_factory=dict)
-    links: list[Link] = field(default_factory=list)  # all that crosses from one region to the other
+    links: list[Link] = field(default_factory=list)  # between the regions
     agents: list[Member] = field(default_factory=list)
     key: str = ""
 
@@ -60,13 +59,17 @@
         ports |= {f"{r}-relay": free_port() for r in REGIONS}
         for region in REGIONS:
             other = REGIONS[1 - REGIONS.index(region)]
-            far = [await self._across(ports[f"{other}-c{n}"]) for n in range(self.controls)]
-            near = [ports[f"{region}-c{n}"] for n in range(self.controls)]
-            for n, port in enumerate(near):
-                self.write(f"{region}-c{n}", "control", port, [p for p in near if p != port] + far)
-            self.write(f"{region}-relay", "relay", ports[f"{region}-relay"], near + far)
+            remote = [await self._link_to(ports[f"{other}-c{n}"]) for n in range(self.controls)]
+            local = [ports[f"{region}-c{n}"] for n in range(self.controls)]
+            for n, port in enumerate(local):
+                self.write_node(
+                    f"{region}-c{n}", "control", port, [p for p in local if p != port] + remote
+                )
+            self.write_node(f"{region}-relay", "relay", ports[f"{region}-relay"], local + remote)
             for n in range(self.hosts):
-                self.write(f"{region}-h{n}", "host", free_port(), [ports[f"{region}-relay"], *near])
+                self.write_node(
+                    f"{region}-h{n}", "host", free_port(), [ports[f"{region}-relay"], *local]
+                )
         for member in self.members.values():
             await self.start(member.name)
         return self
@@ -84,83 +87,85 @@
         for link in self.links:
             await link.stop()
 
-    async def _across(self, port: int) -> int:
+    async def _link_to(self, port: int) -> int:
         link = Link(port)
         await link.start()
         self.links.append(link)
         return link.port
 
-    def write(self, name: str, role: str, port: int, upstreams: list[int], more: str = "") -> None:
-        told = ", ".join(f'"127.0.0.1:{p}"' for p in upstreams)
+    def write_node(
+        self, name: str, role: str, port: int, upstreams: list[int], extra: str = ""
+    ) -> None:
+        addresses = ", ".join(f'"127.0.0.1:{p}"' for p in upstreams)
         text = f'name = "{name}"\nrole = "{role}"\nlisten = "127.0.0.1:{port}"\nkey = "key"\n'
-        text += f'folder = "{name}"\nupstreams = [{told}]\n'
+        text += f'folder = "{name}"\nupstreams = [{addresses}]\n'
         path = self.folder / f"{name}.toml"
-        path.write_text(text + more)
+        path.write_text(text + extra)
         self.members[name] = Member(name, path, port)
 
     async def start(self, name: str) -> None:
         member = self.members[name]
-        words = (sys.executable, "-m", "onyxpass", "desired", "run", "--config", str(member.file))
+        command = (sys.executable, "-m", "onyxpass", "desired", "run", "--config", str(member.file))
         with (self.folder / f"{name}.log").open("ab") as out:
             member.process = await asyncio.create_subprocess_exec(
-                *words, stdout=out, stderr=out, env=dict(os.environ)
+                *command, stdout=out, stderr=out, env=dict(os.environ)
             )
 
     # A host's agent and its dispatchers
 
     async def start_agent(self, name: str, discovery: str, count: int) -> Member:
-        """A real agent over so many real dispatchers."""
+        """Start an agent with ``count`` dispatchers, all as processes."""
         rows = ""
         for n in range(count):
-            base = self.dispatcher_file(f"{name}-d{n}", discovery)
+            base = self.dispatcher_config_text(f"{name}-d{n}", discovery)
             (self.folder / f"{name}-d{n}.json").write_text(base)
             (self.folder / f"{name}-d{n}.base.json").write_text(base)
             rows += f'[[instances]]\nname = "{name}-d{n}"\nkind = "serve"\nconfig = "{name}-d{n}.json"\n'
         member = Member(name, self.folder / f"{name}.toml", free_port())
         head = f'name = "{name}"\nstate = "{name}-state"\nlisten = "127.0.0.1:{member.port}"\nkey = "key"\n'
         member.file.write_text(head + rows)
-        words = (sys.executable, "-m", "onyxpass", "agent", "run", "--config", str(member.file))
+        command = (sys.executable, "-m", "onyxpass", "agent", "run", "--config", str(member.file))
         with (self.folder / f"{name}.log").open("ab") as out:
-            member.process = await asyncio.create_subprocess_exec(*words, stdout=out, stderr=out)
+            member.process = await asyncio.create_subprocess_exec(*command, stdout=out, stderr=out)
         self.agents.append(member)
         return member
 
-    def dispatcher_file(self, name: str, discovery: str) -> str:
+    def dispatcher_config_text(self, name: str, discovery: str) -> str:
         listen = f"127.0.0.1:{free_port()}"
         limits = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
-        told = {
+        config = {
             "name": name,
             "listen": listen,
             "discovery": discovery,
             "seed": "5eed",
             "limits": limits,
         }
-        return json.dumps({**told, "known": {}, "settings": {**SETTINGS, "peersTotal": 1}})
+        return json.dumps({**config, "known": {}, "settings": {**SETTINGS, "peersTotal": 1}})
 
     def write_host(self, name: str, region: str, agent: Member, count: int) -> str:
-        """A host node that brings the state into that agent's dispatchers."""
-        more = f'agent = "127.0.0.1:{agent.port}"\n'
+        """Write a host node that applies the configuration to an agent's dispatchers."""
+        tables = f'agent = "127.0.0.1:{agent.port}"\n'
         for n in range(count):
             d = f"{agent.name}-d{n}"
-            more += f'[[instances]]\nname = "{d}"\nbase = "{d}.base.json"\nconfig = "{d}.json"\n'
+            tables += f'[[instances]]\nname = "{d}"\nbase = "{d}.base.json"\nconfig = "{d}.json"\n'
         relay = self.members[f"{region}-relay"].port
-        self.write(name, "host", free_port(), [relay], more)
+        self.write_node(name, "host", free_port(), [relay], tables)
         return name
 
     async def latency_objectives_us(self, agent: Member) -> list[int]:
-        """The first class's aim that each dispatcher runs on, in microseconds; 0 if on another
-        file.
+        """Return the latency objective of the first class on which each dispatcher runs.
 
-        What runs is told by the instance's own digest, which names all of its configuration.
+        It is 0 for a dispatcher that does not run on its present file, by the instance's own
+        digest, which covers its whole configuration.
         """
         answer = await call_api(
             tcp_opener(Address("127.0.0.1", agent.port)), "GET", "/v1/instances", key=self.key
         )
         found = []
-        for told in answer.body["instances"]:
-            runs_on_it = (told["live"] or {}).get("config", {}).get("digest") == told["file"]
-            file = json.loads((self.folder / f"{told['name']}.json").read_text())
-            found.append(file["settings"]["grades"][0]["promiseUs"] if runs_on_it else 0)
+        for status in answer.body["instances"]:
+            is_in_force = (status["live"] or {}).get("config", {}).get("digest") == status["file"]
+            file = json.loads((self.folder / f"{status['name']}.json").read_text())
+            found.append(file["settings"]["grades"][0]["promiseUs"] if is_in_force else 0)
         return found
 
     async def kill(self, name: str) -> None:
@@ -182,7 +187,7 @@
     async def call(
         self, name: str, method: str, path: str, message: dict[str, Any] | None = None
     ) -> ApiResponse | None:
-        """None where there is no answer."""
+        """Call a node's API; return None if there is no answer."""
         opener = tcp_opener(Address("127.0.0.1", self.members[name].port))
         try:
             return await call_api(opener, method, path, message, key=self.key)
@@ -190,7 +195,7 @@
             return None
 
     async def set_values(self, name: str, **values: Any) -> ApiResponse:
-        """Asked till the node is there; a node of a trial that answers has taken it once."""
+        """Set values at a node, repeated until it answers; a node that answers has set them once."""
         while (answer := await self.call(name, "POST", "/v1/change", {"values": values})) is None:
             await asyncio.sleep(0.05)
         return answer
@@ -204,12 +209,12 @@
         return [name for name in self.members if "-h" in name]
 
     async def wait_until_in_force(
-        self, names: list[str], has: Callable[[dict[str, Any]], bool]
+        self, names: list[str], condition: Callable[[dict[str, Any]], bool]
     ) -> None:
-        """Returns once each of these hosts has such values in force."""
+        """Wait until the values in force at each of these hosts satisfy the condition."""
         while True:
-            told = [await self.state(name) for name in names]
-            if all(t and t["in_force"] == t["digest"] and has(t["values"]) for t in told):
+            states = [await self.state(name) for name in names]
+            if all(s and s["in_force"] == s["digest"] and condition(s["values"]) for s in states):
                 return
             await asyncio.sleep(0.05)
 
@@ -217,9 +222,9 @@
         return rules.read(self.folder.glob("*.log"))
 
     def breaches(self) -> list[str]:
-        words = self.log_entries()
-        found = [*rules.never_back(words), *rules.one_digest(words)]
-        return [*found, *rules.in_force_everywhere(words, self.host_names)]
+        entries = self.log_entries()
+        found = [*rules.never_back(entries), *rules.one_digest(entries)]
+        return [*found, *rules.in_force_everywhere(entries, self.host_names)]
 
     def cut(self) -> None:
         for link in self.links:
@@ -231,7 +236,9 @@
 
     @property
     def cross_region_bytes(self) -> int:
-        return sum(link.to_server.bytes + link.to_client.bytes for link in self.links)
+        return sum(
+            link.to_server.forwarded_bytes + link.to_client.forwarded_bytes for link in self.links
+        )
 
     def state_file(self, name: str) -> Path:
         return self.folder / name / "state.json"
--- a/onyxpass/testbed/demo.py
+++ b/onyxpass/testbed/demo.py
@@ -1,6 +1,4 @@
-"""The demonstration: two dispatchers under an agent, real requests of all classes, every answer
-counted.
-"""
+"""The demonstration: real requests of all classes to two dispatchers under an agent, all counted."""
 
 import asyncio
 import random
@@ -20,12 +18,14 @@
 from onyxpass.testbed.replicas import Speed, StandinFleet
 from onyxpass.testbed.site import Host, Site
 
-READY_S = 15.0
-AT_ONCE = 24
+READY_TIMEOUT_S = 15.0
+MAX_CONCURRENT_REQUESTS = 24
 
 
-async def wait_until_serving(controller: FleetController, limit_s: float = READY_S) -> Report:
-    """The first report in which every instance is seen and serves, or the last one."""
+async def wait_until_serving(
+    controller: FleetController, limit_s: float = READY_TIMEOUT_S
+) -> Report:
+    """Survey until every instance serves, and return that report, or the last one at the time-out."""
     due_s = time.monotonic() + limit_s
     while True:
         report = await controller.survey(controller.fleet.members, 1.0)
@@ -34,15 +34,15 @@
         await asyncio.sleep(0.1)
 
 
-async def load(site: Site, requests: int, seed: int = 1) -> Counter[tuple[str, str]]:
-    """So many requests of all classes, spread over all instances; counted by class and end."""
-    chance, places = random.Random(seed), asyncio.Semaphore(AT_ONCE)
+async def send_load(site: Site, requests: int, seed: int = 1) -> Counter[tuple[str, str]]:
+    """Send requests of all classes to all instances, and count them by class and outcome."""
+    generator, slots = random.Random(seed), asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
     ports = list(site.ports.values())
 
-    async def one(number: int, traffic_class: str, port: int, max_out: int) -> tuple[str, str]:
-        async with places:
+    async def send_one(number: int, traffic_class: str, port: int, max_out: int) -> tuple[str, str]:
+        async with slots:
             session = f"session-{number % 40}"
-            answer = await send_request(
+            result = await send_request(
                 site.fleet.trace,
                 ("127.0.0.1", port),
                 f"r{number:05}",
@@ -50,14 +50,14 @@
                 session,
                 max_out,
             )
-            return traffic_class, answer.outcome
+            return traffic_class, result.outcome
 
     work = [
-        one(
+        send_one(
             number,
             CLASSES[number % len(CLASSES)],
             ports[number % len(ports)],
-            chance.randrange(20, 80),
+            generator.randrange(20, 80),
         )
         for number in range(requests)
     ]
@@ -65,8 +65,9 @@
 
 
 async def demonstrate(requests: int) -> int:
-    """The exit code: 0 only if each request had its one answer, all were served and no rule was
-    broken.
+    """Run the demonstration and return its exit code.
+
+    The code is 0 only if every request was served and the trace breaks no rule.
     """
     with tempfile.TemporaryDirectory(prefix="onyxpass-demo-") as folder:
         fleet = await StandinFleet(readers=2, writers=3, speed=Speed(token_s=0.0005)).start()
@@ -85,19 +86,21 @@
                 typer.echo((Path(folder) / "agent-host-1.log").read_text()[-2000:], err=True)
                 return 1
             began_s = time.monotonic()
-            ends = await load(site, requests)
+            outcomes = await send_load(site, requests)
             seconds = time.monotonic() - began_s
             report = await controller.survey(controller.fleet.members)
             render.survey(report)
             for traffic_class in CLASSES:
-                told = ", ".join(
-                    f"{n} {end}" for (c, end), n in sorted(ends.items()) if c == traffic_class
+                counts = ", ".join(
+                    f"{n} {outcome}"
+                    for (c, outcome), n in sorted(outcomes.items())
+                    if c == traffic_class
                 )
-                typer.echo(f"{traffic_class}: {told}")
+                typer.echo(f"{traffic_class}: {counts}")
             broken = breaches(fleet.trace)
             for breach in broken:
                 typer.echo(f"rule broken: {breach}", err=True)
-            served = sum(n for (_, end), n in ends.items() if end == "served")
+            served = sum(n for (_, outcome), n in outcomes.items() if outcome == "served")
             typer.echo(
                 f"{served} of {requests} served in {seconds:.1f} s, {len(broken)} rules broken"
             )
--- a/onyxpass/testbed/front.py
+++ b/onyxpass/testbed/front.py
@@ -1,6 +1,4 @@
-"""A stand-in for the front layer: it asks dispatchers for their readiness, and spreads clients
-over them.
-"""
+"""A stand-in for the platform's front layer, which spreads requests over ready dispatchers."""
 
 import asyncio
 import itertools
@@ -8,33 +6,38 @@
 from onyxpass.history_checkers.trace import Trace
 from onyxpass.testbed.client import ClientResult, send_request
 
-ASK_EVERY_S = 0.05
-ASK_S = 0.5
+POLL_INTERVAL_S = 0.05  # between two readiness checks of a dispatcher
+POLL_TIMEOUT_S = 0.5
 
 
 class FrontLayer:
-    """``ports``: the dispatchers' by name. A client that finds no one ready waits."""
+    """Spreads requests in turn over the ready dispatchers; a request waits while none is ready.
+
+    ``ports`` are those of the dispatchers, by name.
+    """
 
     def __init__(self, trace: Trace, ports: dict[str, int]) -> None:
         self.trace, self.ports = trace, ports
         self.ready: set[str] = set()
-        self.turn = itertools.count()
+        self.request_count = itertools.count()
 
     async def run(self) -> None:
-        await asyncio.gather(*(self._follow(name, port) for name, port in self.ports.items()))
+        await asyncio.gather(
+            *(self._poll_readiness(name, port) for name, port in self.ports.items())
+        )
 
-    async def _follow(self, name: str, port: int) -> None:
+    async def _poll_readiness(self, name: str, port: int) -> None:
         while True:
             if await self._is_ready(port):
                 self.ready.add(name)
             else:
                 self.ready.discard(name)
-            await asyncio.sleep(ASK_EVERY_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     @staticmethod
     async def _is_ready(port: int) -> bool:
         try:
-            async with asyncio.timeout(ASK_S):
+            async with asyncio.timeout(POLL_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 try:
                     writer.write(
@@ -49,11 +52,11 @@
     async def send_request(
         self, request: str, traffic_class: str, session: str, max_out: int = 40
     ) -> ClientResult:
-        """Through the next dispatcher that is ready; asked once, and never again."""
+        """Send a request once, without retries, through the next ready dispatcher."""
         while not self.ready:
-            await asyncio.sleep(ASK_EVERY_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         names = sorted(self.ready)
-        name = names[next(self.turn) % len(names)]
+        name = names[next(self.request_count) % len(names)]
         return await send_request(
             self.trace, ("127.0.0.1", self.ports[name]), request, traffic_class, session, max_out
         )
--- a/onyxpass/testbed/link.py
+++ b/onyxpass/testbed/link.py
@@ -1,5 +1,6 @@
-"""A relay between two processes, whose directions can each be dropped, stalled, delayed, closed
-or reset.
+"""A TCP relay between two processes that can drop, stall, delay and split data and reset connections.
+
+Each direction of a link is controlled separately.
 """
 
 import asyncio
@@ -7,17 +8,17 @@
 
 from onyxpass.testbed.server import Server
 
-READ_MOST = 64 * 1024
-PIECE, PIECE_S = 61, 0.0005  # bytes at a time, and the rest between them
+READ_BYTES = 64 * 1024
+PIECE_BYTES, PIECE_INTERVAL_S = 61, 0.0005
 
 
 class Mode(Enum):
-    """Of one direction; what is on its way follows it as well."""
+    """How one direction of a link handles data, including data that is in transit already."""
 
     PASS = "pass"
-    STALL = "stall"  # nothing is read: what is sent waits, and goes on once this ends
-    PIECES = "pieces"  # a few bytes at a time
-    # what is sent goes nowhere, as behind a cut; the connection is of no use after that
+    STALL = "stall"  # nothing is forwarded until the mode changes
+    PIECES = "pieces"  # ``PIECE_BYTES`` at a time
+    # Data is discarded, as in a network partition; the connection is unusable afterwards.
     DROP = "drop"
 
 
@@ -25,7 +26,7 @@
     """One direction of all connections over a link."""
 
     def __init__(self) -> None:
-        self.mode, self.delay_s, self.bytes = Mode.PASS, 0.0, 0
+        self.mode, self.delay_s, self.forwarded_bytes = Mode.PASS, 0.0, 0
         self.changed = asyncio.Event()
 
     def set_mode(self, mode: Mode, delay_s: float = 0.0) -> None:
@@ -33,31 +34,32 @@
         self.changed.set()
         self.changed = asyncio.Event()
 
-    async def open(self) -> None:
+    async def wait_while_stalled(self) -> None:
         while self.mode is Mode.STALL:
             await self.changed.wait()
 
 
 class Link(Server):
-    """Listens in place of the server at ``to``. ``there``: towards it, ``back``: from it."""
+    """Listens in place of a server and relays connections to it."""
 
-    def __init__(self, to_port: int, to_host: str = "127.0.0.1", port: int = 0) -> None:
+    def __init__(self, server_port: int, server_host: str = "127.0.0.1", port: int = 0) -> None:
         super().__init__(port)
-        self.to_host, self.to_port = to_host, to_port
+        self.server_host, self.server_port = server_host, server_port
         self.to_server, self.to_client = Direction(), Direction()
-        self.accepts = True  # or new connections come up and lead nowhere, as behind a cut
+        # If false, new connections are accepted but not relayed, as in a network partition.
+        self.relays_new = True
 
     def cut(self) -> None:
-        """Both directions silent, old connections and new ones alike; nothing is told."""
+        """Discard all data, on old and new connections, without closing any: a partition."""
         self.to_server.set_mode(Mode.DROP)
         self.to_client.set_mode(Mode.DROP)
-        self.accepts = False
+        self.relays_new = False
 
     def restore(self) -> None:
-        """As it was. What went over the cut is lost, so connections from before are reset."""
+        """Relay data again; reset the old connections, because data sent in the meantime is lost."""
         self.to_server.set_mode(Mode.PASS)
         self.to_client.set_mode(Mode.PASS)
-        self.accepts = True
+        self.relays_new = True
         self.reset()
 
     def reset(self) -> None:
@@ -65,45 +67,47 @@
             writer.transport.abort()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if not self.accepts:
+        if not self.relays_new:
             await reader.read()
             return
-        far_reader, far_writer = await asyncio.open_connection(self.to_host, self.to_port)
-        ways = (
-            asyncio.create_task(self._relay(self.to_server, reader, far_writer)),
-            asyncio.create_task(self._relay(self.to_client, far_reader, writer)),
+        server_reader, server_writer = await asyncio.open_connection(
+            self.server_host, self.server_port
+        )
+        tasks = (
+            asyncio.create_task(self._relay(self.to_server, reader, server_writer)),
+            asyncio.create_task(self._relay(self.to_client, server_reader, writer)),
         )
         try:
-            await asyncio.gather(*ways)
-        except OSError:  # a reset on one side is one on the other
+            await asyncio.gather(*tasks)
+        except OSError:  # a reset on one side resets the other side
             writer.transport.abort()
         finally:
-            for way in ways:
-                way.cancel()
-            far_writer.transport.abort()
+            for task in tasks:
+                task.cancel()
+            server_writer.transport.abort()
 
     @staticmethod
     async def _relay(
-        way: Direction, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        direction: Direction, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         while True:
-            await way.open()
-            data = await reader.read(READ_MOST)
-            await way.open()
-            if way.mode is Mode.DROP:
+            await direction.wait_while_stalled()
+            data = await reader.read(READ_BYTES)
+            await direction.wait_while_stalled()
+            if direction.mode is Mode.DROP:
                 if not data:
                     return
                 continue
-            if way.delay_s:
-                await asyncio.sleep(way.delay_s)
-            if not data:  # half closed
+            if direction.delay_s:
+                await asyncio.sleep(direction.delay_s)
+            if not data:  # the sender has closed its side
                 if writer.can_write_eof():
                     writer.write_eof()
                 return
-            way.bytes += len(data)
-            size = PIECE if way.mode is Mode.PIECES else READ_MOST
+            direction.forwarded_bytes += len(data)
+            size = PIECE_BYTES if direction.mode is Mode.PIECES else READ_BYTES
             for at in range(0, len(data), size):
                 writer.write(data[at : at + size])
                 await writer.drain()
-                if way.mode is Mode.PIECES:
-                    await asyncio.sleep(PIECE_S)
+                if direction.mode is Mode.PIECES:
+                    await asyncio.sleep(PIECE_INTERVAL_S)
--- a/onyxpass/testbed/process_trial.py
+++ b/onyxpass/testbed/process_trial.py
@@ -1,9 +1,8 @@
-"""Several processes of the program with links between them, and schedules of faults drawn from
-seeds.
+"""A trial of several processes with links between them, and fault schedules drawn from seeds.
 
-Two agents with two dispatchers each and operators' tools, all as processes; a store and every link
-in this one. Each tool reaches the store and each agent over links of its own. What all did stands
-in their logs.
+Two agents with two dispatchers each and the operators' tools run as processes; the store and the
+links run in this process. Each tool reaches the store and each agent over links of its own. The
+processes record what they do in their logs.
 """
 
 import asyncio
@@ -31,38 +30,44 @@
 
 LIMITS = "out = 1\ncanaries = 0\npause_s = 0.4\nabort_after = 1\ndeadline_s = 20.0\n"
 RESTART = "first_s = 0.05\ngrace_s = 5.0\npoll_s = 0.2\n"
-STORE = '[store]\nurl = "redis://{address}/0"\nlease_s = 1.5\nlongest_s = 1.5\nwait_s = 60.0\n'
+STORE_TABLE = (
+    '[store]\nurl = "redis://{address}/0"\nlease_s = 1.5\nlongest_s = 1.5\nwait_s = 60.0\n'
+)
 HOSTS = (("h1", "derby", ("d1", "d2")), ("h2", "derby", ("d3", "d4")))
-WORDS = ("fleet", "rollout", "run", "--method", "restart", "--json", "--fleet")
+ROLLOUT_COMMAND = ("fleet", "rollout", "run", "--method", "restart", "--json", "--fleet")
 
 
 class ProcessTrial:
     def __init__(self, site: Site, store: RespStore, tools: str) -> None:
         self.site, self.store = site, store
-        self.links = {name: Link(store.port) for name in tools}  # to the store
-        self.ways = {(name, host.name): Link(host.port) for name in tools for host in site.hosts}
+        self.store_links = {name: Link(store.port) for name in tools}
+        self.agent_links = {
+            (name, host.name): Link(host.port) for name in tools for host in site.hosts
+        }
         self.tools: dict[str, asyncio.subprocess.Process] = {}
 
     async def open(self) -> None:
-        """Each operator has a file and a folder of records of its own."""
-        plain = (self.site.folder / "fleet.toml").read_text()
-        for link in (*self.links.values(), *self.ways.values()):
+        """Start the links, and write a fleet file with its own record folder for each tool."""
+        fleet_file = (self.site.folder / "fleet.toml").read_text()
+        for link in (*self.store_links.values(), *self.agent_links.values()):
             await link.start()
-        for name, link in self.links.items():
-            text = plain.replace('state = "rollouts"', f'state = "rollouts-{name}"')
-            text = text.replace("[limits]", f"{STORE.format(address=link.address)}\n[limits]")
+        for name, link in self.store_links.items():
+            text = fleet_file.replace('state = "rollouts"', f'state = "rollouts-{name}"')
+            text = text.replace("[limits]", f"{STORE_TABLE.format(address=link.address)}\n[limits]")
             for host in self.site.hosts:
-                text = text.replace(f"127.0.0.1:{host.port}", self.ways[name, host.name].address)
+                text = text.replace(
+                    f"127.0.0.1:{host.port}", self.agent_links[name, host.name].address
+                )
             (self.site.folder / f"fleet-{name}.toml").write_text(text)
 
     async def close(self) -> None:
         for process in self.tools.values():
-            await self.end(process)
-        for link in (*self.links.values(), *self.ways.values()):
+            await self._kill(process)
+        for link in (*self.store_links.values(), *self.agent_links.values()):
             await link.stop()
 
     @staticmethod
-    async def end(process: asyncio.subprocess.Process) -> None:
+    async def _kill(process: asyncio.subprocess.Process) -> None:
         if process.returncode is None:
             with suppress(ProcessLookupError):
                 process.send_signal(signal.SIGCONT)
@@ -72,13 +77,13 @@
     # Tools
 
     async def start(self, name: str) -> None:
-        """A rollout that restarts all, by a tool of its own."""
+        """Start a tool with a rollout that restarts all instances."""
         self.tools[name] = await asyncio.create_subprocess_exec(
             *(
                 sys.executable,
                 "-m",
                 "onyxpass",
-                *WORDS,
+                *ROLLOUT_COMMAND,
                 str(self.site.folder / f"fleet-{name}.toml"),
             ),
             stdout=asyncio.subprocess.PIPE,
@@ -86,7 +91,8 @@
             env={**os.environ, LOG_FILE_VARIABLE: str(self.site.folder / f"tool-{name}.log")},
         )
 
-    async def ended(self, name: str) -> tuple[int, dict[str, Any], str]:
+    async def tool_result(self, name: str) -> tuple[int, dict[str, Any], str]:
+        """Return the exit code, the JSON report and the error output of a tool, once it has ended."""
         out, err = await self.tools[name].communicate()
         code = self.tools[name].returncode
         assert code is not None
@@ -94,20 +100,21 @@
 
     # Histories
 
-    def lines(self) -> list[Line]:
+    def history_lines(self) -> list[Line]:
         return history.read(sorted(self.site.folder.glob("*.log")))
 
-    def seen(self, what: str, of: str = "", **fields: Any) -> list[Line]:
+    def find_lines(self, what: str, of: str = "", **fields: Any) -> list[Line]:
         return [
             line
-            for line in self.lines()
+            for line in self.history_lines()
             if line.what == what
             and line.source.startswith(of)
             and all(line[name] == value for name, value in fields.items())
         ]
 
-    def sound(self) -> None:
-        lines = self.lines()
+    def check_history(self) -> None:
+        """Raise AssertionError if the histories break a rule, or show no lease or no change."""
+        lines = self.history_lines()
         found = history.breaches(lines)
         assert not found, "\n".join(found)
         assert [x for x in lines if x.what == "begin"] and [x for x in lines if x.what == "held"]
@@ -120,15 +127,15 @@
     site.write_files()
     store = RespStore()
     await store.start()
-    found = ProcessTrial(site, store, tools)
-    await found.open()
+    trial = ProcessTrial(site, store, tools)
+    await trial.open()
     try:
         for host in site.hosts:
             await site.start(host)
         await wait_until_serving(FleetController(fleet_config.load(folder / "fleet.toml")), 60.0)
-        yield found
+        yield trial
     finally:
-        await found.close()
+        await trial.close()
         await site.stop()
         for server in (store, fleet):
             await server.stop()
@@ -139,18 +146,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ScheduledFault:
-    """``what`` happens to ``whom`` at ``at_s`` and is mended ``for_s`` later."""
+    """A fault of a kind that affects a target from ``start_s`` on, for ``duration_s``."""
 
-    at_s: float
+    start_s: float
     kind: str
-    whom: str
-    for_s: float
+    target: str
+    duration_s: float
 
     def describe(self) -> str:
-        return f"{self.at_s:.2f} s: {self.kind} {self.whom} for {self.for_s:.2f} s"
+        return f"{self.start_s:.2f} s: {self.kind} {self.target} for {self.duration_s:.2f} s"
 
 
-KINDS = {  # and whom it may strike
+# The targets of each kind of fault: tools, or numbers of hosts.
+FAULT_TARGETS = {
     "tool stopped": "ab",
     "tool killed": "ab",
     "tool cut off from the store": "ab",
@@ -167,48 +175,52 @@
 }
 
 
-def draw_schedule(seed: int, strikes: int = 6, over_s: float = 6.0) -> list[ScheduledFault]:
-    """The same schedule for the same seed."""
-    draw = random.Random(seed)
-    made = []
-    for _ in range(strikes):
-        kind = draw.choice(sorted(KINDS))
-        made.append(
+def draw_schedule(seed: int, count: int = 6, window_s: float = 6.0) -> list[ScheduledFault]:
+    """Draw a schedule; the same seed always gives the same one."""
+    generator = random.Random(seed)
+    schedule = []
+    for _ in range(count):
+        kind = generator.choice(sorted(FAULT_TARGETS))
+        schedule.append(
             ScheduledFault(
-                draw.uniform(0.3, over_s), kind, draw.choice(KINDS[kind]), draw.uniform(0.1, 2.5)
+                generator.uniform(0.3, window_s),
+                kind,
+                generator.choice(FAULT_TARGETS[kind]),
+                generator.uniform(0.1, 2.5),
             )
         )
-    return sorted(made, key=lambda strike: strike.at_s)
+    return sorted(schedule, key=lambda fault: fault.start_s)
 
 
 class ScheduleRun:
-    """Carries a schedule out while two tools never stop trying; then, all mended, a third has to
-    succeed.
+    """Injects the faults of a schedule while two tools repeat rollouts without a pause.
+
+    A third tool's rollout must succeed after the last fault has ended.
     """
 
     def __init__(self, trial: ProcessTrial, schedule: list[ScheduledFault]) -> None:
         self.trial, self.schedule = trial, schedule
-        self.older = trial.store.snapshot()
+        self.older_snapshot = trial.store.snapshot()
 
     async def run(self) -> None:
-        over = asyncio.Event()
-        trying = [asyncio.create_task(self._tries(name, over)) for name in "ab"]
-        await asyncio.gather(*(self._strike(strike) for strike in self.schedule))
-        over.set()
-        await asyncio.gather(*trying)
+        stopping = asyncio.Event()
+        rollouts = [asyncio.create_task(self._repeat_rollouts(name, stopping)) for name in "ab"]
+        await asyncio.gather(*(self._inject(fault) for fault in self.schedule))
+        stopping.set()
+        await asyncio.gather(*rollouts)
         await self.trial.start("z")
-        code, report, err = await self.trial.ended("z")
+        code, report, err = await self.trial.tool_result("z")
         counts = report.get("counts", {})
         assert code == 0 and counts.get("done") == 4, (
             f"the last rollout ended with {code}: {counts} {err}"
         )
-        self.trial.sound()
+        self.trial.check_history()
 
-    async def _tries(self, name: str, over: asyncio.Event) -> None:
-        while not over.is_set():
+    async def _repeat_rollouts(self, name: str, stopping: asyncio.Event) -> None:
+        while not stopping.is_set():
             await self.trial.start(name)
-            with suppress(ValueError):  # one that was killed may have written half
-                await self.trial.ended(name)
+            with suppress(ValueError):  # a tool that was killed may have written half a report
+                await self.trial.tool_result(name)
 
     def _signal(self, name: str, number: int) -> None:
         process = self.trial.tools.get(name)
@@ -216,57 +228,57 @@
             with suppress(ProcessLookupError):
                 process.send_signal(number)
 
-    async def _strike(self, strike: ScheduledFault) -> None:
-        await asyncio.sleep(strike.at_s)
-        trial, whom, store = self.trial, strike.whom, self.trial.store
-        link = trial.links.get(whom)
-        match strike.kind:
+    async def _inject(self, fault: ScheduledFault) -> None:
+        await asyncio.sleep(fault.start_s)
+        trial, target, store = self.trial, fault.target, self.trial.store
+        link = trial.store_links.get(target)
+        match fault.kind:
             case "tool stopped":
-                self._signal(whom, signal.SIGSTOP)
-                await asyncio.sleep(strike.for_s)
-                self._signal(whom, signal.SIGCONT)
+                self._signal(target, signal.SIGSTOP)
+                await asyncio.sleep(fault.duration_s)
+                self._signal(target, signal.SIGCONT)
             case "tool killed":
-                self._signal(whom, signal.SIGKILL)
+                self._signal(target, signal.SIGKILL)
             case "tool cut off from the store" if link is not None:
                 link.cut()
-                await asyncio.sleep(strike.for_s)
+                await asyncio.sleep(fault.duration_s)
                 link.restore()
             case "tool hears nothing of the store" if link is not None:
                 link.to_client.set_mode(Mode.STALL)
-                await asyncio.sleep(strike.for_s)
+                await asyncio.sleep(fault.duration_s)
                 link.to_client.set_mode(Mode.PASS)
             case "tool's connections reset" if link is not None:
                 link.reset()
             case "tool cut off from an agent":
-                way = trial.ways[whom, "h1"]
-                way.cut()
-                await asyncio.sleep(strike.for_s)
-                way.restore()
+                agent_link = trial.agent_links[target, "h1"]
+                agent_link.cut()
+                await asyncio.sleep(fault.duration_s)
+                agent_link.restore()
             case "store paused":
                 store.running.clear()
-                await asyncio.sleep(strike.for_s)
+                await asyncio.sleep(fault.duration_s)
                 store.running.set()
             case "store slow":
                 store.answer_delay_s = 0.05
-                await asyncio.sleep(strike.for_s)
+                await asyncio.sleep(fault.duration_s)
                 store.answer_delay_s = 0.0
             case "store empty":
                 await store.restart()
             case "store older":
-                await store.restart(self.older)
+                await store.restart(self.older_snapshot)
             case "answers lost":
                 store.faults = [StoreFault.LOST, StoreFault.REFUSED, StoreFault.LOST]
             case "agent stopped" | "agent killed":
-                await self._agent(strike)
+                await self._inject_into_agent(fault)
 
-    async def _agent(self, strike: ScheduledFault) -> None:
-        host = next(host for host in self.trial.site.hosts if host.name == f"h{strike.whom}")
+    async def _inject_into_agent(self, fault: ScheduledFault) -> None:
+        host = next(host for host in self.trial.site.hosts if host.name == f"h{fault.target}")
         process = host.process
         if process is None or process.returncode is not None:
             return
-        if strike.kind == "agent stopped":
+        if fault.kind == "agent stopped":
             process.send_signal(signal.SIGSTOP)
-            await asyncio.sleep(strike.for_s)
+            await asyncio.sleep(fault.duration_s)
             with suppress(ProcessLookupError):
                 process.send_signal(signal.SIGCONT)
         else:
@@ -276,7 +288,10 @@
 
 
 async def run_schedule(folder: Path, seed: int) -> list[ScheduledFault]:
-    """One schedule to its end; AssertionError where a checker or the last rollout finds a fault."""
+    """Run the schedule of a seed and return it.
+
+    Raises AssertionError if a history breaks a rule or the last rollout fails.
+    """
     schedule = draw_schedule(seed)
     async with process_trial(folder, "abz") as trial:
         await ScheduleRun(trial, schedule).run()
--- a/onyxpass/testbed/replicas.py
+++ b/onyxpass/testbed/replicas.py
@@ -1,8 +1,7 @@
 """Stand-in readers, writers and discovery that speak the platform's protocol, in one process.
 
-A reader answers 202 and holds the read state; a writer takes the state and streams an answer, or
-says 410 where there is none. Their speed is told, so are their faults: each fault is used up by one
-request.
+A reader answers 202 and holds the prefill state; a writer takes the state and streams an answer, or
+answers 410 if there is none. Speed and faults are set by the test; each fault affects one request.
 """
 
 import asyncio
@@ -16,34 +15,34 @@
 from onyxpass.net.http import HttpConnection, HttpError, header, read_body
 from onyxpass.testbed.server import Server
 
-TOKENS_AN_EVENT = 4
-STREAM = [(b"content-type", b"text/event-stream"), (b"transfer-encoding", b"chunked")]
-NOT_RUN = [(b"x-not-processed", b"1"), (b"content-length", b"0")]
+TOKENS_PER_EVENT = 4
+STREAM_HEADERS = [(b"content-type", b"text/event-stream"), (b"transfer-encoding", b"chunked")]
+NOT_PROCESSED_HEADERS = [(b"x-not-processed", b"1"), (b"content-length", b"0")]
 
 
 @dataclass(frozen=True, slots=True)
 class Speed:
-    """Of one replica, in seconds."""
+    """The speed of one replica."""
 
-    read_s: float = 0.01  # a whole read
-    first_s: float = 0.01  # till the first event of an answer
+    read_s: float = 0.01  # for a whole prefill
+    first_s: float = 0.01  # until the first event of an answer
     token_s: float = 0.001
-    tokens: int = 40  # of an answer, where the request does not ask for less
+    tokens: int = 40  # of an answer, unless the request asks for fewer
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaFault:
-    """What befalls one request. ``after``: events that still go out before a break or a silence."""
+    """A fault of one request; ``after`` is the number of events sent before a break or a silence."""
 
-    kind: str  # full, error, silent, break
+    kind: str  # full, error, silent or break
     after: int = 0
 
 
 @dataclass(eq=False, slots=True)
 class PrefillStates:
-    """Which reader holds the read state of which request."""
+    """The prefill states that readers hold."""
 
-    holder: dict[str, str] = field(default_factory=dict)
+    holders: dict[str, str] = field(default_factory=dict)  # request -> reader
 
 
 class StandinReplica(Server):
@@ -60,145 +59,149 @@
         self.name, self.role, self.trace, self.states, self.speed = name, role, trace, states, speed
         self.faults: list[ReplicaFault] = []
         self.served = 0
-        self.out: set[str] = set()  # attempts that are not over
+        self.open_attempts: set[str] = set()  # request ids
         self.streams_may_continue = asyncio.Event()  # cleared: streams wait after their first event
         self.streams_may_continue.set()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        wire = HttpConnection(h11.SERVER, reader, writer)
+        connection = HttpConnection(h11.SERVER, reader, writer)
         try:
             while True:
-                head = await wire.next_event()
+                head = await connection.next_event()
                 if not isinstance(head, h11.Request):
                     return
-                text = await read_body(wire)
-                if not await self._answer(wire, head, text):
+                text = await read_body(connection)
+                if not await self._answer(connection, head, text):
                     return
                 await writer.drain()
-                if wire.h11.our_state is not h11.DONE:
+                if connection.h11.our_state is not h11.DONE:
                     return
-                wire.h11.start_next_cycle()
+                connection.h11.start_next_cycle()
         except HttpError:
             return
 
-    async def _answer(self, wire: HttpConnection, head: h11.Request, text: bytes) -> bool:
-        """False: the connection has ended."""
+    async def _answer(self, connection: HttpConnection, head: h11.Request, text: bytes) -> bool:
+        """Handle one request; return False if the connection has ended."""
         path = bytes(head.target).partition(b"?")[0].decode("latin-1")
         if path.startswith("/kv/leases/") and head.method == b"DELETE":
-            self._free(path.removeprefix("/kv/leases/"))
-            wire.write(h11.Response(status_code=204, headers=[]), h11.EndOfMessage())
+            self._release_state(path.removeprefix("/kv/leases/"))
+            connection.write(h11.Response(status_code=204, headers=[]), h11.EndOfMessage())
             return True
         if path == "/health/live":
-            self._short(wire, 200)
+            self._send_answer(connection, 200)
             return True
         request = (header(head, b"x-request-id") or b"").decode("latin-1")
         if not request:
-            self._short(wire, 404)
+            self._send_answer(connection, 404)
             return True
         self.trace.put(What.RECEIVED, request, self.name, self.role)
-        self.out.add(request)
-        gone = asyncio.ensure_future(wire.reader.read(1))
-        work = asyncio.ensure_future(self._work(wire, request, text))
+        self.open_attempts.add(request)
+        closed = asyncio.ensure_future(connection.reader.read(1))
+        work = asyncio.ensure_future(self._work(connection, request, text))
         try:
-            # The dispatcher gives an attempt up by closing: work stops when its request is
-            # cancelled.
-            await asyncio.wait([gone, work], return_when=asyncio.FIRST_COMPLETED)
+            # The dispatcher cancels an attempt by closing its connection, which ends the work.
+            await asyncio.wait([closed, work], return_when=asyncio.FIRST_COMPLETED)
             if not work.done():
                 return False
             return work.result()
         finally:
-            for task in (gone, work):
+            for task in (closed, work):
                 task.cancel()
-            await asyncio.gather(gone, work, return_exceptions=True)
-            self._over(request)
+            await asyncio.gather(closed, work, return_exceptions=True)
+            self._end_attempt(request)
 
-    def _over(self, request: str) -> None:
-        """The attempt is over, told before the last byte of its answer goes out.
+    def _end_attempt(self, request: str) -> None:
+        """Record the end of an attempt, before the last byte of its answer is sent.
 
-        Guards against an overlap seen where there is none: on a busy machine the dispatcher's next
-        attempt comes in before this task has had its turn again.
+        Prevents an overlap from being seen where there is none: on a busy machine the dispatcher's
+        next attempt can arrive before this task runs again.
         """
-        if request in self.out:
-            self.out.discard(request)
+        if request in self.open_attempts:
+            self.open_attempts.discard(request)
             self.trace.put(What.CLOSED, request, self.name)
 
-    def _short(
+    def _send_answer(
         self,
-        wire: HttpConnection,
+        connection: HttpConnection,
         status: int,
         *headers: tuple[bytes, bytes],
         text: bytes = b"",
         request: str = "",
     ) -> None:
-        """A whole answer; ``request``: the attempt that ends with it."""
-        self._over(request)
+        """Send a complete answer; ``request`` is the id of the attempt that ends with it, if any."""
+        self._end_attempt(request)
         sized = [*headers, (b"content-length", b"%d" % len(text))]
-        wire.write(
+        connection.write(
             h11.Response(status_code=status, headers=sized), h11.Data(data=text), h11.EndOfMessage()
         )
 
-    def _free(self, request: str) -> None:
-        if self.states.holder.pop(request, None) is not None:
+    def _release_state(self, request: str) -> None:
+        if self.states.holders.pop(request, None) is not None:
             self.trace.put(What.FREED, request, self.name)
 
-    async def _work(self, wire: HttpConnection, request: str, text: bytes) -> bool:
+    async def _work(self, connection: HttpConnection, request: str, text: bytes) -> bool:
         fault = self.faults.pop(0) if self.faults else None
         if fault is not None and fault.kind == "full":
-            self._short(wire, 503, (b"x-not-processed", b"1"), request=request)
+            self._send_answer(connection, 503, (b"x-not-processed", b"1"), request=request)
             return True
         if fault is not None and fault.kind == "silent" and fault.after == 0:
             await asyncio.Event().wait()
         if fault is not None and fault.kind == "break" and fault.after == 0:
             return False
         if self.role == "read":
-            return await self._read(wire, request, fault)
-        return await self._write(wire, request, text, fault)
+            return await self._prefill(connection, request, fault)
+        return await self._decode(connection, request, text, fault)
 
-    async def _read(self, wire: HttpConnection, request: str, fault: ReplicaFault | None) -> bool:
+    async def _prefill(
+        self, connection: HttpConnection, request: str, fault: ReplicaFault | None
+    ) -> bool:
         await asyncio.sleep(self.speed.read_s)
         if fault is not None and fault.kind == "error":
-            self._short(wire, 500, request=request)
+            self._send_answer(connection, 500, request=request)
             return True
-        self.states.holder[request] = self.name
+        self.states.holders[request] = self.name
         self.trace.put(What.HELD, request, self.name)
-        self._short(wire, 202, text=b'{"cached_tokens":0}', request=request)
+        self._send_answer(connection, 202, text=b'{"cached_tokens":0}', request=request)
         return True
 
-    async def _write(
-        self, wire: HttpConnection, request: str, text: bytes, fault: ReplicaFault | None
+    async def _decode(
+        self, connection: HttpConnection, request: str, text: bytes, fault: ReplicaFault | None
     ) -> bool:
-        if request not in self.states.holder:
-            self._over(request)
-            wire.write(h11.Response(status_code=410, headers=NOT_RUN), h11.EndOfMessage())
+        if request not in self.states.holders:
+            self._end_attempt(request)
+            connection.write(
+                h11.Response(status_code=410, headers=NOT_PROCESSED_HEADERS), h11.EndOfMessage()
+            )
             return True
-        self._free(request)
+        self._release_state(request)
         self.trace.put(What.RAN, request, self.name, self.role)
         if fault is not None and fault.kind == "error":
-            self._short(wire, 500, request=request)
+            self._send_answer(connection, 500, request=request)
             return True
         await asyncio.sleep(self.speed.first_s)
-        count = max(
+        token_count = max(
             1, min(self.speed.tokens, int(json.loads(text).get("max_tokens") or self.speed.tokens))
         )
         events = [
-            self._event("word " * TOKENS_AN_EVENT) for _ in range(-(-count // TOKENS_AN_EVENT))
+            self._event("word " * TOKENS_PER_EVENT)
+            for _ in range(-(-token_count // TOKENS_PER_EVENT))
         ]
-        usage = {"choices": [], "usage": {"prompt_tokens": 0, "completion_tokens": count}}
+        usage = {"choices": [], "usage": {"prompt_tokens": 0, "completion_tokens": token_count}}
         events += [self._event("", "stop"), b"data: " + json.dumps(usage).encode() + b"\n\n"]
         events.append(b"data: [DONE]\n\n")
-        wire.write(h11.Response(status_code=200, headers=STREAM))
+        connection.write(h11.Response(status_code=200, headers=STREAM_HEADERS))
         for number, event in enumerate(events):
             if fault is not None and fault.after == number and fault.kind in ("break", "silent"):
                 if fault.kind == "break":
-                    await wire.writer.drain()
+                    await connection.writer.drain()
                     return False
                 await asyncio.Event().wait()
-            wire.write(h11.Data(data=event))
-            await wire.writer.drain()
+            connection.write(h11.Data(data=event))
+            await connection.writer.drain()
             await self.streams_may_continue.wait()
-            await asyncio.sleep(self.speed.token_s * TOKENS_AN_EVENT)
-        self._over(request)
-        wire.write(h11.EndOfMessage())
+            await asyncio.sleep(self.speed.token_s * TOKENS_PER_EVENT)
+        self._end_attempt(request)
+        connection.write(h11.EndOfMessage())
         self.served += 1
         return True
 
@@ -210,7 +213,7 @@
 
 @dataclass(slots=True)
 class ListedReplica:
-    """One line of the list."""
+    """One entry of the endpoint list."""
 
     replica: StandinReplica
     kind: str
@@ -218,7 +221,7 @@
     cell: int = 0
     health: str = "active"
     born_ms: int = 0
-    dial: str = ""  # where it is reached, if not at its own address
+    dial: str = ""  # the address to connect to, if not the replica's own
 
     def to_dict(self) -> dict[str, Any]:
         return {
@@ -234,7 +237,7 @@
 
 
 class StandinDiscovery(Server):
-    """The whole list, and a watch on its changes."""
+    """Serves the endpoint list and a watch on its changes."""
 
     def __init__(self, trace: Trace, port: int = 0) -> None:
         super().__init__(port)
@@ -248,7 +251,7 @@
             self.rows[row.replica.name] = row
 
     def change(self, name: str, health: str) -> None:
-        """Tell all watches of a server that drains, leaves or is back."""
+        """Set a server's health and notify all watches."""
         row = self.rows[name]
         row.health = health
         self.seq += 1
@@ -260,32 +263,32 @@
         self.trace.put(What.DRAIN_TOLD, server=name, detail="up" if health == "active" else "")
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        wire = HttpConnection(h11.SERVER, reader, writer)
+        connection = HttpConnection(h11.SERVER, reader, writer)
         try:
             while True:
-                head = await wire.next_event()
+                head = await connection.next_event()
                 if not isinstance(head, h11.Request):
                     return
-                await read_body(wire)
+                await read_body(connection)
                 if b"watch=1" in bytes(head.target):
-                    await self._watch(wire)
+                    await self._watch(connection)
                     return
                 text = json.dumps({"seq": self.seq, "whole": True, "hosts": self._hosts()}).encode()
                 sized = [(b"content-length", b"%d" % len(text))]
-                wire.write(
+                connection.write(
                     h11.Response(status_code=200, headers=sized),
                     h11.Data(data=text),
                     h11.EndOfMessage(),
                 )
                 await writer.drain()
-                wire.h11.start_next_cycle()
+                connection.h11.start_next_cycle()
         except HttpError:
             return
 
     def _hosts(self) -> list[dict[str, Any]]:
         return [row.to_dict() for row in self.rows.values() if row.health != "left"]
 
-    async def _watch(self, wire: HttpConnection) -> None:
+    async def _watch(self, connection: HttpConnection) -> None:
         queue: asyncio.Queue[bytes] = asyncio.Queue()
         self.watches.add(queue)
         try:
@@ -294,20 +297,20 @@
                 + b"\n"
             )
             chunked = [(b"transfer-encoding", b"chunked")]
-            wire.write(h11.Response(status_code=200, headers=chunked), h11.Data(data=whole))
+            connection.write(h11.Response(status_code=200, headers=chunked), h11.Data(data=whole))
             while True:
-                await wire.writer.drain()
+                await connection.writer.drain()
                 try:
                     line = await asyncio.wait_for(queue.get(), 2.0)
                 except TimeoutError:
                     line = b"\n"
-                wire.write(h11.Data(data=line))
+                connection.write(h11.Data(data=line))
         finally:
             self.watches.discard(queue)
 
 
 class StandinFleet:
-    """Readers and writers over halls, their discovery and one trace."""
+    """Readers and writers spread over halls, with their discovery and one trace."""
 
     def __init__(
         self,
--- a/onyxpass/testbed/server.py
+++ b/onyxpass/testbed/server.py
@@ -1,20 +1,21 @@
-"""What all stand-ins have in common: a TCP server that can be stopped with its connections, and
-started.
-"""
+"""The base of all stand-ins: a TCP server that can be stopped with its connections and restarted."""
 
 import asyncio
 from collections.abc import Callable
 
 
-async def until(true: Callable[[], object], limit_s: float = 10.0) -> None:
-    """Wait for something that must come; the limit only ends what has failed already."""
+async def until(condition: Callable[[], object], limit_s: float = 10.0) -> None:
+    """Wait until the condition holds.
+
+    Raises TimeoutError after ``limit_s``, which only ends a test that has failed already.
+    """
     async with asyncio.timeout(limit_s):
-        while not true():
+        while not condition():
             await asyncio.sleep(0.002)
 
 
 class Server:
-    """``port`` 0: a free one, and the same again after a restart."""
+    """A TCP server. ``port`` 0 chooses a free port, which is used again after a restart."""
 
     def __init__(self, port: int = 0, host: str = "127.0.0.1") -> None:
         self.host, self.port = host, port
--- a/onyxpass/testbed/settings.py
+++ b/onyxpass/testbed/settings.py
@@ -1,4 +1,4 @@
-"""Configurations for trials: the classes of the operators, over stand-in readers and writers."""
+"""Configurations for trials: the operators' traffic classes over stand-in readers and writers."""
 
 from typing import Any
 
@@ -53,7 +53,7 @@
 def dispatcher_config(
     name: str, listen: str, fleet: StandinFleet, peers: int = 1
 ) -> dict[str, Any]:
-    """The platform's JSON of one dispatcher before a stand-in fleet."""
+    """Return the platform's configuration of one dispatcher in front of a stand-in fleet."""
     return {
         "name": name,
         "listen": listen,
--- a/onyxpass/testbed/site.py
+++ b/onyxpass/testbed/site.py
@@ -1,6 +1,4 @@
-"""A small site in one folder: dispatchers under agents before a stand-in fleet, on free loopback
-ports.
-"""
+"""A small site in one folder: agents and dispatchers in front of a stand-in fleet, on loopback."""
 
 import asyncio
 import contextlib
@@ -18,29 +16,30 @@
 from onyxpass.testbed.replicas import StandinFleet
 from onyxpass.testbed.settings import dispatcher_config
 
-# The numbers that the kernel gives to outgoing connections (ip(7)).
-OUTGOING_PORTS = Path("/proc/sys/net/ipv4/ip_local_port_range")
+# The range of ports that the kernel gives to outgoing connections (ip(7)).
+OUTGOING_PORT_RANGE = Path("/proc/sys/net/ipv4/ip_local_port_range")
 FIRST_PORT = 12_000
-MIN_PORTS = 1_000  # below the outgoing ones, to draw from; with fewer, the kernel chooses
+# The fewest ports below that range to draw from; if there are fewer, the kernel chooses a port.
+MIN_PORT_COUNT = 1_000
 
 
 def free_port() -> int:
-    """Return a port that nobody listens on, one that no outgoing connection is given if possible.
+    """Return a port that nobody listens on, outside the range of outgoing ports if possible.
 
     Prevents a server that is stopped and started again from finding its port in use.
     """
-    first_outgoing = int(OUTGOING_PORTS.read_text().split()[0])
-    drawn = first_outgoing - FIRST_PORT >= MIN_PORTS
-    chance = random.SystemRandom()
+    first_outgoing = int(OUTGOING_PORT_RANGE.read_text().split()[0])
+    draws = first_outgoing - FIRST_PORT >= MIN_PORT_COUNT
+    generator = random.SystemRandom()
     while True:
-        port = chance.randrange(FIRST_PORT, first_outgoing) if drawn else 0
+        port = generator.randrange(FIRST_PORT, first_outgoing) if draws else 0
         with contextlib.suppress(OSError), socket.create_server(("127.0.0.1", port)) as sock:
             return int(sock.getsockname()[1])
 
 
 @dataclass(slots=True)
 class Host:
-    """One agent with its instances. ``process``: the agent's, while it runs."""
+    """An agent with its instances; ``process`` is the agent's, once it was started."""
 
     name: str
     hall: str
@@ -51,21 +50,21 @@
 
 @dataclass(slots=True)
 class Site:
-    """``hosts``: by name, their halls and instances. ``text`` of limits: as in the fleet's file."""
+    """Agents and their dispatchers, with all their files in one folder."""
 
     folder: Path
     fleet: StandinFleet
     hosts: tuple[Host, ...]
-    limits: str = ""
-    restart: str = ""  # of the agents' files
+    limits: str = ""  # TOML text of that table in the fleet's file
+    restart: str = ""  # TOML text of that table in the agents' files
     ports: dict[str, int] = field(default_factory=dict)  # by instance
 
     @property
-    def peers(self) -> int:
+    def instance_count(self) -> int:
         return sum(len(host.instances) for host in self.hosts)
 
     def write_files(self) -> None:
-        """All files of the site. The ports are free ones, and stay what they are."""
+        """Choose free ports and write all files of the site."""
         make_key(self.folder / "fleet.key")
         tables = []
         for host in self.hosts:
@@ -99,18 +98,19 @@
         (self.folder / f"agent-{host.name}.toml").write_text("\n".join(rows) + "\n")
 
     def write_instance_config(self, name: str, change: Mapping[str, object] | None = None) -> None:
-        """Write an instance's file (again). ``change``: ``sockets`` or ``peers``."""
-        told = dict(change or {})
-        listen, peers = f"127.0.0.1:{self.ports[name]}", int(str(told.get("peers", self.peers)))
-        made = dispatcher_config(name, listen, self.fleet, peers)
-        if "sockets" in told:
-            made["limits"]["sockets"] = told["sockets"]
-        atomic_file.replace(self.folder / f"{name}.json", json.dumps(made).encode())
+        """Write an instance's file; ``change`` may set ``sockets`` or ``peers``."""
+        values = dict(change or {})
+        listen, peers = (
+            f"127.0.0.1:{self.ports[name]}",
+            int(str(values.get("peers", self.instance_count))),
+        )
+        config = dispatcher_config(name, listen, self.fleet, peers)
+        if "sockets" in values:
+            config["limits"]["sockets"] = values["sockets"]
+        atomic_file.replace(self.folder / f"{name}.json", json.dumps(config).encode())
 
     async def start(self, host: Host, environment: Mapping[str, str] | None = None) -> None:
-        """Start the host's agent; ``environment``: variables of it and its instances besides our
-        own.
-        """
+        """Start the host's agent; ``environment`` adds variables for it and its instances."""
         log = (self.folder / f"agent-{host.name}.log").open("ab")
         try:
             host.process = await asyncio.create_subprocess_exec(
@@ -131,8 +131,9 @@
             log.close()
 
     async def stop(self, limit_s: float = 20.0) -> None:
-        """SIGTERM to all agents, which end their instances in order; SIGKILL to one that does
-        not end.
+        """Stop all agents, which stop their instances, by SIGTERM.
+
+        An agent that does not end within ``limit_s`` is killed.
         """
         running = [
             host.process for host in self.hosts if host.process and host.process.returncode is None
--- a/onyxpass/testbed/store.py
+++ b/onyxpass/testbed/store.py
@@ -1,8 +1,7 @@
-"""A stand-in for Redis, from its published protocol and command pages: what the store uses, and
-faults.
+"""A stand-in for Redis with the commands that onyxpass uses, and with faults.
 
-A restart breaks all connections and makes another run, empty or with an older snapshot, as after a
-lost disk.
+It is written from the published protocol and command pages. A restart breaks all connections and
+begins a new run id, empty or from an older snapshot, as after the loss of a disk.
 """
 
 import asyncio
@@ -19,18 +18,18 @@
 
 from onyxpass.testbed.server import Server
 
-WORDS_MOST = 1024
-READ_MOST = 64 * 1024
-CONTROL = ("MULTI", "EXEC", "DISCARD", "WATCH", "UNWATCH")
-OK, NONE = b"+OK\r\n", b"$-1\r\n"
+MAX_WORDS = 1024
+READ_BYTES = 64 * 1024
+TRANSACTION_COMMANDS = ("MULTI", "EXEC", "DISCARD", "WATCH", "UNWATCH")
+OK, NIL = b"+OK\r\n", b"$-1\r\n"
 Reply = bytes
 
 
 class StoreFault(Enum):
-    """What happens to one command that comes."""
+    """What happens to one command that writes."""
 
-    LOST = "lost"  # it takes effect, and its connection breaks before the answer
-    REFUSED = "refused"  # its connection breaks, and nothing has taken effect
+    LOST = "lost"  # it takes effect, but its connection breaks before the answer
+    REFUSED = "refused"  # its connection breaks without any effect
     LOADING = "loading"
     READONLY = "readonly"
 
@@ -44,32 +43,35 @@
 
 @dataclass(slots=True)
 class Session:
-    """One connection's own state."""
+    """The transaction state of one connection."""
 
-    watched: dict[str, int] = field(default_factory=dict)  # key -> its version when it was watched
-    queued: list[list[str]] | None = None  # within MULTI
+    watched: dict[str, int] = field(default_factory=dict)  # key -> its version at the WATCH
+    queued: list[list[str]] | None = None  # commands since MULTI; None outside a transaction
 
 
 class RespStore(Server):
-    """``silent``: it takes commands, says nothing. ``slow_s``: each answer takes so long."""
+    """The server. If ``silent``, it executes commands and sends no replies.
+
+    Each reply is delayed by ``answer_delay_s``.
+    """
 
     def __init__(
         self,
         port: int = 0,
         clock: Callable[[], float] = time.monotonic,
-        wall: Callable[[], float] = time.time,
+        wall_clock: Callable[[], float] = time.time,
     ) -> None:
         super().__init__(port)
-        self.clock, self.wall = clock, wall
+        self.clock, self.wall_clock = clock, wall_clock
         self.data: dict[str, str] = {}
-        self.ttl: dict[str, int] = {}  # seconds, as they were told
-        self.ends: dict[str, float] = {}  # when a key is gone, by the clock
-        self.versions: dict[str, int] = {}  # of each key that was ever changed, for WATCH
+        self.ttl: dict[str, int] = {}  # seconds, as set by the client
+        self.expires_at_s: dict[str, float] = {}  # by the clock, in seconds
+        self.versions: dict[str, int] = {}  # of every key that was ever changed, for WATCH
         self.run_id = secrets.token_hex(20)
         self.silent, self.answer_delay_s = False, 0.0
-        self.running = asyncio.Event()  # cleared: paused, nothing is even read
+        self.running = asyncio.Event()  # cleared while the server is paused: nothing is processed
         self.running.set()
-        # for the next commands that write, in order; None: none
+        # For the next commands that write, in order; None leaves a command without a fault.
         self.faults: list[StoreFault | None] = []
         self.commands: list[list[str]] = []
 
@@ -80,9 +82,9 @@
         return dict(self.data)
 
     async def restart(self, data: dict[str, str] | None = None) -> None:
-        """Come back as another run, empty or with a snapshot."""
+        """Restart with a new run id, empty or from a snapshot."""
         await self.stop()
-        self.data, self.ends, self.ttl = dict(data or {}), {}, {}
+        self.data, self.expires_at_s, self.ttl = dict(data or {}), {}, {}
         self.versions = {}
         self.run_id = secrets.token_hex(20)
         self.running.set()
@@ -92,39 +94,43 @@
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         parser, session = hiredis.Reader(encoding="utf-8"), Session()
-        while data := await reader.read(READ_MOST):
+        while data := await reader.read(READ_BYTES):
             await self.running.wait()
             try:
                 parser.feed(data)
                 while (words := parser.gets()) is not False:
-                    if not self._sound(words):
+                    if not self._is_command(words):
                         writer.write(b"-ERR Protocol error\r\n")
                         return
-                    if not await self._one([str(word) for word in words], session, writer):
+                    if not await self._handle([str(word) for word in words], session, writer):
                         return
             except (hiredis.ProtocolError, UnicodeDecodeError):
                 writer.write(b"-ERR Protocol error\r\n")
                 return
 
     @staticmethod
-    def _sound(words: object) -> bool:
+    def _is_command(words: object) -> bool:
         return (
             isinstance(words, list)
-            and 0 < len(words) <= WORDS_MOST
+            and 0 < len(words) <= MAX_WORDS
             and all(isinstance(word, str | bytes) for word in words)
         )
 
-    async def _one(self, words: list[str], session: Session, writer: asyncio.StreamWriter) -> bool:
-        """False: its connection is to break."""
+    async def _handle(
+        self, words: list[str], session: Session, writer: asyncio.StreamWriter
+    ) -> bool:
+        """Answer one command; return False if its connection must break."""
         self.commands.append(words)
         command = words[0].upper()
-        # a transaction is one
+        # A transaction counts as one write.
         writes = command == "EXEC" or (command in WRITES and session.queued is None)
         fault = self.faults.pop(0) if self.faults and writes else None
         if fault is StoreFault.REFUSED:
             writer.transport.abort()
             return False
-        reply = ERRORS[fault] if fault in ERRORS else self.take(command, words[1:], session)
+        reply = (
+            ERRORS[fault] if fault in ERRORS else self.execute_or_queue(command, words[1:], session)
+        )
         if fault is StoreFault.LOST:
             writer.transport.abort()
             return False
@@ -136,15 +142,15 @@
 
     # Commands
 
-    def take(self, command: str, words: list[str], session: Session) -> Reply:
-        """One command of a connection, queued within MULTI."""
+    def execute_or_queue(self, command: str, words: list[str], session: Session) -> Reply:
+        """Execute a command of a connection, or queue it inside a transaction."""
         self._expire()
-        if command in CONTROL:
+        if command in TRANSACTION_COMMANDS:
             return self._transaction(command, words, session)
         if session.queued is not None:
             session.queued.append([command, *words])
             return b"+QUEUED\r\n"
-        return self.answer(command, words)
+        return self.execute(command, words)
 
     def _transaction(self, command: str, words: list[str], session: Session) -> Reply:
         match command:
@@ -161,7 +167,7 @@
                 session.queued, session.watched = None, {}
                 if any(self.versions.get(key, 0) != version for key, version in watched.items()):
                     return b"*-1\r\n"
-                replies = [self.answer(each[0], each[1:]) for each in queued]
+                replies = [self.execute(each[0], each[1:]) for each in queued]
                 return b"*%d\r\n" % len(replies) + b"".join(replies)
             case _:
                 return b"-ERR " + command.encode() + b" is not allowed here\r\n"
@@ -169,21 +175,21 @@
 
     def _expire(self) -> None:
         now_s = self.clock()
-        for key in [key for key, end_s in self.ends.items() if now_s >= end_s]:
-            self._drop(key)
+        for key in [key for key, end_s in self.expires_at_s.items() if now_s >= end_s]:
+            self._delete(key)
 
-    def _drop(self, key: str) -> bool:
+    def _delete(self, key: str) -> bool:
         self.ttl.pop(key, None)
-        self.ends.pop(key, None)
+        self.expires_at_s.pop(key, None)
         if self.data.pop(key, None) is None:
             return False
-        self._touch(key)
+        self._increment_version(key)
         return True
 
-    def _touch(self, key: str) -> None:
+    def _increment_version(self, key: str) -> None:
         self.versions[key] = self.versions.get(key, 0) + 1
 
-    def answer(self, command: str, words: list[str]) -> Reply:
+    def execute(self, command: str, words: list[str]) -> Reply:
         self._expire()
         match command:
             case "SET" if len(words) >= 2:
@@ -191,20 +197,20 @@
             case "GET" if len(words) == 1:
                 return self.bulk(self.data.get(words[0]))
             case "DEL":
-                return b":%d\r\n" % sum(self._drop(word) for word in words)
+                return b":%d\r\n" % sum(self._delete(word) for word in words)
             case "EXISTS":
                 return b":%d\r\n" % sum(word in self.data for word in words)
             case "PTTL" if len(words) == 1:
                 if words[0] not in self.data:
                     return b":-2\r\n"
-                end_s = self.ends.get(words[0])
+                end_s = self.expires_at_s.get(words[0])
                 return b":%d\r\n" % (-1 if end_s is None else round((end_s - self.clock()) * 1000))
             case "KEYS" if len(words) == 1:
                 return self.array([key for key in self.data if fnmatch.fnmatchcase(key, words[0])])
             case "SCAN" if words:
                 return self._scan(int(words[0]), words[1:])
             case "TIME":
-                now_us = round(self.wall() * 1e6)
+                now_us = round(self.wall_clock() * 1e6)
                 return self.array([str(now_us // 1_000_000), str(now_us % 1_000_000)])
             case "INFO":
                 return self.bulk(f"# Server\r\nredis_version:7.2.0\r\nrun_id:{self.run_id}\r\n")
@@ -214,34 +220,34 @@
 
     def _set(self, key: str, value: str, options: list[str]) -> Reply:
         if ("NX" in options and key in self.data) or ("XX" in options and key not in self.data):
-            return NONE
+            return NIL
         self.data[key] = value
-        self._touch(key)
+        self._increment_version(key)
         if "KEEPTTL" not in options:
             self.ttl.pop(key, None)
-            self.ends.pop(key, None)
-        for name, part in (("EX", 1.0), ("PX", 1000.0)):
+            self.expires_at_s.pop(key, None)
+        for name, units_per_s in (("EX", 1.0), ("PX", 1000.0)):
             if name in options:
-                told = int(options[options.index(name) + 1])
-                self.ttl[key] = max(1, int(told / part))
-                self.ends[key] = self.clock() + told / part
+                amount = int(options[options.index(name) + 1])
+                self.ttl[key] = max(1, int(amount / units_per_s))
+                self.expires_at_s[key] = self.clock() + amount / units_per_s
         return OK
 
     def _scan(self, cursor: int, options: list[str]) -> Reply:
-        named = {options[i].upper(): options[i + 1] for i in range(0, len(options) - 1, 2)}
-        count, keys = max(1, int(named.get("COUNT", "10"))), sorted(self.data)
-        part = [
+        named_options = {options[i].upper(): options[i + 1] for i in range(0, len(options) - 1, 2)}
+        count, keys = max(1, int(named_options.get("COUNT", "10"))), sorted(self.data)
+        page = [
             k
             for k in keys[cursor : cursor + count]
-            if fnmatch.fnmatchcase(k, named.get("MATCH", "*"))
+            if fnmatch.fnmatchcase(k, named_options.get("MATCH", "*"))
         ]
-        ahead = cursor + count if cursor + count < len(keys) else 0
-        return b"*2\r\n" + self.bulk(str(ahead)) + self.array(part)
+        next_cursor = cursor + count if cursor + count < len(keys) else 0
+        return b"*2\r\n" + self.bulk(str(next_cursor)) + self.array(page)
 
     @staticmethod
     def bulk(value: str | None) -> Reply:
         if value is None:
-            return NONE
+            return NIL
         text = value.encode()
         return b"$%d\r\n%s\r\n" % (len(text), text)
 
@@ -250,7 +256,7 @@
         return b"*%d\r\n" % len(values) + b"".join(map(cls.bulk, values))
 
     def recorded_calls(self) -> dict[str, dict[str, Any]]:
-        """The claims on tool calls, by their keys."""
+        """Return the records of tool calls, by their keys."""
         prefix = "onyxpass:call:"
         return {
             k.removeprefix(prefix): json.loads(v)
--- a/onyxpass/toolcalls/__init__.py
+++ b/onyxpass/toolcalls/__init__.py
@@ -1,3 +1,3 @@
-"""The second front: JSON-RPC 2.0, one object a line, over loopback TCP, with tool calls
-mid-stream.
+"""The JSON-RPC 2.0 front end: one JSON object per line over loopback TCP, with tool calls made
+while a response streams.
 """
--- a/onyxpass/toolcalls/front.py
+++ b/onyxpass/toolcalls/front.py
@@ -1,4 +1,7 @@
-"""The JSON-RPC front: clients' connections, ``generate`` and ``cancel``. It decides nothing."""
+"""The JSON-RPC front end: client connections and the methods ``generate``, ``cancel`` and ``ping``.
+
+Scheduling decisions are made by the core only.
+"""
 
 import asyncio
 import contextlib
@@ -18,16 +21,18 @@
 from onyxpass.toolcalls.rpc import RpcError, RpcRequest
 from onyxpass.toolcalls.tool_call_relay import ToolCallRelay, ToolCallState
 
-TOKEN_CHARACTERS = 4
-ID_MOST = 128
-LINGER_US = 50_000  # at the end, for the system's queue of connections to be taken in
-LOOKS = 8  # rounds of the loop, which leaves out a few looks at the sockets
-MOST_OPEN = 256  # requests that one connection may have open
+CHARACTERS_PER_TOKEN = 4  # estimate for a request without ``prompt_tokens``
+MAX_ID_CHARACTERS = 128
+# Time at shutdown in which the connections in the kernel's accept queue are accepted.
+ACCEPT_QUEUE_DELAY_US = 50_000
+# Turns of the event loop after that delay; some turns do not poll the sockets.
+ACCEPT_TURNS = 8
+MAX_OPEN_REQUESTS = 256  # per connection
 log = structlog.get_logger("rpc")
 
 
 class RpcClient:
-    """The core's client over one ``generate``: text as notifications, then exactly one response."""
+    """The core's client for one ``generate``: text as notifications, then exactly one response."""
 
     def __init__(
         self,
@@ -55,55 +60,61 @@
         try:
             await self.writer.drain()
         except OSError:
-            log.debug("client_disconnected")  # its reading side tells the core
+            log.debug("client_disconnected")  # the reading side reports it to the core
 
-    def _answer(self, text: bytes) -> None:
+    def _respond(self, text: bytes) -> None:
         if not self.answered:
             self.answered = True
             self._write(text)
 
-    def error(self, code: int, message: str, **data: object) -> None:
-        self._answer(rpc.error(self.id, RpcError(code, message, data=data or None)))
+    def send_error(self, code: int, message: str, **data: object) -> None:
+        self._respond(rpc.error(self.id, RpcError(code, message, data=data or None)))
 
-    def calls(self, *states: ToolCallState) -> list[dict[str, Any]]:
+    def call_states(self, *states: ToolCallState) -> list[dict[str, Any]]:
         wanted = states or tuple(ToolCallState)
-        told = [c for c in self.payload.calls.values() if c.state in wanted]
-        return [{"call": c.call, "name": c.name, "state": c.state.value} for c in told]
+        calls = [c for c in self.payload.calls.values() if c.state in wanted]
+        return [{"call": c.call_id, "name": c.name, "state": c.state.value} for c in calls]
 
     def complete(self) -> None:
-        result = {"request": self.request.id if self.request else None, "calls": self.calls()}
-        self._answer(rpc.result(self.id, {**self.payload.result, **result}))
+        result = {"request": self.request.id if self.request else None, "calls": self.call_states()}
+        self._respond(rpc.result(self.id, {**self.payload.result, **result}))
+
+    def send_incomplete(self, code: int, message: str) -> None:
+        """Send the error of a stream that ended early.
 
-    def broken(self, code: int, message: str) -> None:
-        """A stream that ended too early: what may have happened without a word of it is named."""
-        if unknown := self.calls(ToolCallState.SENT, ToolCallState.UNKNOWN):
-            self.error(rpc.UNKNOWN, "outcome unknown", calls=unknown, why=message)
+        If tool calls may have taken effect, the error names them as of unknown outcome instead.
+        """
+        if unknown := self.call_states(ToolCallState.SENT, ToolCallState.UNKNOWN):
+            self.send_error(rpc.OUTCOME_UNKNOWN, "outcome unknown", calls=unknown, why=message)
         else:
-            self.error(code, message, **({"calls": told} if (told := self.calls()) else {}))
+            self.send_error(
+                code, message, **({"calls": calls} if (calls := self.call_states()) else {})
+            )
 
     def abort(self, reason: str) -> None:
-        self.broken(rpc.FAILED, f"the stream broke: {reason}")
+        self.send_incomplete(rpc.FAILED, f"the stream broke: {reason}")
 
     def reject(self, retry_after_us: int) -> None:
-        self.error(rpc.REFUSED, "refused", retry_after_ms=-(-retry_after_us // 1000))
+        self.send_error(rpc.REFUSED, "refused", retry_after_ms=-(-retry_after_us // 1000))
 
     def fail(self, reason: str, late: bool) -> None:
-        self.broken(rpc.DEADLINE if late else rpc.FAILED, reason)
+        self.send_incomplete(rpc.DEADLINE_EXCEEDED if late else rpc.FAILED, reason)
 
 
 @dataclass(slots=True)
 class Connection:
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
-    mine: dict[rpc.Id, RpcClient]
+    clients: dict[rpc.Id, RpcClient]
     closed_by_server: bool = False
-    since_ns: int | None = None  # a bound of when what was read last can have come
+    # The earliest monotonic time at which the line read last may have arrived.
+    arrived_since_ns: int | None = None
 
-    def heard(self) -> None:
-        """Note since when the line that was just read may have waited in the kernel."""
+    def record_arrival(self) -> None:
+        """Record since when the line that was just read may have waited in the kernel."""
         protocol = self.writer.transport.get_protocol()
         if isinstance(protocol, TimedProtocol) and (since_ns := protocol.take_since()) is not None:
-            self.since_ns = since_ns
+            self.arrived_since_ns = since_ns
 
 
 class RpcFront:
@@ -117,7 +128,7 @@
             max_connections,
         )
         self.server: asyncio.Server | None = None
-        self.connections: dict[asyncio.Task[None], Connection] = {}  # heard from longest ago first
+        self.connections: dict[asyncio.Task[None], Connection] = {}  # least recently active first
         self.closing = False
 
     async def start(self) -> None:
@@ -135,79 +146,81 @@
         return int(self.server.sockets[0].getsockname()[1])
 
     def count_unsent(self) -> int:
-        """Connections on which an answer has not wholly left."""
+        """Return the number of open connections whose write buffer is not empty."""
         writers = (connection.writer for connection in self.connections.values())
         return sum(not w.is_closing() and w.transport.get_write_buffer_size() > 0 for w in writers)
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
-        mine: dict[rpc.Id, RpcClient] = {}
-        made_room = len(self.connections) < self.max_connections or self._make_room()
-        connection = self.connections[task] = Connection(reader, writer, mine)
+        clients: dict[rpc.Id, RpcClient] = {}
+        has_room = len(self.connections) < self.max_connections or self._close_idle_connection()
+        connection = self.connections[task] = Connection(reader, writer, clients)
         try:
-            if not made_room:
+            if not has_room:
                 writer.write(rpc.error(None, RpcError(rpc.REFUSED, "too many connections")))
                 return
             while (line := await rpc.read_line(reader)) is not None:
                 self.connections[task] = self.connections.pop(task)
-                connection.heard()
+                connection.record_arrival()
                 if connection.closed_by_server:
                     continue
                 try:
                     message = rpc.parse(line)
                     if isinstance(message, RpcRequest):
-                        self._call(message, connection)
+                        self._handle(message, connection)
                     else:
                         log.debug("unexpected_client_response", id=str(message.id)[:80])
                 except RpcError as problem:
                     writer.write(rpc.error(problem.id, problem))
                 await writer.drain()
-        except RpcError as problem:  # a line too long: where the next one starts can't be told
+        except RpcError as problem:  # the line is too long, so the start of the next is unknown
             writer.write(rpc.error(None, problem))
-        except (OSError, asyncio.CancelledError):  # the latter at the program's end
+        except (OSError, asyncio.CancelledError):  # cancelled when the program ends
             log.debug("client_disconnected")
         except Exception:
             log.exception("client_connection_failed")
         finally:
-            for client in mine.values():
-                self._withdraw(client)
+            for client in clients.values():
+                self._cancel_request(client)
             self.connections.pop(task, None)
             writer.close()
 
-    def _make_room(self) -> bool:
-        """Guards against silent clients that hold every place: one with nothing open goes, the
-        longest so.
+    def _close_idle_connection(self) -> bool:
+        """Close the least recently active connection without open requests, if there is one.
+
+        Prevents silent clients from holding every connection slot.
         """
         for connection in self.connections.values():
-            idle = all(client.answered for client in connection.mine.values())
+            idle = all(client.answered for client in connection.clients.values())
             if idle and not connection.writer.is_closing():
                 connection.writer.transport.abort()
                 return True
         return False
 
-    def _call(self, call: RpcRequest, connection: Connection) -> None:
-        writer, mine = connection.writer, connection.mine
-        for done in [id for id, client in mine.items() if client.answered]:
-            del mine[done]
+    def _handle(self, call: RpcRequest, connection: Connection) -> None:
+        writer, clients = connection.writer, connection.clients
+        for done in [id for id, client in clients.items() if client.answered]:
+            del clients[done]
         match call.method:
             case "generate" if call.id is not None:
-                if call.id in mine:  # a response with that id would be taken for the first one's
+                # Its response could not be told from that of the open request.
+                if call.id in clients:
                     raise RpcError(rpc.INVALID_REQUEST, "this id is open", data={"id": call.id})
-                if len(mine) >= MOST_OPEN or self.closing:
+                if len(clients) >= MAX_OPEN_REQUESTS or self.closing:
                     raise RpcError(
                         rpc.REFUSED, "no more requests here", call.id, {"retry_after_ms": 1000}
                     )
                 try:
-                    mine[call.id] = self._generate(call.id, call.params, connection)
+                    clients[call.id] = self._generate(call.id, call.params, connection)
                 except RpcError as problem:
                     problem.id = call.id
                     raise
             case "cancel":
                 id = call.params.get("id")
-                if isinstance(id, str | int) and (client := mine.get(id)) is not None:
-                    self._withdraw(client)
-                    client.broken(rpc.CANCELLED, "cancelled")
+                if isinstance(id, str | int) and (client := clients.get(id)) is not None:
+                    self._cancel_request(client)
+                    client.send_incomplete(rpc.CANCELLED, "cancelled")
                 if call.id is not None:
                     writer.write(rpc.result(call.id, {}))
             case "ping" if call.id is not None:
@@ -215,27 +228,25 @@
             case _ if call.id is not None:
                 raise RpcError(rpc.METHOD_NOT_FOUND, f"no method {call.method[:80]!r}", call.id)
 
-    def _withdraw(self, client: RpcClient) -> None:
-        """The client has gone: the writer is called off, and the tool server told of what is
-        out.
-        """
+    def _cancel_request(self, client: RpcClient) -> None:
+        """Cancel a request whose client no longer waits, and withdraw its open tool calls."""
         request = client.request
         if client.answered or request is None or request.finished:
             return
         self.core.answers.client_disconnected(request)
         for call in client.payload.calls.values():
-            if not call.told.is_set():
+            if not call.settled.is_set():
                 self.relay.withdraw(call)
 
     def _generate(self, id: rpc.Id, params: Any, connection: Connection) -> RpcClient:
         request_id = rpc.string_param(params, "request", secrets.token_hex(8))
         if (
-            not 0 < len(request_id) <= ID_MOST
+            not 0 < len(request_id) <= MAX_ID_CHARACTERS
             or not request_id.isascii()
             or not request_id.isprintable()
         ):
             raise RpcError(
-                rpc.INVALID_PARAMS, f"request must be 1 to {ID_MOST} printable characters"
+                rpc.INVALID_PARAMS, f"request must be 1 to {MAX_ID_CHARACTERS} printable characters"
             )
         if request_id in self.core.registry.by_id:
             raise RpcError(
@@ -251,21 +262,22 @@
                 f"no class {traffic_class[:80]!r}",
                 data={"classes": list(self.core.deadlines)},
             )
-        wait_ms = rpc.integer_param(
-            params, "timeout_ms", self.core.deadlines[traffic_class] // 1000, least=1
+        timeout_ms = rpc.integer_param(
+            params, "timeout_ms", self.core.deadlines[traffic_class] // 1000, minimum=1
         )
-        max_tokens = rpc.integer_param(params, "max_tokens", 256, least=1)
+        max_tokens = rpc.integer_param(params, "max_tokens", 256, minimum=1)
         prompt_tokens = rpc.integer_param(
-            params, "prompt_tokens", -(-len(prompt) // TOKEN_CHARACTERS)
+            params, "prompt_tokens", -(-len(prompt) // CHARACTERS_PER_TOKEN)
         )
-        clock, since_ns = self.core.clock, connection.since_ns
-        # Guards against telling a server more time than the client has left, as at the HTTP front.
+        clock, since_ns = self.core.clock, connection.arrived_since_ns
+        # Prevents a server from being given more time than the client has left, as at the HTTP
+        # front end.
         arrived_us = clock.from_monotonic_ns(since_ns) if since_ns is not None else clock.now_us()
         arrival = contract.Arrival(
             id=self.core.registry.allocate_number(request_id),
             traffic_class=traffic_class,
             session=rpc.string_param(params, "session", request_id),
-            deadline_us=arrived_us + wait_ms * 1000 - min(ANSWER_MARGIN_US, wait_ms * 500),
+            deadline_us=arrived_us + timeout_ms * 1000 - min(ANSWER_MARGIN_US, timeout_ms * 500),
             prompt_tokens=prompt_tokens,
             max_tokens=max_tokens,
             prefix=rpc.string_param(params, "prefix", "") or None,
@@ -277,24 +289,24 @@
         return client
 
     async def stop(self) -> None:
-        """Take nothing new, let what was taken end, then close."""
+        """Reject new requests, let the open ones end, then close all connections."""
         self.closing = True
-        # Guards against a reset of what came just before: once closed, the queue's connections are
-        # reset.
-        await self.core.wheel.sleep(LINGER_US)
-        # however late that timer came, the loop has looked at the queue after it
-        for _ in range(LOOKS):
+        # Prevents clients that have just connected from being reset: closing the listening socket
+        # resets the connections in its accept queue.
+        await self.core.wheel.sleep(ACCEPT_QUEUE_DELAY_US)
+        # The loop accepts from the queue at least once after the timer, however late it fired.
+        for _ in range(ACCEPT_TURNS):
             await asyncio.sleep(0)
         if self.server is not None:
             self.server.close()
         while self.core.registry.by_number:
             await self.core.wheel.sleep(20_000)
-        # Guards against a close over unread bytes, which takes with it what is on its way to the
-        # client.
+        # Prevents the loss of answers that are on their way: closing a socket with unread bytes
+        # resets the connection.
         for connection in self.connections.values():
             connection.closed_by_server = True
             if connection.writer.can_write_eof() and not connection.writer.is_closing():
-                # the client has broken off, and we have not read it yet
+                # The client may have closed the connection without this being read yet.
                 with contextlib.suppress(OSError):
                     connection.writer.write_eof()
         if self.connections:
@@ -305,4 +317,4 @@
             connection.writer.close()
         while self.connections:
             await asyncio.wait(list(self.connections))
-        await self.relay.settle()
+        await self.relay.wait_for_tasks()
--- a/onyxpass/toolcalls/replicas.py
+++ b/onyxpass/toolcalls/replicas.py
@@ -1,4 +1,4 @@
-"""Readers and writers that speak JSON-RPC: an actor for each, a connection for each attempt."""
+"""Readers and writers that speak JSON-RPC: one actor per server, one connection per attempt."""
 
 import asyncio
 from collections.abc import Mapping
@@ -20,26 +20,28 @@
 from onyxpass.toolcalls.rpc import RpcError, RpcRequest, RpcResponse
 from onyxpass.toolcalls.tool_call_relay import ToolCall, ToolCallRelay, ToolCallState
 
-# a stream that says nothing for so long is taken as broken; longer than any tool has
+# A stream without a message for this time is taken as broken. Every tool time-out is shorter.
 STREAM_STALL_TIMEOUT_US = 30_000_000
-MAX_OPEN_CALLS = 8  # tool calls that one stream may have out
-CALL_TIMEOUT_US = 120_000
+MAX_OPEN_CALLS = 8  # unanswered tool calls per request
+CALL_TIMEOUT_US = 120_000  # for health checks and releases, including the connect
 log = structlog.get_logger("peers")
 
 
 @dataclass(slots=True)
 class Payload:
-    """What a client asked for, and what became of it beside its text."""
+    """A client's request, its final result and its tool calls."""
 
     prompt: str
     max_tokens: int
     traffic_class: str
-    result: dict[str, Any] = field(default_factory=dict)  # the writer's last word
-    # by call id, in the order they came
+    result: dict[str, Any] = field(default_factory=dict)  # of the writer's final response
+    # By call id, in the order of their arrival.
     calls: dict[rpc.Id, ToolCall] = field(default_factory=dict)
 
 
 class RpcReplica(ServerActor):
+    """A reader or writer that speaks JSON-RPC, as an actor."""
+
     def __init__(
         self,
         name: str,
@@ -47,37 +49,41 @@
         address: Address,
         core: RequestDispatcher,
         relay: ToolCallRelay,
-        connect_us: int,
-        limit: asyncio.Semaphore,
+        connect_timeout_us: int,
+        connection_slots: asyncio.Semaphore,
     ) -> None:
         super().__init__(name, core)
         self.role, self.address, self.relay = role, address, relay
-        self.connect_us, self.limit = connect_us, limit
+        self.connect_timeout_us, self.connection_slots = connect_timeout_us, connection_slots
 
     async def _open(
-        self, most_us: int | None = None
+        self, timeout_us: int | None = None
     ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        async with self.wheel.timeout(self.connect_us if most_us is None else most_us):
+        async with self.wheel.timeout(
+            self.connect_timeout_us if timeout_us is None else timeout_us
+        ):
             return await connect(self.address.host, self.address.port, rpc.LINE_LIMIT)
 
     async def run_attempt(self, attempt: Attempt) -> None:
         status, note, reason, written = AttemptStatus.UNREACHABLE, 0, "", False
         writer: asyncio.StreamWriter | None = None
         try:
-            async with self.limit:
+            async with self.connection_slots:
                 reader, writer = await self._open(
-                    self.core.preconditions.connect_timeout_us(attempt.request, self.connect_us)
+                    self.core.preconditions.connect_timeout_us(
+                        attempt.request, self.connect_timeout_us
+                    )
                 )
                 await self.wait_for_release(attempt)
                 if why := self.core.preconditions.check_first_byte(attempt):
                     status, reason = AttemptStatus.NOT_SENT, why
                 else:
-                    # guards against a second run: from here on it may have been taken
+                    # Prevents a second run: from here on the server may have the request.
                     written = True
-                    self._ask(writer, attempt)
+                    self._send_request(writer, attempt)
                     self.core.reservations.attempt_begun(attempt, lambda: None)
                     self.core.outcomes.request_sent(attempt)
-                    status, note, reason = await self._answer(reader, writer, attempt)
+                    status, note, reason = await self._read_stream(reader, writer, attempt)
         except ResourceShortageError as problem:
             status, reason = AttemptStatus.NOT_SENT, str(problem)
         except RpcError as problem:
@@ -97,7 +103,7 @@
                 writer.close()
             self.core.outcomes.attempt_ended(attempt, status, note, reason)
 
-    def _ask(self, writer: asyncio.StreamWriter, attempt: Attempt) -> None:
+    def _send_request(self, writer: asyncio.StreamWriter, attempt: Attempt) -> None:
         payload: Payload = attempt.request.payload
         params = {
             "request": attempt.request.id,
@@ -112,11 +118,14 @@
             rpc.request(attempt.number, "read" if self.role is Role.PREFILL else "write", params)
         )
 
-    async def _answer(
+    async def _read_stream(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, attempt: Attempt
     ) -> tuple[AttemptStatus, int, str]:
-        """Follow one attempt to its response. Text and tool calls both are events of the stream."""
-        answering: set[asyncio.Task[None]] = set()
+        """Read an attempt's stream up to its response; text and tool calls are both stream events.
+
+        Returns the attempt's status, its note in the router's contract, and a reason.
+        """
+        result_tasks: set[asyncio.Task[None]] = set()
         turn = LoopTurn(self.core.clock)
         try:
             while True:
@@ -126,31 +135,29 @@
                     return AttemptStatus.RESET, 0, "closed without a response"
                 match rpc.parse(text):
                     case RpcResponse(id, result, error) if id == attempt.number:
-                        return self._end(attempt, result, error)
+                        return self._final_status(attempt, result, error)
                     case RpcRequest(None, "text", params) if self.role is not Role.PREFILL:
-                        part = rpc.string_param(params, "text", whole=False).encode(
+                        part = rpc.string_param(params, "text", reject_surrogates=False).encode(
                             "utf-8", "surrogatepass"
                         )
                         if not self.core.outcomes.stream_event_received(attempt):
                             return AttemptStatus.CANCELLED, 0, "nobody waits"
                         turn.begin_step()
-                        async with self.wheel.timeout(
-                            STREAM_STALL_TIMEOUT_US
-                        ):  # a client that takes nothing
+                        # Ends the attempt of a client that does not read its stream.
+                        async with self.wheel.timeout(STREAM_STALL_TIMEOUT_US):
                             await attempt.request.client.forward(part)
                         await turn.end_step()
                     case RpcRequest(int() | str() as id, "tools/call", params) if (
                         self.role is not Role.PREFILL
                     ):
-                        # Guards against a second run: the call commits the attempt before it goes
-                        # anywhere.
+                        # Prevents a second run: the call commits the attempt before it is sent on.
                         if not self.core.outcomes.stream_event_received(attempt):
                             return AttemptStatus.CANCELLED, 0, "nobody waits"
-                        call = self._tool_call(writer, attempt, id, params)
+                        call = self._start_tool_call(writer, attempt, id, params)
                         if call is not None:
-                            task = asyncio.create_task(self._tell_result(writer, call))
-                            answering.add(task)
-                            task.add_done_callback(answering.discard)
+                            task = asyncio.create_task(self._send_result(writer, call))
+                            result_tasks.add(task)
+                            task.add_done_callback(result_tasks.discard)
                     case RpcRequest(int() | str() as id, method, _):
                         writer.write(
                             rpc.error(
@@ -160,10 +167,10 @@
                     case RpcResponse(id):
                         log.warning("unexpected_response", server=self.name, id=str(id)[:80])
         finally:
-            for task in answering:
+            for task in result_tasks:
                 task.cancel()
 
-    def _tool_call(
+    def _start_tool_call(
         self, writer: asyncio.StreamWriter, attempt: Attempt, id: rpc.Id, params: Mapping[str, Any]
     ) -> ToolCall | None:
         payload: Payload = attempt.request.payload
@@ -173,7 +180,7 @@
                 raise RpcError(
                     rpc.INVALID_PARAMS, "a call needs a name, and arguments that are an object"
                 )
-            if id in payload.calls:  # the first one's response is still to come, or has come
+            if id in payload.calls:  # a response under this id is sent for the first call only
                 writer.write(
                     rpc.error(
                         None,
@@ -181,39 +188,39 @@
                     )
                 )
                 return None
-            if sum(not c.told.is_set() for c in payload.calls.values()) >= MAX_OPEN_CALLS:
-                raise RpcError(rpc.NOT_MADE, f"more than {MAX_OPEN_CALLS} calls out")
+            if sum(not c.settled.is_set() for c in payload.calls.values()) >= MAX_OPEN_CALLS:
+                raise RpcError(rpc.CALL_NOT_MADE, f"more than {MAX_OPEN_CALLS} calls out")
         except RpcError as problem:
             writer.write(rpc.error(id, problem))
             return None
         call = payload.calls[id] = ToolCall(
             attempt.request.id, id, name, arguments, lambda: not attempt.ended
         )
-        self.relay.make(call)
+        self.relay.start(call)
         return call
 
-    async def _tell_result(self, writer: asyncio.StreamWriter, call: ToolCall) -> None:
-        await call.told.wait()
-        if call.problem is not None:
-            writer.write(rpc.error(call.call, call.problem))
+    async def _send_result(self, writer: asyncio.StreamWriter, call: ToolCall) -> None:
+        await call.settled.wait()
+        if call.error is not None:
+            writer.write(rpc.error(call.call_id, call.error))
         else:
-            writer.write(rpc.result(call.call, call.result))
+            writer.write(rpc.result(call.call_id, call.result))
 
-    def _end(
+    def _final_status(
         self, attempt: Attempt, result: Any, error: RpcError | None
     ) -> tuple[AttemptStatus, int, str]:
         if error is not None:
-            if error.code in (rpc.FULL, rpc.NO_STATE) and not attempt.committed:
+            if error.code in (rpc.SERVER_FULL, rpc.NO_STATE) and not attempt.committed:
                 return (
                     AttemptStatus.OVERLOADED,
                     int(error.code == rpc.NO_STATE),
                     error.message[:200],
                 )
-            unfit = (
+            is_invalid = (
                 error.code in (rpc.INVALID_REQUEST, rpc.INVALID_PARAMS) and not attempt.committed
             )
             return (
-                (AttemptStatus.INVALID_REQUEST if unfit else AttemptStatus.ERROR),
+                (AttemptStatus.INVALID_REQUEST if is_invalid else AttemptStatus.ERROR),
                 0,
                 error.message[:200],
             )
@@ -238,8 +245,10 @@
             self.core.tell(HealthCheckResult(self.name, ok, self.core.clock.now_us() - began_us))
 
     async def call(self, method: str, params: Mapping[str, Any]) -> bool | None:
-        """A short question beside the attempts; True once it is answered well, None if it can't
-        be put.
+        """Send one request on a connection of its own, beside the attempts.
+
+        Returns whether it was answered without an error, or None if this process has no resources
+        for a connection.
         """
         writer: asyncio.StreamWriter | None = None
         try:
@@ -259,40 +268,53 @@
 
 
 class RpcReplicas(ActorFleet[RpcReplica]):
-    """The fleet over JSON-RPC."""
+    """The readers and writers that speak JSON-RPC."""
 
     def __init__(
-        self, core: RequestDispatcher, relay: ToolCallRelay, connect_us: int, most: int
+        self,
+        core: RequestDispatcher,
+        relay: ToolCallRelay,
+        connect_timeout_us: int,
+        max_connections: int,
     ) -> None:
         super().__init__(core)
-        self.relay, self.connect_us = relay, connect_us
-        self.limit = asyncio.Semaphore(most)
-        self.gone: set[str] = set()  # left the list, and still at work
+        self.relay, self.connect_timeout_us = relay, connect_timeout_us
+        self.connection_slots = asyncio.Semaphore(max_connections)
+        self.departed: set[str] = set()  # left the membership, with work open
 
     def add(self, name: str, role: Role, address: Address) -> None:
-        """A server of the operator's file, or what a newer file says of it."""
+        """Add a server of the operator's file, or update its role and address."""
         if (known := self.actors.get(name)) is not None:
             known.role, known.address = role, address
         else:
             self.add_actor(
-                RpcReplica(name, role, address, self.core, self.relay, self.connect_us, self.limit)
+                RpcReplica(
+                    name,
+                    role,
+                    address,
+                    self.core,
+                    self.relay,
+                    self.connect_timeout_us,
+                    self.connection_slots,
+                )
             )
 
     def member(self, server: contract.Endpoint, address: Address, left: bool) -> None:
-        """What a source of membership says of a server. One that has left goes once nothing of
-        it is out.
+        """Apply what a membership source reports of a server.
+
+        The actor of a server that has left is removed once it has no work left.
         """
         if left:
-            self.gone.add(server.id)
+            self.departed.add(server.id)
         else:
-            self.gone.discard(server.id)
+            self.departed.discard(server.id)
             self.add(server.id, self.core.endpoints.roles[server.kind], address)
-        for name in list(self.gone):
+        for name in list(self.departed):
             actor = self.actors.get(name)
             if actor is None or not (
                 actor.tasks or actor.background_tasks or actor.mailbox.qsize()
             ):
-                self.gone.discard(name)
+                self.departed.discard(name)
                 if actor is not None:
                     self.remove_actor(actor)
 
@@ -300,11 +322,14 @@
         self.track_release(request, self._release(request))
 
     async def _release(self, request: Request) -> None:
-        """Any peer passes the word on."""
+        """Release the state of a request by a call to any one of the servers."""
         await release(
-            self.core, request, lambda: self.actors, lambda name: self._ask(name, request.id)
+            self.core,
+            request,
+            lambda: self.actors,
+            lambda name: self._call_release(name, request.id),
         )
 
-    async def _ask(self, name: str, request_id: str) -> bool:
+    async def _call_release(self, name: str, request_id: str) -> bool:
         replica = self.actors.get(name)
         return replica is not None and bool(await replica.call("release", {"request": request_id}))
--- a/onyxpass/toolcalls/rpc.py
+++ b/onyxpass/toolcalls/rpc.py
@@ -1,4 +1,4 @@
-"""JSON-RPC 2.0 messages, one object a line, and the codes that this front answers with."""
+"""JSON-RPC 2.0 messages, one object per line, and the error codes that the front end uses."""
 
 import asyncio
 import json
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any, NoReturn
 
-LINE_LIMIT = 256 * 1024
+LINE_LIMIT = 256 * 1024  # bytes
 Id = str | int
 
 PARSE_ERROR, INVALID_REQUEST, METHOD_NOT_FOUND, INVALID_PARAMS, INTERNAL_ERROR = (
@@ -16,26 +16,37 @@
     -32602,
     -32603,
 )
-REFUSED, FAILED, DEADLINE, UNKNOWN, CANCELLED = -32001, -32002, -32003, -32004, -32005
-STORE_DOWN, NOT_MADE, TOOL_UNKNOWN, CLAIMED = -32010, -32011, -32012, -32013
-FULL, NO_STATE = -32020, -32021
+REFUSED, FAILED, DEADLINE_EXCEEDED, OUTCOME_UNKNOWN, CANCELLED = (
+    -32001,
+    -32002,
+    -32003,
+    -32004,
+    -32005,
+)
+STORE_UNAVAILABLE, CALL_NOT_MADE, TOOL_OUTCOME_UNKNOWN, ALREADY_CLAIMED = (
+    -32010,
+    -32011,
+    -32012,
+    -32013,
+)
+SERVER_FULL, NO_STATE = -32020, -32021
 
 
 class RpcError(Exception):
-    """An error object: ``id`` is that of the request it answers, None where it can't be told."""
+    """An error object. ``id`` is that of the request it answers, None if the id is unknown."""
 
     def __init__(self, code: int, message: str, id: Id | None = None, data: object = None) -> None:
         super().__init__(message)
         self.code, self.message, self.id, self.data = code, message, id, data
 
-    def body(self) -> dict[str, Any]:
+    def to_dict(self) -> dict[str, Any]:
         body: dict[str, Any] = {"code": self.code, "message": self.message}
         return body if self.data is None else {**body, "data": self.data}
 
 
 @dataclass(frozen=True, slots=True)
 class RpcRequest:
-    """A request; ``id`` None makes it a notification, which is never answered."""
+    """A request, or a notification, which is never answered, if ``id`` is None."""
 
     id: Id | None
     method: str
@@ -49,14 +60,17 @@
     error: RpcError | None = None
 
 
-def _no_constant(name: str) -> NoReturn:
+def _reject_constant(name: str) -> NoReturn:
     raise ValueError(f"{name} is not JSON")
 
 
 def parse(line: bytes) -> RpcRequest | RpcResponse:
-    """One line; RpcError says what is wrong with it, with the id where it could be made out."""
+    """Parse one line.
+
+    Raises RpcError if the line is invalid, with the id of the message if it could be read.
+    """
     try:
-        message = json.loads(line, parse_constant=_no_constant)
+        message = json.loads(line, parse_constant=_reject_constant)
     except (ValueError, RecursionError) as problem:
         raise RpcError(PARSE_ERROR, f"not JSON: {str(problem)[:100]}") from problem
     if not isinstance(message, dict):
@@ -86,34 +100,35 @@
     error = message["error"]
     if not isinstance(error, dict) or type(error.get("code")) is not int:
         raise RpcError(INVALID_REQUEST, "an error needs a whole code", id)
-    told = RpcError(error["code"], str(error.get("message") or ""), id, error.get("data"))
-    return RpcResponse(id, error=told)
+    rpc_error = RpcError(error["code"], str(error.get("message") or ""), id, error.get("data"))
+    return RpcResponse(id, error=rpc_error)
 
 
-def line(message: Mapping[str, Any]) -> bytes:
+def encode_line(message: Mapping[str, Any]) -> bytes:
     return json.dumps({"jsonrpc": "2.0", **message}, separators=(",", ":")).encode() + b"\n"
 
 
 def request(id: Id, method: str, params: Mapping[str, Any]) -> bytes:
-    return line({"id": id, "method": method, "params": params})
+    return encode_line({"id": id, "method": method, "params": params})
 
 
 def notification(method: str, params: Mapping[str, Any]) -> bytes:
-    return line({"method": method, "params": params})
+    return encode_line({"method": method, "params": params})
 
 
 def result(id: Id | None, value: object) -> bytes:
-    return line({"id": id, "result": value})
+    return encode_line({"id": id, "result": value})
 
 
 def error(id: Id | None, problem: RpcError) -> bytes:
-    return line({"id": id, "error": problem.body()})
+    return encode_line({"id": id, "error": problem.to_dict()})
 
 
 async def read_line(reader: asyncio.StreamReader) -> bytes | None:
-    """The next line that is not empty; None at the end. A line cut off by the end does not count.
+    """Return the next line that is not blank, or None at the end of the stream.
 
-    The reader must have been made with ``limit=LINE_LIMIT``; RpcError if a line is longer.
+    A last line without a line feed is dropped. The reader must have been made with
+    ``limit=LINE_LIMIT``; raises RpcError if a line is longer.
     """
     while True:
         try:
@@ -127,20 +142,24 @@
 
 
 def string_param(
-    params: Mapping[str, Any], name: str, fallback: str | None = None, whole: bool = True
+    params: Mapping[str, Any], name: str, default: str | None = None, reject_surrogates: bool = True
 ) -> str:
-    """A string; ``whole``: without halves of surrogate pairs, which no key can be made of.
+    """Return a string parameter; raises RpcError if it is not a string.
 
-    A part of a stream may be cut between such halves, and is passed on as it is.
+    ``reject_surrogates`` refuses unpaired surrogates as well, which cannot be encoded as UTF-8 and
+    so not be hashed or stored as a key. A part of a streamed text may be cut inside a surrogate
+    pair, and is passed on unchanged.
     """
-    value = params.get(name, fallback)
-    if not isinstance(value, str) or (whole and any("\ud800" <= c <= "\udfff" for c in value)):
+    value = params.get(name, default)
+    if not isinstance(value, str) or (
+        reject_surrogates and any("\ud800" <= c <= "\udfff" for c in value)
+    ):
         raise RpcError(INVALID_PARAMS, f"{name} must be a string")
     return value
 
 
-def integer_param(params: Mapping[str, Any], name: str, fallback: int, least: int = 0) -> int:
-    value = params.get(name, fallback)
-    if type(value) is not int or not least <= value <= 2**40:
-        raise RpcError(INVALID_PARAMS, f"{name} must be a whole number of at least {least}")
+def integer_param(params: Mapping[str, Any], name: str, default: int, minimum: int = 0) -> int:
+    value = params.get(name, default)
+    if type(value) is not int or not minimum <= value <= 2**40:
+        raise RpcError(INVALID_PARAMS, f"{name} must be a whole number of at least {minimum}")
     return value
--- a/onyxpass/toolcalls/service.py
+++ b/onyxpass/toolcalls/service.py
@@ -1,4 +1,4 @@
-"""The JSON-RPC front as a program: its operator's file, and all parts put together."""
+"""The JSON-RPC front end as a program: its configuration file and the service."""
 
 import asyncio
 import ipaddress
@@ -31,7 +31,7 @@
 from onyxpass.toolcalls.replicas import STREAM_STALL_TIMEOUT_US, RpcReplicas
 from onyxpass.toolcalls.tool_call_relay import ToolCallRelay, ToolServer
 
-if TYPE_CHECKING:  # guards against start time spent on what only watched files need
+if TYPE_CHECKING:  # keeps start-up short: only watched files need this module
     from onyxpass.sources.membership import FileSource
 
 log = structlog.get_logger("rpc")
@@ -51,10 +51,10 @@
     store_timeout_ms: int = 300
     claim_ttl_s: int = 86_400
     connections: int = 256
-    sources: Path | None = None  # our own file of watched files, in place of ``servers``
+    sources: Path | None = None  # the file that names the watched files, in place of ``servers``
 
 
-IN_FLIGHT = frozenset(("servers", "claim_ttl_s"))
+RELOADABLE_KEYS = frozenset(("servers", "claim_ttl_s"))
 
 
 def toolcalls_values(config: ToolcallsConfig) -> dict[str, Any]:
@@ -75,32 +75,36 @@
     }
 
 
-def toolcalls_in_flight(key: str) -> bool:
-    return key in IN_FLIGHT or settings_in_flight(key)
+def is_reloadable(key: str) -> bool:
+    return key in RELOADABLE_KEYS or settings_in_flight(key)
 
 
 def parse_loopback_address(text: str) -> Address:
-    """An address on this machine: this front has no transport security, so it serves nothing
-    beyond.
+    """Parse an address, which must be a loopback one: this front end has no transport security.
+
+    Raises ConfigError if it is not.
     """
     address = Address.parse(text)
     try:
-        inside = ipaddress.ip_address(address.host).is_loopback
+        is_loopback = ipaddress.ip_address(address.host).is_loopback
     except ValueError:
-        inside = False
-    if not inside:
+        is_loopback = False
+    if not is_loopback:
         raise ConfigError(f"not a loopback address: {text!r}")
     return address
 
 
 def parse(raw: Mapping[str, Any], base: Path = Path()) -> ToolcallsConfig:
-    """``base``: the folder that relative paths start from."""
+    """Parse a configuration; relative paths are resolved against ``base``.
+
+    Raises ConfigError if it is invalid.
+    """
     try:
         settings = read_settings(raw["settings"])
         kinds = {kind.name for kind in settings.kinds}
         servers = []
         if "sources" in raw and "servers" in raw:
-            raise ConfigError("sources and servers: only one of them can name the servers")
+            raise ConfigError("sources and servers: only one of the two keys may be set")
         for entry in raw["servers"] if "sources" not in raw else ():
             if entry["kind"] not in kinds:
                 raise ConfigError(f"server {entry['id']!r} is of no kind that the settings name")
@@ -145,19 +149,19 @@
     kind = "toolcalls"
 
     def __init__(
-        self, config: ToolcallsConfig, reread: Callable[[], ToolcallsConfig] | None = None
+        self, config: ToolcallsConfig, read_config: Callable[[], ToolcallsConfig] | None = None
     ) -> None:
         self.config = config
-        self.reread = reread or (lambda: self.config)
+        self.read_config = read_config or (lambda: self.config)
         self.clock = Clock()
         self.wheel = TimerWheel(self.clock)
         self.core = RequestDispatcher(config.settings, config.seed, self.clock, self.wheel)
         self.store = RedisStore(config.store_url, config.store_timeout_ms)
         self.relay = ToolCallRelay(self.store, config.claim_ttl_s)
-        self.tools = ToolServer(
-            config.tools, self.wheel, self.relay.ended, config.tool_timeout_us, config.connect_us
+        self.tool_server = ToolServer(
+            config.tools, self.wheel, self.relay.record, config.tool_timeout_us, config.connect_us
         )
-        self.relay.server = self.tools
+        self.relay.tool_server = self.tool_server
         self.replicas = RpcReplicas(self.core, self.relay, config.connect_us, config.connections)
         self.core.connect_fleet(self.replicas)
         self.front = RpcFront(self.core, self.relay, config.listen, config.connections)
@@ -168,16 +172,18 @@
 
             sources = membership.load(config.sources)
             if not sources.whole:
-                raise ConfigError(f"{config.sources}: this front has no discovery to lie over")
+                raise ConfigError(
+                    f"{config.sources}: this front end has no discovery for the file to overlay"
+                )
             self.files = membership.FileSource(self.core, self.replicas, sources, loopback=True)
 
     async def start(self) -> None:
-        for work in (self.core.run(), self.wheel.run(), self.tools.run()):
+        for work in (self.core.run(), self.wheel.run(), self.tool_server.run()):
             self.tasks.append(asyncio.create_task(work))
         if self.files is not None:
             self.tasks.append(asyncio.create_task(self.files.follow()))
         else:
-            self._serve_with(self.config)
+            self._apply_servers(self.config)
         await self.front.start()
         if managed():
             from onyxpass.admin.server import AdminServer
@@ -190,7 +196,7 @@
             listen=f"{self.config.listen.host}:{self.front.port}",
         )
 
-    def _serve_with(self, config: ToolcallsConfig) -> None:
+    def _apply_servers(self, config: ToolcallsConfig) -> None:
         for server, address in config.servers:
             self.replicas.add(server.id, self.core.endpoints.roles[server.kind], address)
         self.core.update_endpoints(
@@ -200,24 +206,26 @@
         )
 
     def reload(self, read: Callable[[], ToolcallsConfig]) -> None:
-        """Take over the servers of the file as it is now, and what else can be changed; on
-        SIGHUP.
+        """Apply the present file as far as a running process can; called on SIGHUP.
+
+        An invalid file is logged and changes nothing.
         """
         try:
-            self.take_over(read)
-        except ConfigError as problem:  # guards against a file half written: the old servers stay
+            self.apply_configuration(read)
+        except ConfigError as problem:  # for example a file half written: the old servers stay
             log.error("configuration_rejected", why=str(problem))
-        except Exception:  # guards against a crash on a file that nobody foresaw
+        except Exception:  # prevents a file with an unforeseen fault from ending the process
             log.exception("configuration_unreadable")
 
-    def take_over(self, read: Callable[[], ToolcallsConfig]) -> ConfigurationChange:
-        """All that a running process can change, at once; the rest is named and waits for a
-        restart.
+    def apply_configuration(self, read: Callable[[], ToolcallsConfig]) -> ConfigurationChange:
+        """Apply every key that a running process can change, and return the change.
+
+        The change names the keys that need a restart. Raises ConfigError if the file is invalid.
         """
         fresh, old = read(), self.config
         if unknown := {server.kind for server, _ in fresh.servers} - set(self.core.endpoints.roles):
             raise ConfigError(f"kinds that need a restart: {', '.join(sorted(unknown))}")
-        change = compare(toolcalls_values(old), toolcalls_values(fresh), toolcalls_in_flight)
+        change = compare(toolcalls_values(old), toolcalls_values(fresh), is_reloadable)
         self.config = replace(
             old,
             servers=fresh.servers,
@@ -228,17 +236,17 @@
         if self.config.settings != old.settings:
             self.core.apply_settings(self.config.settings)
         if self.files is None:
-            self._serve_with(fresh)
+            self._apply_servers(fresh)
         log.info("reloaded", servers=len(fresh.servers), needs_a_restart=list(change.needs_restart))
         return change
 
-    # As its agent manages it
+    # Interface for the admin server
 
     def values(self) -> ConfigurationTable:
         return toolcalls_values(self.config)
 
     def reload_now(self) -> ConfigurationChange:
-        return self.take_over(self.reread)
+        return self.apply_configuration(self.read_config)
 
     def ready(self) -> bool:
         return not (self.front.closing or self.core.shutdown.begun)
@@ -248,7 +256,10 @@
         return OpenRequests(max(requests, self.front.count_unsent()), streams, oldest_us)
 
     def set_draining(self, draining: bool) -> None:
-        """Its connections stay: on each of them more requests are refused by their own answers."""
+        """Resume admitting requests once draining ends.
+
+        Draining closes no connection: each new request on an open connection is rejected.
+        """
         if not draining:
             self.core.shutdown.cancel()
 
@@ -265,36 +276,34 @@
         log.info("stopped", name=self.config.name)
 
     async def close(self) -> None:
-        """End all tasks without waiting for anything that is out."""
-        mine = [
+        """Cancel all tasks, without waiting for open requests, and close the store."""
+        tasks = [
             *self.tasks,
             *self.replicas.actor_tasks.values(),
             *self.replicas.release_tasks,
             *self.relay.tasks,
         ]
-        mine += [
+        tasks += [
             task
             for replica in self.replicas.actors.values()
             for task in (*replica.tasks.values(), *replica.background_tasks)
         ]
-        mine += [self.tools.task] if self.tools.task else []
-        for task in mine:
+        tasks += [self.tool_server.task] if self.tool_server.task else []
+        for task in tasks:
             task.cancel()
-        await asyncio.gather(*mine, return_exceptions=True)
+        await asyncio.gather(*tasks, return_exceptions=True)
         await self.store.close()
 
 
-async def serve(config: ToolcallsConfig, reread: Callable[[], ToolcallsConfig]) -> None:
-    """Run till SIGTERM or SIGINT, then finish what was taken. SIGHUP reads the file's servers
-    again.
-    """
+async def serve(config: ToolcallsConfig, read_config: Callable[[], ToolcallsConfig]) -> None:
+    """Run until SIGTERM or SIGINT, then finish the open requests. SIGHUP reloads the file."""
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stopping.set)
-    service = ToolcallService(config, reread)
+    service = ToolcallService(config, read_config)
     await service.start()
-    loop.add_signal_handler(signal.SIGHUP, service.reload, reread)
+    loop.add_signal_handler(signal.SIGHUP, service.reload, read_config)
     ended = asyncio.create_task(stopping.wait())
     await asyncio.wait([ended, *service.tasks], return_when=asyncio.FIRST_COMPLETED)
     for task in service.tasks:
--- a/onyxpass/toolcalls/tool_call_relay.py
+++ b/onyxpass/toolcalls/tool_call_relay.py
@@ -1,5 +1,5 @@
-"""Tool calls: each is claimed in the store before it is sent, sent once at most, and recorded to
-its end.
+"""Tool calls: each is claimed in the store before it is sent, is sent at most once, and has its
+outcome recorded.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 
 
 class ToolCallState(Enum):
-    """Where a call stands. From SENT on it may have had its effect."""
+    """The progress of a call. A call that was sent may have taken effect, whatever its result."""
 
     CLAIMING = "claiming"
     NOT_MADE = "not made"
@@ -34,22 +34,22 @@
 @dataclass(eq=False, slots=True)
 class ToolCall:
     request: str
-    call: rpc.Id
+    call_id: rpc.Id
     name: str
     arguments: Mapping[str, Any]
-    wanted: Callable[[], bool]  # whether the stream that asked for it still waits
+    is_wanted: Callable[[], bool]  # whether the stream that made the call is still open
     state: ToolCallState = ToolCallState.CLAIMING
     result: Any = None
-    problem: RpcError | None = None
-    withdrawn: bool = False  # its client has gone
-    told: asyncio.Event = field(default_factory=asyncio.Event)  # the writer can be answered
+    error: RpcError | None = None
+    withdrawn: bool = False  # the client has disconnected or cancelled the request
+    settled: asyncio.Event = field(default_factory=asyncio.Event)  # the writer can be answered
     timer: Timer | None = None
 
     @property
     def key(self) -> str:
-        return f"{self.request}:{self.call}"
+        return f"{self.request}:{self.call_id}"
 
-    def record(self) -> dict[str, Any]:
+    def to_record(self) -> dict[str, Any]:
         body: dict[str, Any] = {
             "state": self.state.value,
             "name": self.name,
@@ -57,276 +57,293 @@
         }
         if self.state is ToolCallState.DONE:
             body["result"] = self.result
-        if self.problem is not None:
-            body["error"] = self.problem.body()
+        if self.error is not None:
+            body["error"] = self.error.to_dict()
         return body
 
 
 @dataclass(frozen=True, slots=True)
-class Make:
+class SendCall:
     call: ToolCall
 
 
 @dataclass(frozen=True, slots=True)
-class Withdraw:
+class WithdrawCall:
     call: ToolCall
 
 
 @dataclass(frozen=True, slots=True)
-class Slow:
+class CallTimedOut:
     call: ToolCall
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
-    link: int
+class ResponseReceived:
+    connection_number: int
     reply: RpcResponse
 
 
 @dataclass(frozen=True, slots=True)
-class Up:
+class Connected:
     writer: asyncio.StreamWriter
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
-    link: int
+class ConnectionLost:
+    connection_number: int
     reason: str
 
 
-Order = Make | Withdraw | Slow | Heard | Up | Lost
+Message = SendCall | WithdrawCall | CallTimedOut | ResponseReceived | Connected | ConnectionLost
 
 
-class ToolServer(Actor[Order]):
-    """The tool server as an actor: one connection, many calls on it, each line written once."""
+class ToolServer(Actor[Message]):
+    """The tool server as an actor: one connection for many calls, each of them written once."""
 
     def __init__(
         self,
         address: Address,
         wheel: TimerWheel,
-        ended: Callable[[ToolCall], None],
+        on_change: Callable[[ToolCall], None],
         timeout_us: int,
-        connect_us: int,
+        connect_timeout_us: int,
     ) -> None:
         super().__init__("tools")
-        self.address, self.wheel, self.ended = address, wheel, ended
-        self.timeout_us, self.connect_us = timeout_us, connect_us
-        self.queued: list[ToolCall] = []  # not sent: the connection is not up
-        self.out: dict[str, ToolCall] = {}  # sent on this connection, and without a result
+        self.address, self.wheel, self.on_change = address, wheel, on_change
+        self.timeout_us, self.connect_timeout_us = timeout_us, connect_timeout_us
+        self.queued: list[ToolCall] = []  # waiting for a connection
+        self.in_flight: dict[str, ToolCall] = {}  # sent on this connection, no result yet
         self.writer: asyncio.StreamWriter | None = None
-        self.link = 0  # which connection; words of an older one are passed over
+        self.connection_number = 0  # messages from connections with a lower number are ignored
         self.task: asyncio.Task[None] | None = None
 
-    def receive(self, message: Order) -> None:
+    def receive(self, message: Message) -> None:
         match message:
-            case Make(call):
-                self._make(call)
-            case Withdraw(call):
+            case SendCall(call):
+                self._send(call)
+            case WithdrawCall(call):
                 self._withdraw(call)
-            case Slow(call) if call.state is ToolCallState.SENT:
-                # The connection stays: a result that comes late is still recorded.
-                self._end(
+            case CallTimedOut(call) if call.state is ToolCallState.SENT:
+                # The connection stays open, so that a late result is still recorded.
+                self._finish(
                     call,
                     ToolCallState.UNKNOWN,
-                    RpcError(rpc.TOOL_UNKNOWN, "no result in time: outcome unknown"),
+                    RpcError(rpc.TOOL_OUTCOME_UNKNOWN, "no result in time: outcome unknown"),
                 )
-            case Heard(link, reply) if link == self.link:
-                self._heard(reply)
-            case Up(writer):
+            case ResponseReceived(connection_number, reply) if (
+                connection_number == self.connection_number
+            ):
+                self._handle_response(reply)
+            case Connected(writer):
                 self.writer, queued, self.queued = writer, self.queued, []
                 for call in queued:
-                    self._make(call)
-            case Lost(link, reason) if link == self.link:
-                self._lost(reason)
+                    self._send(call)
+            case ConnectionLost(connection_number, reason) if (
+                connection_number == self.connection_number
+            ):
+                self._handle_connection_loss(reason)
 
-    def recover(self, message: Order) -> None:
-        if isinstance(message, Make):
+    def recover(self, message: Message) -> None:
+        if isinstance(message, SendCall):
             sent = message.call.state is ToolCallState.SENT
-            self._end(
+            self._finish(
                 message.call,
                 ToolCallState.UNKNOWN if sent else ToolCallState.NOT_MADE,
                 RpcError(rpc.INTERNAL_ERROR, "fault"),
             )
 
-    def _make(self, call: ToolCall) -> None:
-        if call.withdrawn or not call.wanted():  # no call goes out for a stream that has ended
-            self._end(
-                call, ToolCallState.NOT_MADE, RpcError(rpc.NOT_MADE, "nobody waits for it any more")
+    def _send(self, call: ToolCall) -> None:
+        if call.withdrawn or not call.is_wanted():  # the stream that made the call has ended
+            self._finish(
+                call,
+                ToolCallState.NOT_MADE,
+                RpcError(rpc.CALL_NOT_MADE, "nobody waits for it any more"),
             )
             return
         if self.writer is None or self.writer.is_closing():
             self.queued.append(call)
             if self.task is None:
-                self.link += 1
-                self.task = asyncio.create_task(self._follow(self.link))
+                self.connection_number += 1
+                self.task = asyncio.create_task(self._run_connection(self.connection_number))
             return
         call.state = ToolCallState.SENT
-        self.out[call.key] = call
-        call.timer = self.wheel.after(self.timeout_us, lambda: self.tell(Slow(call)))
+        self.in_flight[call.key] = call
+        call.timer = self.wheel.after(self.timeout_us, lambda: self.tell(CallTimedOut(call)))
         params = {"name": call.name, "arguments": call.arguments}
         self.writer.write(rpc.request(call.key, "tools/call", params))
 
     def _withdraw(self, call: ToolCall) -> None:
-        if call.key in self.out and self.writer is not None and not self.writer.is_closing():
+        if call.key in self.in_flight and self.writer is not None and not self.writer.is_closing():
             params = {"requestId": call.key, "reason": "the client has gone"}
             self.writer.write(rpc.notification("notifications/cancelled", params))
-        self.ended(call)  # recorded as withdrawn now; its result, if one comes, is recorded then
+        self.on_change(call)  # records the withdrawal now; a result is recorded when it arrives
 
-    def _heard(self, reply: RpcResponse) -> None:
-        call = self.out.pop(str(reply.id), None)
+    def _handle_response(self, reply: RpcResponse) -> None:
+        call = self.in_flight.pop(str(reply.id), None)
         if call is None:
             log.warning("unexpected_tool_result", id=str(reply.id)[:80])
         elif reply.error is not None:
-            self._end(call, ToolCallState.ERROR, reply.error)
+            self._finish(call, ToolCallState.ERROR, reply.error)
         else:
             call.result = reply.result
-            self._end(call, ToolCallState.DONE, None)
+            self._finish(call, ToolCallState.DONE, None)
 
-    def _lost(self, reason: str) -> None:
-        self.task, was_up = None, self.writer is not None
+    def _handle_connection_loss(self, reason: str) -> None:
+        self.task, was_connected = None, self.writer is not None
         if self.writer is not None:
             self.writer.close()
-        self.writer, out, queued = None, list(self.out.values()), self.queued
-        self.out, self.queued = {}, []
+        self.writer, in_flight, queued = None, list(self.in_flight.values()), self.queued
+        self.in_flight, self.queued = {}, []
         for call in queued:
-            if was_up:  # it came while the old connection was ending, so a new one is worth a try
-                self._make(call)
+            # The call was queued while the old connection was closing: a new one is tried.
+            if was_connected:
+                self._send(call)
                 continue
-            self._end(
+            self._finish(
                 call,
                 ToolCallState.NOT_MADE,
-                RpcError(rpc.NOT_MADE, f"the tool server can't be reached: {reason}"),
+                RpcError(rpc.CALL_NOT_MADE, f"the tool server can't be reached: {reason}"),
             )
-        for call in out:  # never sent again: the server may have it
-            self._end(
+        for call in in_flight:  # not sent again: the server may have received it
+            self._finish(
                 call,
                 ToolCallState.UNKNOWN,
-                RpcError(rpc.TOOL_UNKNOWN, f"the tool server was lost: {reason}"),
+                RpcError(rpc.TOOL_OUTCOME_UNKNOWN, f"the tool server was lost: {reason}"),
             )
 
-    def _end(self, call: ToolCall, state: ToolCallState, problem: RpcError | None) -> None:
+    def _finish(self, call: ToolCall, state: ToolCallState, error: RpcError | None) -> None:
         if call.timer is not None:
             call.timer.cancel()
-        call.state, call.problem = state, problem
-        call.told.set()
-        self.ended(call)
+        call.state, call.error = state, error
+        call.settled.set()
+        self.on_change(call)
 
-    async def _follow(self, link: int) -> None:
+    async def _run_connection(self, connection_number: int) -> None:
         reason, writer = "closed", None
         try:
-            async with self.wheel.timeout(self.connect_us):
+            async with self.wheel.timeout(self.connect_timeout_us):
                 reader, writer = await asyncio.open_connection(
                     self.address.host, self.address.port, limit=rpc.LINE_LIMIT
                 )
-            self.tell(Up(writer))
+            self.tell(Connected(writer))
             while (text := await rpc.read_line(reader)) is not None:
                 message = rpc.parse(text)
                 if isinstance(message, RpcResponse):
-                    self.tell(Heard(link, message))
+                    self.tell(ResponseReceived(connection_number, message))
                 elif message.id is not None:
                     writer.write(
                         rpc.error(
                             message.id, RpcError(rpc.METHOD_NOT_FOUND, "nothing is served here")
                         )
                     )
-        except RpcError as problem:  # it talks garbage: nothing more of it is believed
+        except RpcError as problem:  # an invalid message: nothing after it can be trusted
             reason = f"garbage: {problem.message}"
         except (OSError, TimeoutError) as problem:
             reason = str(problem) or "no connection"
         finally:
-            self.tell(Lost(link, reason))
+            self.tell(ConnectionLost(connection_number, reason))
 
 
 class ToolCallRelay:
-    """Claims, makes and records calls. A call outlives the stream that asked for it, till it has
-    ended.
+    """Claims, sends and records tool calls.
+
+    A call that was sent is followed until it ends, even if the stream that made it has ended.
     """
 
     def __init__(self, store: RedisStore, ttl_s: int) -> None:
         self.store, self.ttl_s = store, ttl_s
-        self.server: ToolServer | None = None
-        self.open: dict[str, ToolCall] = {}
+        self.tool_server: ToolServer | None = None
+        self.open_calls: dict[str, ToolCall] = {}
         self.tasks: set[asyncio.Task[None]] = set()
-        self._last: dict[str, asyncio.Task[None]] = {}
+        self._last_writes: dict[str, asyncio.Task[None]] = {}
 
-    def make(self, call: ToolCall) -> None:
-        """Start on a call; ``call.told`` is set once the writer can be answered."""
-        if call.key in self.open:
+    def start(self, call: ToolCall) -> None:
+        """Start a call; ``call.settled`` is set once the writer can be answered."""
+        if call.key in self.open_calls:
             call.state = ToolCallState.NOT_MADE
-            call.problem = RpcError(
-                rpc.CLAIMED, "a call with this id is out", data={"call": call.call}
+            call.error = RpcError(
+                rpc.ALREADY_CLAIMED, "a call with this id is out", data={"call": call.call_id}
             )
-            call.told.set()
+            call.settled.set()
             return
-        self.open[call.key] = call
-        self._beside(self._claim(call))
+        self.open_calls[call.key] = call
+        self._start_task(self._claim(call))
 
     def withdraw(self, call: ToolCall) -> None:
-        """The client has gone. The call is not made if it is not out yet; else its server is
-        told.
+        """Withdraw a call whose client no longer waits.
+
+        A call that is not sent yet will not be sent; otherwise the tool server is notified.
         """
         call.withdrawn = True
-        if call.state is ToolCallState.SENT and self.server is not None:
-            self.server.tell(Withdraw(call))
+        if call.state is ToolCallState.SENT and self.tool_server is not None:
+            self.tool_server.tell(WithdrawCall(call))
 
-    def ended(self, call: ToolCall) -> None:
-        """How a call stands now goes on record, in the order in which it came to stand so."""
+    def record(self, call: ToolCall) -> None:
+        """Record the present state of a call, after the records of its earlier states."""
         if call.state is not ToolCallState.SENT:
-            self.open.pop(call.key, None)
-        self._beside(self._record(call.key, call.record(), self._last.get(call.key)), call.key)
+            self.open_calls.pop(call.key, None)
+        self._start_task(
+            self._write_record(call.key, call.to_record(), self._last_writes.get(call.key)),
+            call.key,
+        )
 
-    def _beside(self, work: Any, key: str = "") -> None:
+    def _start_task(self, work: Any, key: str = "") -> None:
         task = asyncio.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         if key:
-            self._last[key] = task
-            task.add_done_callback(lambda done: self._last.get(key) is done and self._last.pop(key))
+            self._last_writes[key] = task
+            task.add_done_callback(
+                lambda done: self._last_writes.get(key) is done and self._last_writes.pop(key)
+            )
 
     async def _claim(self, call: ToolCall) -> None:
         try:
             if await self.store.claim_call(
                 call.key, {"state": ToolCallState.CLAIMING.value, "name": call.name}, self.ttl_s
             ):
-                if self.server is not None:
-                    self.server.tell(Make(call))
+                if self.tool_server is not None:
+                    self.tool_server.tell(SendCall(call))
                 else:
-                    self._not_made(call, RpcError(rpc.NOT_MADE, "nobody waits for it any more"))
-                    self.ended(call)
+                    self._fail_unsent(
+                        call, RpcError(rpc.CALL_NOT_MADE, "nobody waits for it any more")
+                    )
+                    self.record(call)
                 return
-            found = await self.store.recorded_call(call.key) or {}
+            record = await self.store.recorded_call(call.key) or {}
         except StoreUnavailableError as problem:
-            # Guards against a call that could be made twice: without a claim it is not made at all.
+            # Prevents a call from being made twice: without a claim it is not made at all.
             log.warning("store_unavailable", why=str(problem), call=call.key)
-            self._not_made(
-                call, RpcError(rpc.STORE_DOWN, "the store is down: the call was not made")
+            self._fail_unsent(
+                call, RpcError(rpc.STORE_UNAVAILABLE, "the store is down: the call was not made")
             )
             return
-        stood = found.get("state")
-        if stood == ToolCallState.DONE.value:  # made before, by whomever: its result serves again
-            call.result, call.state = found.get("result"), ToolCallState.DONE
-        else:  # it may be out elsewhere, or its maker may have died: it is not made a second time
+        state = record.get("state")
+        if state == ToolCallState.DONE.value:  # made before: the recorded result is used
+            call.result, call.state = record.get("result"), ToolCallState.DONE
+        else:
+            # Another process may be making the call, or may have crashed: it is not made again.
             call.state = (
-                ToolCallState(stood)
-                if stood in (ToolCallState.NOT_MADE.value, ToolCallState.ERROR.value)
+                ToolCallState(state)
+                if state in (ToolCallState.NOT_MADE.value, ToolCallState.ERROR.value)
                 else ToolCallState.UNKNOWN
             )
-            data = {"call": call.call, "state": call.state.value}
-            call.problem = RpcError(rpc.CLAIMED, "claimed before", data=data)
-        self.open.pop(call.key, None)
-        call.told.set()
-
-    def _not_made(self, call: ToolCall, problem: RpcError) -> None:
-        call.state, call.problem = ToolCallState.NOT_MADE, problem
-        self.open.pop(call.key, None)
-        call.told.set()
-
-    async def _record(
-        self, key: str, record: Mapping[str, Any], before: asyncio.Task[None] | None
+            data = {"call": call.call_id, "state": call.state.value}
+            call.error = RpcError(rpc.ALREADY_CLAIMED, "claimed before", data=data)
+        self.open_calls.pop(call.key, None)
+        call.settled.set()
+
+    def _fail_unsent(self, call: ToolCall, error: RpcError) -> None:
+        call.state, call.error = ToolCallState.NOT_MADE, error
+        self.open_calls.pop(call.key, None)
+        call.settled.set()
+
+    async def _write_record(
+        self, key: str, record: Mapping[str, Any], previous: asyncio.Task[None] | None
     ) -> None:
-        if before is not None:
-            await asyncio.wait([before])
-        # how a call ended is worth some patience with the store
+        if previous is not None:
+            await asyncio.wait([previous])
+        # The outcome of a call is retried, because a store outage may be short.
         for wait_s in (0.1, 1.0, 5.0, 0.0):
             try:
                 await self.store.record_call(key, record, self.ttl_s)
@@ -335,7 +352,7 @@
                 log.warning("call_not_recorded", call=key, why=str(problem), record=record)
                 await asyncio.sleep(wait_s)
 
-    async def settle(self) -> None:
-        """Wait for what is being claimed or recorded."""
+    async def wait_for_tasks(self) -> None:
+        """Wait until no claim or record is being written."""
         while self.tasks:
             await asyncio.wait(list(self.tasks))
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -1,6 +1,4 @@
-"""Several processes of the program, faults between them, and their histories checked after the
-fact.
-"""
+"""Several processes of the program with faults between them; their histories are checked at the end."""
 
 import asyncio
 import signal
@@ -22,53 +20,53 @@
 from onyxpass.testbed.process_trial import ProcessTrial, draw_schedule, process_trial, run_schedule
 
 
-def changed(lines: list[Line], holder: str) -> int:
+def count_changes(lines: list[Line], holder: str) -> int:
     return sum(line.what == "begin" and str(line["holder"]) == holder for line in lines)
 
 
-def test_a_tool_that_was_stopped_and_wakes_changes_nothing(tmp_path: Path) -> None:
+def test_a_tool_that_resumes_after_losing_its_lease_changes_nothing(tmp_path: Path) -> None:
     async def go() -> None:
         async with process_trial(tmp_path) as t:
             await t.start("a")
-            await until(lambda: t.seen("begin"), 60)
+            await until(lambda: t.find_lines("begin"), 60)
             await t.start("b")
-            await until(lambda: t.seen("ask", "tool-b"), 60)
+            await until(lambda: t.find_lines("ask", "tool-b"), 60)
             t.tools["a"].send_signal(signal.SIGSTOP)
-            await until(lambda: t.seen("held", "tool-b"), 60)
+            await until(lambda: t.find_lines("held", "tool-b"), 60)
             t.tools["a"].send_signal(signal.SIGCONT)
             (code, report, err), (code_a, report_a, _) = await asyncio.gather(
-                t.ended("b"), t.ended("a")
+                t.tool_result("b"), t.tool_result("a")
             )
             assert code == 0 and report["counts"]["done"] == 4, (report, err)
             assert code_a == 1 and report_a["counts"]["not tried"] >= 1, report_a
-            first, second = (str(line["holder"]) for line in t.seen("held"))
-            lines = t.lines()
-            late = next(
+            first, second = (str(line["holder"]) for line in t.find_lines("held"))
+            lines = t.history_lines()
+            second_start = next(
                 i
                 for i, line in enumerate(lines)
                 if line.what == "held" and line["holder"] == second
             )
-            assert changed(lines, first) >= 1 and changed(lines[late:], first) == 0
-            t.sound()
+            assert (
+                count_changes(lines, first) >= 1 and count_changes(lines[second_start:], first) == 0
+            )
+            t.check_history()
 
     run(go)
 
 
 @pytest.mark.parametrize("fault", ["cut", "killed", "store paused", "store empty", "store older"])
-def test_faults_between_two_tools_agents_and_the_store(tmp_path: Path, fault: str) -> None:
-    """Whatever fails under the first rollout, the second has its turn after it and never beside
-    it.
-    """
+def test_a_second_rollout_completes_after_a_fault_in_the_first(tmp_path: Path, fault: str) -> None:
+    """A second rollout must run after the first, never at the same time, whatever fails meanwhile."""
 
-    async def strike(t: ProcessTrial, older: dict[str, str]) -> None:
+    async def inject(t: ProcessTrial, older: dict[str, str]) -> None:
         match fault:
             case "cut":
-                t.links["a"].cut()
+                t.store_links["a"].cut()
             case "killed":
                 t.tools["a"].kill()
             case "store paused":
                 t.store.running.clear()
-                await until(lambda: t.seen("lost", "tool-a"), 60)
+                await until(lambda: t.find_lines("lost", "tool-a"), 60)
                 t.store.running.set()
             case "store empty":
                 await t.store.restart()
@@ -79,33 +77,31 @@
         async with process_trial(tmp_path) as t:
             older = t.store.snapshot()
             await t.start("a")
-            await until(lambda: t.seen("begin"), 60)
-            await strike(t, older)
+            await until(lambda: t.find_lines("begin"), 60)
+            await inject(t, older)
             await t.start("b")
-            code_a, _, _ = await t.ended("a")
-            assert code_a != 0, "it could not go on to its end"
-            code, report, err = await t.ended("b")
+            code_a, _, _ = await t.tool_result("a")
+            assert code_a != 0, "the first rollout cannot be completed"
+            code, report, err = await t.tool_result("b")
             assert code == 0 and report["counts"]["done"] == 4, (report, err)
-            t.sound()
+            t.check_history()
 
     run(go)
 
 
-def test_an_agent_refuses_a_tool_that_does_not_know_that_its_lease_is_gone(
+def test_an_agent_refuses_changes_of_a_tool_whose_lease_has_expired_unnoticed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Planted: the tool's own time is not looked at, so only the resource stands between two
-    holders.
-    """
-    believed: dict[str, Any] = {}
-    truth: Callable[..., Any] = RolloutLeases.proof_for
+    """The tool's own expiry check is disabled, so that only the agent can refuse its changes."""
+    first_proofs: dict[str, Any] = {}
+    proof_for: Callable[..., Any] = RolloutLeases.proof_for
 
-    def believes(self: RolloutLeases, agent: Any) -> Any:
-        believed.setdefault(agent.hall, truth(self, agent))
-        return believed[agent.hall]
+    def first_proof_for(self: RolloutLeases, agent: Any) -> Any:
+        first_proofs.setdefault(agent.hall, proof_for(self, agent))
+        return first_proofs[agent.hall]
 
     async def go() -> None:
-        monkeypatch.setattr(RolloutLeases, "proof_for", believes)
+        monkeypatch.setattr(RolloutLeases, "proof_for", first_proof_for)
         monkeypatch.setattr("onyxpass.fleet.runner.RolloutRunner.abort", lambda self, reason: None)
         async with process_trial(tmp_path) as t:
             controller = FleetController(fleet_config.load(tmp_path / "fleet-a.toml"))
@@ -113,30 +109,31 @@
             rollout = asyncio.create_task(
                 controller.run_rollout(members, ChangeOrder(ChangeMethod.RESTART, 20.0))
             )
-            await until(lambda: t.seen("begin"), 60)
-            t.links["a"].cut()
+            await until(lambda: t.find_lines("begin"), 60)
+            t.store_links["a"].cut()
             await t.start("b")
-            await until(lambda: t.seen("held", "tool-b"), 60)
+            await until(lambda: t.find_lines("held", "tool-b"), 60)
             _, report = await rollout
             assert report.tally.counts()["failed"] >= 1, report.to_dict()
-            assert t.seen("refused", "agent-"), "the agent had to refuse it"
-            code, told, _ = await t.ended("b")
-            assert code in (0, 1) and told
-            agents = [line for line in t.lines() if line.source.startswith("agent-")]
+            assert t.find_lines("refused", "agent-"), "the agent had to refuse a change"
+            code, report_b, _ = await t.tool_result("b")
+            assert code in (0, 1) and report_b
+            agents = [line for line in t.history_lines() if line.source.startswith("agent-")]
             assert not history.breaches(agents, ["effects apart", "tokens grow"])
 
     run(go)
 
 
-def test_a_schedule_is_the_same_for_its_seed_and_many_seeds_draw_all_faults() -> None:
+def test_a_seed_always_draws_the_same_schedule_and_many_seeds_draw_every_kind_of_fault() -> None:
     assert draw_schedule(5) == draw_schedule(5) != draw_schedule(6)
-    assert len({strike.kind for seed in range(40) for strike in draw_schedule(seed)}) == 13
+    assert len({fault.kind for seed in range(40) for fault in draw_schedule(seed)}) == 13
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_drawn_schedule_of_faults(tmp_path: Path, seed: int) -> None:
-    """More by `make bench-schedules`; the schedule of a seed that failed is told and can be
-    played again.
+def test_a_drawn_fault_schedule_breaks_no_rule(tmp_path: Path, seed: int) -> None:
+    """A failure names the faults of its schedule, which the seed repeats.
+
+    `make bench-schedules` runs more seeds.
     """
 
     async def go() -> None:
--- a/tests/test_toolcalls.py
+++ b/tests/test_toolcalls.py
@@ -112,7 +112,7 @@
             for writer in w.writers:
                 writer.hold.set()
             error = (await client.response(1))["error"]
-            assert error["code"] == rpc.UNKNOWN
+            assert error["code"] == rpc.OUTCOME_UNKNOWN
             assert error["data"]["calls"] == [{"call": "c1", "name": "book_out", "state": "sent"}]
             w.ledger.release.set()  # the late result is recorded
             await st.until(lambda: w.store.recorded_calls()["r1:c1"]["state"] == "done")
@@ -142,7 +142,10 @@
             else:
                 st.put(client.writer, method="cancel", params={"id": 1})
                 error = (await client.response(1))["error"]
-                assert error["code"] == rpc.UNKNOWN and error["data"]["calls"][0]["call"] == "c1"
+                assert (
+                    error["code"] == rpc.OUTCOME_UNKNOWN
+                    and error["data"]["calls"][0]["call"] == "c1"
+                )
             await st.until(lambda: any(n["method"] == "cancel" for x in w.writers for n in x.notes))
             await st.until(lambda: w.ledger.notes)
             assert w.ledger.notes[0]["method"] == "notifications/cancelled"
@@ -192,13 +195,13 @@
             await st.until(lambda: w.ledger.ledger)
             for writer in w.writers:
                 writer.hold.set()
-            assert (await client.response(1))["error"]["code"] == rpc.UNKNOWN
+            assert (await client.response(1))["error"]["code"] == rpc.OUTCOME_UNKNOWN
             for writer in w.writers:
                 writer.steps = (st.call("c1"),)
             client.generate(2, request="r1")
             await client.response(2)
             (told,) = [r for x in w.writers for r in x.results]
-            assert told["error"]["code"] == rpc.CLAIMED
+            assert told["error"]["code"] == rpc.ALREADY_CLAIMED
             w.no_call_twice(1)
 
     run(go)
@@ -241,7 +244,7 @@
             client.generate(1)
             answer = await client.response(1)
             (told,) = [r for x in w.writers for r in x.results]
-            assert told["error"]["code"] == rpc.STORE_DOWN
+            assert told["error"]["code"] == rpc.STORE_UNAVAILABLE
             assert answer["result"]["calls"][0]["state"] == "not made" and client.texts == ["sorry"]
             w.no_call_twice(0)
 
@@ -265,7 +268,9 @@
             client.generate("down", request="down")
             assert (await client.response("down"))["result"]["calls"][0]["state"] == "not made"
             codes = [r["error"]["code"] for x in w.writers for r in x.results]
-            assert sorted(codes) == sorted([rpc.TOOL_UNKNOWN, rpc.TOOL_UNKNOWN, rpc.NOT_MADE])
+            assert sorted(codes) == sorted(
+                [rpc.TOOL_OUTCOME_UNKNOWN, rpc.TOOL_OUTCOME_UNKNOWN, rpc.CALL_NOT_MADE]
+            )
             w.no_call_twice(2)
 
     run(go)
@@ -293,7 +298,7 @@
             client = await w.client()
             client.generate(1, request="r1")
             error = (await client.response(1))["error"]
-            if error["code"] == rpc.UNKNOWN:
+            if error["code"] == rpc.OUTCOME_UNKNOWN:
                 await st.until(lambda: w.ledger.ledger)
                 w.no_call_twice(1)
             else:  # it ended before the claim: then the call is not made at all
@@ -327,7 +332,7 @@
     async def go() -> None:
         async with world(st.say("x")) as w:
             for reader in w.readers:
-                reader.ends = [{"error": {"code": rpc.FULL, "message": "full"}}] * 9
+                reader.ends = [{"error": {"code": rpc.SERVER_FULL, "message": "full"}}] * 9
             client = await w.client()
             client.generate(1, timeout_ms=900)
             error = (await client.response(1))["error"]
@@ -337,7 +342,7 @@
             for reader in w.readers:
                 reader.ends = []
             client.generate(2, timeout_ms=400)
-            assert (await client.response(2))["error"]["code"] == rpc.DEADLINE
+            assert (await client.response(2))["error"]["code"] == rpc.DEADLINE_EXCEEDED
             assert w.writes == 1
 
     run(go)
