--- a/tests/test_faults_calls.py
+++ b/tests/test_faults_calls.py
@@ -1,4 +1,4 @@
-"""System calls of a real dispatcher fail for a moment, in the ways that Linux documents."""
+"""System calls of a dispatcher process fail for a short time, in the ways that Linux documents."""
 
 import asyncio
 import errno
@@ -16,14 +16,14 @@
 CLIENTS = 20
 
 
-class Scene:
-    """One dispatcher under faults, a reader and a writer."""
+class FaultyDispatcher:
+    """A dispatcher process whose system calls can be forced to fail."""
 
     def __init__(self, process: Process, port: int, faults: FaultControl) -> None:
         self.process, self.port, self.faults = process, port, faults
 
     async def ask(self, name: str) -> bytes:
-        """The whole answer; nothing where the connection was reset or refused."""
+        """Return the complete answer, or nothing if the connection was reset or refused."""
         try:
             async with connection(self.port) as (reader, writer):
                 writer.write(ask(name, "a", close=True))
@@ -33,28 +33,28 @@
 
 
 @asynccontextmanager
-async def scene(
+async def faulty_dispatcher(
     folder: Path, *faults: ForcedFault, environment: dict[str, str] | None = None
-) -> AsyncIterator[Scene]:
-    """``faults``: in force from the process's start."""
+) -> AsyncIterator[FaultyDispatcher]:
+    """Run a dispatcher with a reader and a writer; ``faults`` apply from the start of its process."""
     async with parties(folder, [Replica(READ)], [Replica(STREAM)]) as (path, _):
         forced = control(folder)
         forced.force(*faults)
         process = await Process.start(
             "serve", "--config", str(path), control=forced, environment=environment or {}
         )
-        yield Scene(process, await process.port(), forced)
+        yield FaultyDispatcher(process, await process.port(), forced)
         forced.clear()
         assert await process.end() == 0, process.rest
         assert not process.rest
 
 
-def test_what_waits_to_be_accepted_at_a_shutdown_is_answered_whatever_accept_says(
+def test_connections_in_the_accept_queue_at_shutdown_are_answered_despite_accept_errors(
     tmp_path: Path,
 ) -> None:
     async def go() -> None:
         for error in (errno.ECONNABORTED, errno.EPROTO, errno.EHOSTUNREACH):
-            async with scene(tmp_path) as s:
+            async with faulty_dispatcher(tmp_path) as s:
                 s.faults.force(ForcedFault(SystemCall.ACCEPT, error, per_thousand=500))
                 s.process.child.terminate()
                 answers = await asyncio.gather(*(s.ask(f"a{n}") for n in range(CLIENTS)))
@@ -63,15 +63,15 @@
     run(go())
 
 
-def test_a_shutdown_waits_out_a_lack_of_descriptors_with_clients_in_the_queue(
+def test_shutdown_waits_for_descriptors_while_clients_are_in_the_accept_queue(
     tmp_path: Path,
 ) -> None:
     async def go() -> None:
-        async with scene(tmp_path) as s:
+        async with faulty_dispatcher(tmp_path) as s:
             s.faults.force(ForcedFault(SystemCall.ACCEPT, errno.ENFILE))
             s.process.child.terminate()
             asked = [asyncio.create_task(s.ask(f"a{n}")) for n in range(CLIENTS)]
-            # the second look for the last ones has failed as well
+            # By then the second pass over the accept queue has failed as well.
             while s.faults.count(SystemCall.ACCEPT) < 4:
                 await asyncio.sleep(0.05)
             await asyncio.sleep(0.5)
@@ -82,18 +82,18 @@
     run(go())
 
 
-def test_a_dispatcher_lives_on_when_what_takes_streams_over_can_accept_nothing(
+def test_a_dispatcher_survives_accept_errors_of_its_stream_receiver(
     tmp_path: Path,
 ) -> None:
     async def go() -> None:
         faults = (ForcedFault(SystemCall.ACCEPT, errno.ENFILE, times=3),)
-        async with scene(tmp_path, *faults, environment={"TMPDIR": str(tmp_path)}) as s:
+        async with faulty_dispatcher(tmp_path, *faults, environment={"TMPDIR": str(tmp_path)}) as s:
             assert (await s.ask("a1")).startswith(b"HTTP/1.1 200")
 
     run(go())
 
 
-def test_connections_that_fail_for_a_moment_cost_no_request(tmp_path: Path) -> None:
+def test_connects_that_fail_briefly_lose_no_request(tmp_path: Path) -> None:
     async def go() -> None:
         for call, error in (
             (SystemCall.CONNECT, errno.ENETUNREACH),
@@ -104,7 +104,7 @@
             (SystemCall.SOCKET, errno.ENOBUFS),
             (SystemCall.SOCKET, errno.ENFILE),
         ):
-            async with scene(tmp_path) as s:
+            async with faulty_dispatcher(tmp_path) as s:
                 s.faults.force(ForcedFault(call, error, times=3))
                 answer = await s.ask("a1")
                 assert answer.startswith(b"HTTP/1.1 200"), (
@@ -117,13 +117,13 @@
     run(go())
 
 
-def test_short_transfers_and_interrupted_waits_change_nothing(tmp_path: Path) -> None:
+def test_short_transfers_and_interrupted_waits_do_not_affect_answers(tmp_path: Path) -> None:
     async def go() -> None:
         short = [
             ForcedFault(call, -1, per_thousand=300)
             for call in (SystemCall.RECEIVE, SystemCall.SEND)
         ]
-        async with scene(
+        async with faulty_dispatcher(
             tmp_path, *short, ForcedFault(SystemCall.WAIT, errno.EINTR, per_thousand=200)
         ) as s:
             for number in range(10):
@@ -133,24 +133,24 @@
     run(go())
 
 
-def test_a_log_that_cannot_be_written_costs_no_request(tmp_path: Path) -> None:
-    """Its standard output is a file on a disk that is full for a while, and written in pieces."""
+def test_a_log_that_cannot_be_written_loses_no_request(tmp_path: Path) -> None:
+    """The log is a file on a disk that is full, has I/O errors and takes short writes for a while."""
 
     async def go() -> None:
-        out, port = tmp_path / "log", free_port()
+        log_file, port = tmp_path / "log", free_port()
         listen = f"127.0.0.1:{port}"
         async with parties(tmp_path, [Replica(READ)], [Replica(STREAM)], listen=listen) as (
             path,
             _,
         ):
             faults = control(tmp_path)
-            with out.open("wb") as log:
+            with log_file.open("wb") as log:
                 process = await Process.start(
                     "serve", "--config", str(path), control=faults, stdout=log
                 )
-            while b'"full"' not in out.read_bytes():
+            while b'"full"' not in log_file.read_bytes():
                 await asyncio.sleep(0.02)
-            s = Scene(process, port, faults)
+            s = FaultyDispatcher(process, port, faults)
             for forced in (
                 ForcedFault(SystemCall.WRITE, errno.ENOSPC),
                 ForcedFault(SystemCall.WRITE, errno.EIO, per_thousand=500),
@@ -163,10 +163,10 @@
             assert (await s.ask("last")).startswith(b"HTTP/1.1 200")
             process.child.terminate()
             assert await process.child.wait() == 0
-            whole = [line for line in out.read_bytes().splitlines() if b'"last"' in line]
-            assert whole and all(json.loads(line)["id"] == "last" for line in whole), (
-                "later lines are whole again"
+            last_lines = [line for line in log_file.read_bytes().splitlines() if b'"last"' in line]
+            assert last_lines and all(json.loads(line)["id"] == "last" for line in last_lines), (
+                "later lines must be complete again"
             )
-            assert b"Traceback" not in out.read_bytes()
+            assert b"Traceback" not in log_file.read_bytes()
 
     run(go())
--- a/tests/test_faults_clock.py
+++ b/tests/test_faults_clock.py
@@ -13,14 +13,15 @@
 from tests.support.simulator_settings import CONF
 
 HOUR_S = 3_600.0
-# a stream that goes over takes well under a second; one that stays, for ever
-LONGER_THAN_AN_UPGRADE_S = 8.0
+# A stream is handed over in well under a second; one that is not handed over would never end.
+UPGRADE_LIMIT_S = 8.0
 REQUESTS = 80
-FALL = {"tipMultiple": 40.0, "fallUs": 2_000_000}  # wide, so that only the share by lot binds
+# The overload limits are wide, so that only the random slow-start share decides.
+WIDE_LIMITS = {"tipMultiple": 40.0, "fallUs": 2_000_000}
 
 
-async def asked(port: int, name: str, requests: int = REQUESTS) -> None:
-    """So many requests of different sessions, one after another."""
+async def send_requests(port: int, name: str, requests: int = REQUESTS) -> None:
+    """Send requests of different sessions one after another."""
     for number in range(requests):
         async with connection(port) as (reader, writer):
             text = ask(f"{name}{number}", "a", close=True)
@@ -31,14 +32,15 @@
 
 
 def with_rules(rules: dict[str, Any]) -> dict[str, Any]:
-    return {**CONF, "peersTotal": 1, "rules": {**FALL, **rules}}
+    return {**CONF, "peersTotal": 1, "rules": {**WIDE_LIMITS, **rules}}
 
 
-async def shares(
+async def cold_share(
     tmp_path: Path, step_s: float, rules: dict[str, Any], wait_s: float = 0.0
 ) -> float:
-    """The share of reads that go to one of two readers, born as the wall clock of all machines
-    tells.
+    """Return the share of reads that go to a second reader, which starts after the clock was stepped.
+
+    Its start time in the endpoint list is by the stepped clock, as if all machines were stepped.
     """
     warm, cold, faults = Replica(READ), Replica(READ), control(tmp_path)
     await cold.start()
@@ -48,7 +50,7 @@
     ):
         process = await Process.start("serve", "--config", str(path), control=faults)
         port = await process.port()
-        await asked(port, "before", 10)
+        await send_requests(port, "before", 10)
         faults.step_wall_clock(step_s)
         born_s = time.time() + step_s
         entry = discovery.entry("r1", "r", cold.address)
@@ -56,21 +58,21 @@
         await process.line("list", form="delta")
         await asyncio.sleep(wait_s)
         before = len(warm.heads)
-        await asked(port, "after")
+        await send_requests(port, "after")
         assert await process.end() == 0
     await cold.stop()
     return len(cold.heads) / (len(cold.heads) + len(warm.heads) - before)
 
 
-COLD = {"coldFrom": 0.1, "coldUs": 30_000_000}
-BRIEFLY_COLD = {"coldFrom": 0.1, "coldUs": 500_000}
+SLOW_START = {"coldFrom": 0.1, "coldUs": 30_000_000}
+SHORT_SLOW_START = {"coldFrom": 0.1, "coldUs": 500_000}
 STEPS_S = (0.0, -10.0, -HOUR_S, 10.0, HOUR_S)
 
 
-async def beside(
+async def for_each_step(
     work: Callable[[Path, float], Awaitable[float]], tmp_path: Path
 ) -> dict[float, float]:
-    """What the work gives for each step of the wall clock, all at the same time."""
+    """Run the work for all steps of the wall clock at the same time, and return each result."""
     folders = {step_s: tmp_path / str(step_s) for step_s in STEPS_S}
     for folder in folders.values():
         folder.mkdir(parents=True)
@@ -78,62 +80,68 @@
     return dict(zip(STEPS_S, found, strict=True))
 
 
-def test_a_server_born_after_the_wall_clock_was_stepped_starts_slowly(tmp_path: Path) -> None:
-    found = run(beside(lambda folder, step_s: shares(folder, step_s, COLD), tmp_path))
+def test_a_server_that_joins_after_a_wall_clock_step_gets_a_slow_start(tmp_path: Path) -> None:
+    found = run(
+        for_each_step(lambda folder, step_s: cold_share(folder, step_s, SLOW_START), tmp_path)
+    )
     assert all(share < 0.2 for share in found.values()), (
-        f"0.1 while it is cold, 0.5 once it is warm: {found}"
+        f"the expected share is 0.1 during slow start and 0.5 after it: {found}"
     )
     found = run(
-        beside(lambda folder, step_s: shares(folder, step_s, BRIEFLY_COLD, 0.6), tmp_path / "warm")
+        for_each_step(
+            lambda folder, step_s: cold_share(folder, step_s, SHORT_SLOW_START, 0.6),
+            tmp_path / "warm",
+        )
     )
-    assert all(share > 0.3 for share in found.values()), f"it is warm by now: {found}"
+    assert all(share > 0.3 for share in found.values()), f"the slow start is over: {found}"
+
 
+async def upgrade_duration_s(tmp_path: Path, step_s: float) -> float:
+    """Return the time in which the old process ends; the new one has a stepped wall clock.
 
-async def upgraded(tmp_path: Path, step_s: float) -> float:
-    """Seconds till the old process has ended, its stream handed over to one whose wall clock was
-    stepped.
+    The old process hands its stream over to the new one.
     """
     hold, faults = asyncio.Event(), control(tmp_path)
     writer = Replica(ends_with(hold), STREAM)
     async with parties(tmp_path, [Replica(READ)], [writer], settings=with_rules({})) as (path, _):
-        with socket.create_server(("127.0.0.1", 0)) as passed:
-            told = {
+        with socket.create_server(("127.0.0.1", 0)) as listener:
+            options = {
                 "control": faults,
                 "environment": {
-                    "ROUTER_PASSED_SOCKET": str(passed.fileno()),
+                    "ROUTER_PASSED_SOCKET": str(listener.fileno()),
                     "TMPDIR": str(tmp_path),
                 },
-                "pass_fds": (passed.fileno(),),
+                "pass_fds": (listener.fileno(),),
             }
-            old = await Process.start("serve", "--config", str(path), **told)
+            old = await Process.start("serve", "--config", str(path), **options)
             port = await old.port()
             async with connection(port) as (source, sink):
                 sink.write(ask("a1", "a"))
                 await source.readuntil(b"[DONE]\n\n\r\n")
                 faults.step_wall_clock(step_s)
-                new = await Process.start("serve", "--config", str(path), **told)
+                new = await Process.start("serve", "--config", str(path), **options)
                 await new.port()
                 began_s = time.monotonic()
                 old.child.terminate()
                 ended = asyncio.create_task(old.child.wait())
-                await asyncio.wait([ended], timeout=LONGER_THAN_AN_UPGRADE_S)
+                await asyncio.wait([ended], timeout=UPGRADE_LIMIT_S)
                 took_s = time.monotonic() - began_s
                 hold.set()
                 assert await source.readuntil(b"0\r\n\r\n") == b"0\r\n\r\n", (
-                    "the stream was not cut"
+                    "the stream must not be cut"
                 )
                 sink.write(ask("a2", "a"))
                 if new.of("stream_adopted"):
                     assert (await source.readuntil(b"0\r\n\r\n")).startswith(b"HTTP/1.1 200")
                 served = new.of("served", id="a1") or old.of("served", id="a1")
                 assert abs(served[0]["us"]) < 60_000_000, (
-                    "its times are spans, whoever set a clock in between"
+                    "a duration must not depend on the wall clock"
                 )
                 await ended
             assert await old.end() == 0 and await new.end() == 0
     return took_s
 
 
-def test_an_upgrade_hands_streams_over_whatever_the_wall_clock_does(tmp_path: Path) -> None:
-    found = run(beside(upgraded, tmp_path))
-    assert all(took_s < LONGER_THAN_AN_UPGRADE_S for took_s in found.values()), found
+def test_an_upgrade_hands_streams_over_despite_a_wall_clock_step(tmp_path: Path) -> None:
+    found = run(for_each_step(upgrade_duration_s, tmp_path))
+    assert all(took_s < UPGRADE_LIMIT_S for took_s in found.values()), found
--- a/tests/test_faults_disk.py
+++ b/tests/test_faults_disk.py
@@ -1,6 +1,4 @@
-"""Writes and syncs fail for a while: an agent and a node of the desired configuration go on and
-catch up.
-"""
+"""Writes and syncs fail for a while: an agent and a configuration node keep running and catch up."""
 
 import asyncio
 import errno
@@ -21,11 +19,11 @@
 from onyxpass.testbed.site import Host, Site, free_port
 
 FULL_DISK = (ForcedFault(SystemCall.WRITE, errno.ENOSPC), ForcedFault(SystemCall.SYNC, errno.EIO))
-FULL_S = 1.0  # longer than the pauses between the starts of an instance
+FULL_S = 1.0  # longer than the pause between two starts of an instance
 
 
-def running(site: Site) -> list[int]:
-    """The processes that the agent told to run, in order."""
+def running_pids(site: Site) -> list[int]:
+    """Return the process ids that the agent logged as running, in order."""
     lines = [raw for _, raw in objects(sorted(site.folder.glob("agent-*.log")))]
     found: list[Any] = [
         raw["pid"]
@@ -35,7 +33,7 @@
     return found
 
 
-def test_an_instance_that_ends_while_the_disk_is_full_runs_again_once_there_is_room(
+def test_an_instance_that_exits_while_the_disk_is_full_is_restarted_once_there_is_room(
     tmp_path: Path,
 ) -> None:
     async def go() -> None:
@@ -46,16 +44,16 @@
         faults = control(tmp_path)
         try:
             await site.start(site.hosts[0], faults.environment)
-            while not running(site):
+            while not running_pids(site):
                 await asyncio.sleep(0.02)
-            (first,) = running(site)
+            (first,) = running_pids(site)
             faults.force(*FULL_DISK)
             os.kill(first, signal.SIGKILL)
             while not faults.count(SystemCall.WRITE) + faults.count(SystemCall.SYNC):
                 await asyncio.sleep(0.02)
             await asyncio.sleep(FULL_S)
             faults.clear()
-            while running(site)[-1] == first:
+            while running_pids(site)[-1] == first:
                 await asyncio.sleep(0.05)
             assert json.loads((tmp_path / "d1.json").read_text())["name"] == "d1"
         finally:
@@ -66,20 +64,20 @@
     run(go())
 
 
-class Node:
-    """A node of the desired configuration as a process under faults."""
+class FaultyNode:
+    """A node of the desired configuration, as a process whose system calls can be forced to fail."""
 
     def __init__(self, folder: Path, name: str, role: str, upstreams: tuple[int, ...] = ()) -> None:
         self.folder, self.port, self.faults = folder / name, free_port(), control(folder, name)
-        told = ", ".join(f'"127.0.0.1:{port}"' for port in upstreams)
+        addresses = ", ".join(f'"127.0.0.1:{port}"' for port in upstreams)
         text = f'name = "{name}"\nrole = "{role}"\nlisten = "127.0.0.1:{self.port}"\nkey = "key"\n'
-        self.file, self.key = folder / f"{name}.toml", (folder / "key").read_text().strip()
-        self.file.write_text(text + f'folder = "{name}"\nupstreams = [{told}]\n')
+        self.config_file, self.key = folder / f"{name}.toml", (folder / "key").read_text().strip()
+        self.config_file.write_text(text + f'folder = "{name}"\nupstreams = [{addresses}]\n')
         self.process: Process
 
-    async def start(self) -> "Node":
-        words = ("desired", "run", "--config", str(self.file))
-        self.process = await Process.start(*words, control=self.faults)
+    async def start(self) -> "FaultyNode":
+        arguments = ("desired", "run", "--config", str(self.config_file))
+        self.process = await Process.start(*arguments, control=self.faults)
         await self.process.line("node")
         return self
 
@@ -96,23 +94,23 @@
         found: dict[str, Any] = (await self.call("GET", "/v1/state")).body["values"]
         return found
 
-    async def until_it_has(self, **values: object) -> None:
+    async def wait_for_values(self, **values: object) -> None:
         while not values.items() <= (await self.values()).items():
             await asyncio.sleep(0.02)
 
 
-def test_what_a_node_can_not_keep_is_refused_and_told_to_nobody_and_it_lives_on(
+def test_a_node_survives_a_full_disk_and_neither_keeps_nor_passes_on_rejected_changes(
     tmp_path: Path,
 ) -> None:
     async def go() -> None:
         make_key(tmp_path / "key")
-        top = await Node(tmp_path, "top", "control").start()
-        below = await Node(tmp_path, "below", "relay", (top.port,)).start()
+        top = await FaultyNode(tmp_path, "top", "control").start()
+        below = await FaultyNode(tmp_path, "below", "relay", (top.port,)).start()
         assert await top.set(a=1) == 200
-        await below.until_it_has(a=1)
+        await below.wait_for_values(a=1)
         for full in FULL_DISK:
             top.faults.force(full)
-            assert await top.set(a=2, b=2) >= 500, "it was not kept"
+            assert await top.set(a=2, b=2) >= 500, "the change cannot have been saved"
             assert "b" not in await top.values()
             top.faults.clear()
         below.faults.force(*FULL_DISK)
@@ -121,13 +119,13 @@
             await asyncio.sleep(0.02)
         assert below.process.child.returncode is None
         below.faults.clear()
-        await below.until_it_has(a=3)
-        assert "b" not in await below.values(), "what was refused was told to nobody"
-        left = [path.name for node in (top, below) for path in node.folder.iterdir()]
-        assert not [name for name in left if name.endswith(".new")], left
+        await below.wait_for_values(a=3)
+        assert "b" not in await below.values(), "a rejected change must not be passed on"
+        files = [path.name for node in (top, below) for path in node.folder.iterdir()]
+        assert not [name for name in files if name.endswith(".new")], files
         assert await below.process.end() == 0 and await top.process.end() == 0
         assert json.loads((below.folder / "state.json").read_text()), (
-            "what it has is on its disk by now"
+            "the state must have been saved by now"
         )
 
     run(go())
--- a/tests/test_faults_held.py
+++ b/tests/test_faults_held.py
@@ -1,6 +1,4 @@
-"""What the first stage holds, while the send after it has not arrived: a real process, and the
-core alone.
-"""
+"""Prefill state is released in time if the request to the next server is not delivered."""
 
 import asyncio
 import json
@@ -13,17 +11,15 @@
 
 from tests.support.simulator_settings import CONF
 
-HELD_MOST_S = (
-    # of the 0.6 s that are allowed, for a busy machine; a wait for an answer takes over 5 s here
-    2.0
-)
+# The limit is 0.6 s, with a margin for a busy machine; a wait for the answer would take over 5 s.
+MAX_HELD_S = 2.0
 BODY = json.dumps({"text": "x" * 200_000}).encode()
 
 
-class Deaf(Replica):
-    """Accepts connections and takes nothing: what is sent to it waits in the sender's kernel."""
+class NonReadingReplica(Replica):
+    """Accepts connections and reads nothing, so that data stays in the sender's kernel."""
 
-    async def start(self) -> "Deaf":
+    async def start(self) -> "NonReadingReplica":
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
         sock.bind(("127.0.0.1", 0))
@@ -36,9 +32,9 @@
         await asyncio.Event().wait()
 
 
-def test_what_is_held_is_let_go_in_time_while_a_send_has_not_arrived(tmp_path: Path) -> None:
+def test_prefill_state_is_released_in_time_while_a_request_is_not_delivered(tmp_path: Path) -> None:
     async def go() -> None:
-        reader, writer = Replica(READ), Deaf(READ)
+        reader, writer = Replica(READ), NonReadingReplica(READ)
         slow = {**CONF["grades"][0], "promiseUs": 4_000_000}  # type: ignore[index]
         settings = {**CONF, "grades": [slow]}
         async with parties(tmp_path, [reader], [writer], settings=settings) as (path, _):
@@ -47,11 +43,11 @@
                 client.write(ask("a1", "a", ms=6000, text=BODY))
                 while not reader.heads:
                     await asyncio.sleep(0.002)
-                held_s = time.monotonic()
+                prefilled_s = time.monotonic()
                 while not reader.leases:
                     await asyncio.sleep(0.005)
                 assert reader.leases[0].endswith("a1")
-                assert time.monotonic() - held_s <= HELD_MOST_S
+                assert time.monotonic() - prefilled_s <= MAX_HELD_S
             assert await process.end() == 0
 
     run(go())
--- a/tests/test_toolcalls.py
+++ b/tests/test_toolcalls.py
@@ -1,4 +1,7 @@
-"""The JSON-RPC front end to end, with stand-ins that count: no ledger call ever comes twice."""
+"""The JSON-RPC front end from client to tool server, with stand-ins that record every tool call.
+
+No test may find a tool call that reached the tool server twice.
+"""
 
 import asyncio
 import tomllib
@@ -17,8 +20,8 @@
 ROOT = Path(__file__).parent.parent
 
 
-class World:
-    """The front with a store, a tool server, two readers and two writers round it."""
+class ToolCallTestBed:
+    """The front end with a store, a tool server, two readers and two writers."""
 
     def __init__(self, *steps: st.Step) -> None:
         self.store, self.ledger = st.RespStore(), st.Ledger()
@@ -47,7 +50,8 @@
         self.clients.append(await st.Client(self.service.front.port).start())
         return self.clients[-1]
 
-    def no_call_twice(self, expected: int) -> None:
+    def check_calls(self, expected: int) -> None:
+        """Assert that this many calls reached the tool server, none of them twice."""
         assert max(Counter(self.ledger.ledger).values(), default=0) <= 1, self.ledger.ledger
         assert len(self.ledger.ledger) == expected
 
@@ -57,21 +61,21 @@
 
 
 @asynccontextmanager
-async def world(*steps: st.Step, **tools: int) -> AsyncIterator[World]:
-    made = World(*steps)
-    for part in made.parts:
+async def world(*steps: st.Step, **tools: int) -> AsyncIterator[ToolCallTestBed]:
+    bed = ToolCallTestBed(*steps)
+    for part in bed.parts:
         await part.start()
-    made.service = ToolcallService(parse(made.config(**tools)))  # type: ignore[attr-defined]
-    await made.service.start()  # type: ignore[attr-defined]
+    bed.service = ToolcallService(parse(bed.config(**tools)))  # type: ignore[attr-defined]
+    await bed.service.start()  # type: ignore[attr-defined]
     try:
-        yield made
+        yield bed
     finally:
-        for client in made.clients:
+        for client in bed.clients:
             await client.stop()
-        for part in made.parts:
+        for part in bed.parts:
             await part.stop()
-        made.service.front.server.close()  # type: ignore[attr-defined]
-        await made.service.close()  # type: ignore[attr-defined]
+        bed.service.front.server.close()  # type: ignore[attr-defined]
+        await bed.service.close()  # type: ignore[attr-defined]
 
 
 def run(test: Callable[[], Coroutine[Any, Any, None]]) -> None:
@@ -90,7 +94,7 @@
                 {"call": "c1", "name": "book_out", "state": "done"}
             ]
             assert [r["result"] for x in w.writers for r in x.results] == [{"booked": 1}]
-            w.no_call_twice(1)
+            w.check_calls(1)
             await st.until(lambda: w.store.recorded_calls()["r1:c1"]["state"] == "done")
             assert w.store.ttl["onyxpass:call:r1:c1"] == 86400
             assert len([r for r in client.responses if r.get("id") == 1]) == 1
@@ -99,9 +103,7 @@
 
 
 def test_a_call_before_any_text_commits_the_attempt() -> None:
-    """Hard case one: the writer is lost after the call was relayed and before its result came
-    back.
-    """
+    """The writer is lost after its call was sent and before the result arrived."""
 
     async def go() -> None:
         async with world(st.call("c1", wait=False), st.die_when_told) as w:
@@ -117,19 +119,17 @@
             w.ledger.release.set()  # the late result is recorded
             await st.until(lambda: w.store.recorded_calls()["r1:c1"]["state"] == "done")
             assert w.store.recorded_calls()["r1:c1"]["result"] == {"booked": 1}
-            assert w.writes == 1, "no new attempt"
-            w.no_call_twice(1)
+            assert w.writes == 1, "there must be no new attempt"
+            w.check_calls(1)
             assert [r.get("id") for r in client.responses] == [1]
             await st.until(lambda: not w.service.core.registry.by_number)
 
     run(go)
 
 
-@pytest.mark.parametrize("way", ["close", "cancel"])
-def test_the_client_goes_while_a_call_is_out(way: str) -> None:
-    """Hard case two: the client gives up, by closing or by saying so, while the call is
-    outstanding.
-    """
+@pytest.mark.parametrize("ending", ["close", "cancel"])
+def test_a_client_that_disconnects_or_cancels_withdraws_its_open_call(ending: str) -> None:
+    """The client closes its connection or cancels the request while the call has no result yet."""
 
     async def go() -> None:
         async with world(st.say("Wait. "), st.call("c1", wait=False), st.hold_on) as w:
@@ -137,7 +137,7 @@
             client = await w.client()
             client.generate(1, request="r1")
             await st.until(lambda: w.ledger.ledger)
-            if way == "close":
+            if ending == "close":
                 await client.stop()
             else:
                 st.put(client.writer, method="cancel", params={"id": 1})
@@ -156,7 +156,7 @@
             assert w.store.recorded_calls()["r1:c1"]["withdrawn"] is True
             await st.until(lambda: not w.service.core.registry.by_number)
             assert w.writes == 1
-            w.no_call_twice(1)
+            w.check_calls(1)
 
     run(go)
 
@@ -172,7 +172,7 @@
     run(go)
 
 
-def test_a_client_that_asks_again_under_the_same_name_gets_the_recorded_result() -> None:
+def test_a_repeated_request_id_gets_the_recorded_tool_result() -> None:
     async def go() -> None:
         async with world(st.call("c1"), st.say("ok")) as w:
             client = await w.client()
@@ -181,7 +181,7 @@
                 assert (await client.response(id))["result"]["calls"][0]["state"] == "done"
                 await st.until(lambda: w.store.recorded_calls()["r1:c1"]["state"] == "done")
             assert [r["result"] for x in w.writers for r in x.results] == [{"booked": 1}] * 2
-            w.no_call_twice(1)
+            w.check_calls(1)
 
     run(go)
 
@@ -200,14 +200,14 @@
                 writer.steps = (st.call("c1"),)
             client.generate(2, request="r1")
             await client.response(2)
-            (told,) = [r for x in w.writers for r in x.results]
-            assert told["error"]["code"] == rpc.ALREADY_CLAIMED
-            w.no_call_twice(1)
+            (response,) = [r for x in w.writers for r in x.results]
+            assert response["error"]["code"] == rpc.ALREADY_CLAIMED
+            w.check_calls(1)
 
     run(go)
 
 
-def test_reads_are_tried_again_and_the_call_is_still_made_once() -> None:
+def test_a_failed_read_is_retried_and_the_tool_call_is_made_once() -> None:
     async def go() -> None:
         async with world(st.call("c1"), st.say("ok")) as w:
             for reader in w.readers:
@@ -216,12 +216,12 @@
             client.generate(1, request="r1", traffic_class="part-lookup")
             assert "result" in await client.response(1)
             assert sum(r.count("read") for r in w.readers) >= 2
-            w.no_call_twice(1)
+            w.check_calls(1)
 
     run(go)
 
 
-def test_a_booking_that_may_have_run_is_not_written_again() -> None:
+def test_a_non_idempotent_request_that_may_have_run_is_not_sent_again() -> None:
     async def go() -> None:
         async with world(st.raw(b"%%")) as w:
             client = await w.client()
@@ -233,25 +233,25 @@
     run(go)
 
 
-@pytest.mark.parametrize("how", ["stopped", "silent"])
-def test_no_call_without_the_store(how: str) -> None:
+@pytest.mark.parametrize("outage", ["stopped", "silent"])
+def test_no_tool_call_is_made_while_the_store_is_unavailable(outage: str) -> None:
     async def go() -> None:
         async with world(st.call("c1"), st.say("sorry")) as w:
-            if how == "stopped":
+            if outage == "stopped":
                 await w.store.stop()
             w.store.silent = True
             client = await w.client()
             client.generate(1)
             answer = await client.response(1)
-            (told,) = [r for x in w.writers for r in x.results]
-            assert told["error"]["code"] == rpc.STORE_UNAVAILABLE
+            (response,) = [r for x in w.writers for r in x.results]
+            assert response["error"]["code"] == rpc.STORE_UNAVAILABLE
             assert answer["result"]["calls"][0]["state"] == "not made" and client.texts == ["sorry"]
-            w.no_call_twice(0)
+            w.check_calls(0)
 
     run(go)
 
 
-def test_a_tool_server_that_is_down_slow_or_talks_garbage() -> None:
+def test_calls_to_a_slow_invalid_or_stopped_tool_server_report_their_state() -> None:
     async def go() -> None:
         async with world(st.call("c1"), st.say("."), timeout_ms=200) as w:
             client = await w.client()
@@ -259,7 +259,7 @@
             client.generate("slow", request="slow")
             answer = await client.response("slow")
             assert answer["result"]["calls"][0]["state"] == "unknown"
-            w.ledger.release.set()  # a late result is recorded all the same
+            w.ledger.release.set()  # a late result is still recorded
             await st.until(lambda: w.store.recorded_calls()["slow:c1"]["state"] == "done")
             w.ledger.garbage = True
             client.generate("garbage", request="garbage")
@@ -271,12 +271,12 @@
             assert sorted(codes) == sorted(
                 [rpc.TOOL_OUTCOME_UNKNOWN, rpc.TOOL_OUTCOME_UNKNOWN, rpc.CALL_NOT_MADE]
             )
-            w.no_call_twice(2)
+            w.check_calls(2)
 
     run(go)
 
 
-def test_a_tool_server_that_was_restarted_is_found_again() -> None:
+def test_a_restarted_tool_server_is_reconnected() -> None:
     async def go() -> None:
         async with world(st.call("c1")) as w:
             client = await w.client()
@@ -286,12 +286,12 @@
                 await w.ledger.stop()
                 await w.ledger.start()
             assert w.ledger.connections == 3
-            w.no_call_twice(3)
+            w.check_calls(3)
 
     run(go)
 
 
-def test_a_writer_that_ends_with_a_call_out_leaves_its_outcome_unknown() -> None:
+def test_a_writer_that_ends_before_its_call_has_a_result_leaves_the_outcome_unknown() -> None:
     async def go() -> None:
         async with world(st.call("c1", wait=False)) as w:
             w.ledger.release.clear()
@@ -300,19 +300,19 @@
             error = (await client.response(1))["error"]
             if error["code"] == rpc.OUTCOME_UNKNOWN:
                 await st.until(lambda: w.ledger.ledger)
-                w.no_call_twice(1)
-            else:  # it ended before the claim: then the call is not made at all
+                w.check_calls(1)
+            else:  # the writer ended before the claim, so the call is not made
                 assert error["code"] == rpc.FAILED
                 await st.until(
                     lambda: w.store.recorded_calls().get("r1:c1", {}).get("state") == "not made"
                 )
-                w.no_call_twice(0)
+                w.check_calls(0)
             assert w.writes == 1
 
     run(go)
 
 
-def test_tool_errors_and_call_ids_used_twice_reach_the_writer() -> None:
+def test_tool_errors_and_duplicate_call_ids_are_reported_to_the_writer() -> None:
     async def go() -> None:
         async with world(st.call("c1"), st.call("c1"), st.call("c2", "no_such")) as w:
             w.ledger.answers["no_such"] = {"error": {"code": -32602, "message": "no such tool"}}
@@ -323,12 +323,12 @@
             results = [r for x in w.writers for r in x.results]
             assert results[1]["id"] is None and results[1]["error"]["code"] == rpc.INVALID_REQUEST
             assert results[2]["error"] == {"code": -32602, "message": "no such tool"}
-            w.no_call_twice(2)
+            w.check_calls(2)
 
     run(go)
 
 
-def test_refused_carries_its_advice_and_a_silent_reader_ends_at_the_deadline() -> None:
+def test_a_rejection_carries_a_retry_delay_and_a_silent_writer_ends_at_the_deadline() -> None:
     async def go() -> None:
         async with world(st.say("x")) as w:
             for reader in w.readers:
@@ -348,7 +348,7 @@
     run(go)
 
 
-def test_what_a_client_may_get_wrong_has_its_code() -> None:
+def test_each_invalid_message_has_its_error_code() -> None:
     cases: list[tuple[bytes, int, object]] = [
         (b"{", rpc.PARSE_ERROR, None),
         (b"\xff\xfe", rpc.PARSE_ERROR, None),
@@ -381,7 +381,7 @@
             assert (await client.response(None))["error"]["code"]
             client.generate(8, request="one")
             assert (await client.response(8))["error"]["code"] == rpc.INVALID_REQUEST
-            st.put(client.writer, id=99, result={})  # a response to nothing is passed over
+            st.put(client.writer, id=99, result={})  # a response without a request is ignored
             st.put(client.writer, method="cancel", params={"id": 12345})
             st.put(client.writer, id=9, method="ping")
             await client.response(9)
@@ -393,7 +393,7 @@
     run(go)
 
 
-def test_a_reload_takes_over_the_servers_and_a_bad_file_changes_nothing() -> None:
+def test_a_reload_applies_the_servers_and_an_invalid_file_changes_nothing() -> None:
     async def go() -> None:
         async with world(st.say("a")) as w:
             late = await st.Writer(st.say("b")).start()
@@ -412,7 +412,7 @@
     run(go)
 
 
-def test_what_a_reader_calls_wrong_fails_at_once_and_is_not_its_fault() -> None:
+def test_a_request_that_a_reader_rejects_as_invalid_fails_without_retry_or_penalty() -> None:
     async def go() -> None:
         async with world(st.say("a")) as w:
             for reader in w.readers:
@@ -427,7 +427,7 @@
     run(go)
 
 
-def test_silent_clients_make_room_and_open_requests_do_not() -> None:
+def test_idle_connections_are_closed_for_new_ones_but_not_those_with_open_requests() -> None:
     async def go() -> None:
         async with world(st.call("c1", wait=False), st.hold_on) as w:
             w.service.front.max_connections = 2  # type: ignore[attr-defined]
@@ -444,7 +444,7 @@
     run(go)
 
 
-def test_an_orderly_stop_finishes_what_was_taken() -> None:
+def test_a_graceful_stop_finishes_open_requests() -> None:
     async def go() -> None:
         async with world(st.say("a"), st.call("c1"), st.say("b")) as w:
             w.ledger.release.clear()
