--- a/onyxpass/faultshim/control.py
+++ b/onyxpass/faultshim/control.py
@@ -1,7 +1,7 @@
-"""The control block of the fault library: which calls of a process fail from now on, and how.
+"""The control block of the fault library: which system calls of a process fail, and how.
 
-The block is a small file that the process under test maps (``faults.c``), so faults begin and end
-while it runs. Nothing here is loaded by a dispatcher.
+The block is a small file that the process under test maps (``faults.c``), so that faults can begin
+and end while it runs. A dispatcher does not import this module.
 """
 
 import ctypes
@@ -16,15 +16,15 @@
 from pathlib import Path
 
 SOURCE = Path(__file__).with_name("faults.c")
-VARIABLE = "ONYXPASS_FAULTS"
-RULES = 32
-SHORT_TRANSFER = -1  # in place of an errno: a read or write of one byte
-WITHOUT_END = -1
-NS = 1_000_000_000
+CONTROL_FILE_VARIABLE = "ONYXPASS_FAULTS"
+MAX_RULES = 32
+SHORT_TRANSFER = -1  # in place of an errno: the call transfers one byte
+UNLIMITED = -1  # for ``ForcedFault.times``
+NS_PER_S = 1_000_000_000
 
 
-class Call(IntEnum):
-    """The calls that can be made to fail."""
+class SystemCall(IntEnum):
+    """The system calls that can be forced to fail."""
 
     ACCEPT = 1
     CONNECT = 2
@@ -38,15 +38,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Forced:
-    """``error``: an errno, or ``SHORT_TRANSFER``. ``times``: how often at most; negative:
-    without end.
+class ForcedFault:
+    """A fault of one system call.
+
+    ``error`` is an errno or ``SHORT_TRANSFER``. Each call fails with a probability of
+    ``per_thousand`` / 1000, up to ``times`` calls in all; a negative number sets no bound.
     """
 
-    call: Call
+    call: SystemCall
     error: int
     per_thousand: int = 1000
-    times: int = WITHOUT_END
+    times: int = UNLIMITED
 
     def __str__(self) -> str:
         name = (
@@ -62,7 +64,7 @@
         ("call", ctypes.c_uint32),
         ("error", ctypes.c_int32),
         ("per_thousand", ctypes.c_uint32),
-        ("left", ctypes.c_int32),
+        ("remaining", ctypes.c_int32),
     )
 
 
@@ -72,31 +74,34 @@
         ("send_delay_ns", ctypes.c_int64),
         ("seed", ctypes.c_uint64),
         ("draws", ctypes.c_uint64),
-        ("forced", ctypes.c_uint64 * (len(Call) + 1)),
-        ("rules", _Rule * RULES),
+        ("forced", ctypes.c_uint64 * (len(SystemCall) + 1)),
+        ("rules", _Rule * MAX_RULES),
     )
 
 
-class NoCompiler(RuntimeError):
-    """There is no C compiler on this machine, so the library can't be built."""
+class NoCompilerError(RuntimeError):
+    """There is no C compiler on this machine, so the library cannot be built."""
+
 
+def build_library(folder: Path) -> Path:
+    """Compile the library into ``folder``, unless it is there, and return its path.
 
-def build(folder: Path) -> Path:
-    """Compile the library into ``folder`` once; NoCompiler where there is no ``cc``."""
+    Raises NoCompilerError if there is no ``cc``.
+    """
     library = folder / "faults.so"
     if library.exists():
         return library
     if (compiler := shutil.which("cc")) is None:
-        raise NoCompiler("no C compiler (cc) was found")
-    fresh = library.with_suffix(f".{os.getpid()}.new")
-    command = [compiler, "-O2", "-shared", "-fPIC", "-o", str(fresh), str(SOURCE), "-ldl"]
+        raise NoCompilerError("no C compiler (cc) was found")
+    temporary = library.with_suffix(f".{os.getpid()}.new")
+    command = [compiler, "-O2", "-shared", "-fPIC", "-o", str(temporary), str(SOURCE), "-ldl"]
     subprocess.run(command, check=True)
-    fresh.replace(library)
+    temporary.replace(library)
     return library
 
 
-class Control:
-    """The faults of one process; its file must outlive the process."""
+class FaultControl:
+    """Controls the faults of one process; the file of the block must outlive the process."""
 
     def __init__(self, library: Path, path: Path, seed: int = 1) -> None:
         self.library, self.path = library, path
@@ -108,30 +113,30 @@
 
     @property
     def environment(self) -> Mapping[str, str]:
-        """The variables that a child process needs to be under this control."""
-        return {"LD_PRELOAD": str(self.library), VARIABLE: str(self.path)}
+        """The environment variables that put a child process under this control."""
+        return {"LD_PRELOAD": str(self.library), CONTROL_FILE_VARIABLE: str(self.path)}
 
     def step_wall_clock(self, seconds: float) -> None:
-        """Put the wall clock so far from the true time, at once; the monotonic clock runs on."""
-        self._block.wall_offset_ns = round(seconds * NS)
+        """Set the offset of the wall clock from the true time; the monotonic clock is unaffected."""
+        self._block.wall_offset_ns = round(seconds * NS_PER_S)
 
     def delay_sends(self, seconds: float) -> None:
-        """Hold the process up for so long before each write to a socket."""
-        self._block.send_delay_ns = round(seconds * NS)
+        """Delay each send on a network socket by this time, which blocks the calling thread."""
+        self._block.send_delay_ns = round(seconds * NS_PER_S)
 
-    def force(self, *faults: Forced) -> None:
-        """Just these calls fail from now on; those forced before do no more."""
+    def force(self, *faults: ForcedFault) -> None:
+        """Force these faults from now on, in place of all earlier ones."""
         for rule in self._block.rules:
-            rule.left = 0
+            rule.remaining = 0
         for rule, fault in zip(self._block.rules, faults, strict=False):
             rule.call, rule.error, rule.per_thousand = fault.call, fault.error, fault.per_thousand
-            rule.left = fault.times
+            rule.remaining = fault.times
 
     def clear(self) -> None:
-        """No fault at all; a stepped wall clock stays where it is."""
+        """End all forced faults and delays; the offset of the wall clock stays."""
         self.force()
         self.delay_sends(0)
 
-    def count(self, call: Call) -> int:
-        """How many of these calls have been made to fail so far."""
+    def count(self, call: SystemCall) -> int:
+        """Return how many of these calls have been forced to fail so far."""
         return int(self._block.forced[call])
--- a/onyxpass/toolcalls/service.py
+++ b/onyxpass/toolcalls/service.py
@@ -1,4 +1,4 @@
-"""The JSON-RPC front as a program: its operator's file, and all parts put together."""
+"""The JSON-RPC front end as a program: its configuration file and the service."""
 
 import asyncio
 import ipaddress
@@ -28,10 +28,10 @@
 from onyxpass.scheduling import contract
 from onyxpass.store.redis import RedisStore
 from onyxpass.toolcalls.front import RpcFront
-from onyxpass.toolcalls.peers import STALL_US, Peers
-from onyxpass.toolcalls.tool_call_relay import Desk, ToolServer
+from onyxpass.toolcalls.replicas import STREAM_STALL_TIMEOUT_US, RpcReplicas
+from onyxpass.toolcalls.tool_call_relay import ToolCallRelay, ToolServer
 
-if TYPE_CHECKING:  # guards against start time spent on what only watched files need
+if TYPE_CHECKING:  # keeps start-up short: only watched files need this module
     from onyxpass.sources.membership import FileSource
 
 log = structlog.get_logger("rpc")
@@ -51,7 +51,7 @@
     store_timeout_ms: int = 300
     claim_ttl_s: int = 86_400
     connections: int = 256
-    sources: Path | None = None  # our own file of watched files, in place of ``servers``
+    sources: Path | None = None  # the file that names the watched files, in place of ``servers``
 
 
 RELOADABLE_KEYS = frozenset(("servers", "claim_ttl_s"))
@@ -79,41 +79,45 @@
     return key in RELOADABLE_KEYS or is_reloadable_setting(key)
 
 
-def loopback(text: str) -> Address:
-    """An address on this machine: this front has no transport security, so it serves nothing
-    beyond.
+def parse_loopback_address(text: str) -> Address:
+    """Parse an address, which must be a loopback one: this front end has no transport security.
+
+    Raises ConfigError if it is not.
     """
     address = Address.parse(text)
     try:
-        inside = ipaddress.ip_address(address.host).is_loopback
+        is_loopback = ipaddress.ip_address(address.host).is_loopback
     except ValueError:
-        inside = False
-    if not inside:
+        is_loopback = False
+    if not is_loopback:
         raise ConfigError(f"not a loopback address: {text!r}")
     return address
 
 
 def parse(raw: Mapping[str, Any], base: Path = Path()) -> ToolcallsConfig:
-    """``base``: the folder that relative paths start from."""
+    """Parse a configuration; relative paths are resolved against ``base``.
+
+    Raises ConfigError if it is invalid.
+    """
     try:
         settings = read_settings(raw["settings"])
         kinds = {kind.name for kind in settings.kinds}
         servers = []
         if "sources" in raw and "servers" in raw:
-            raise ConfigError("sources and servers: only one of them can name the servers")
+            raise ConfigError("sources and servers: only one of the two keys may be set")
         for entry in raw["servers"] if "sources" not in raw else ():
             if entry["kind"] not in kinds:
                 raise ConfigError(f"server {entry['id']!r} is of no kind that the settings name")
             zone, cell = str(entry.get("zone", "")), int(entry.get("cell", 0))
             server = contract.Endpoint(str(entry["id"]), str(entry["kind"]), zone, cell)
-            servers.append((server, loopback(str(entry["address"]))))
+            servers.append((server, parse_loopback_address(str(entry["address"]))))
         tools, store = raw["tools"], raw["store"]
         config = ToolcallsConfig(
             name=str(raw["name"]),
-            listen=loopback(raw["listen"]),
+            listen=parse_loopback_address(raw["listen"]),
             settings=settings,
             servers=tuple(servers),
-            tools=loopback(tools["address"]),
+            tools=parse_loopback_address(tools["address"]),
             store_url=str(store["url"]),
             tool_timeout_us=int(tools.get("timeout_ms", 10_000)) * 1000,
             store_timeout_ms=int(store.get("timeout_ms", 300)),
@@ -125,8 +129,10 @@
         raise
     except (ValueError, KeyError, TypeError, AttributeError, IndexError) as problem:
         raise ConfigError(f"the file can't be read: {problem!r}") from problem
-    if not 0 < config.tool_timeout_us < STALL_US:
-        raise ConfigError(f"tools.timeout_ms must lie between 0 and {STALL_US // 1000}")
+    if not 0 < config.tool_timeout_us < STREAM_STALL_TIMEOUT_US:
+        raise ConfigError(
+            f"tools.timeout_ms must lie between 0 and {STREAM_STALL_TIMEOUT_US // 1000}"
+        )
     if len({server.id for server, _ in servers}) < len(servers):
         raise ConfigError("two servers have the same id")
     return config
@@ -151,14 +157,14 @@
         self.wheel = TimerWheel(self.clock)
         self.core = RequestDispatcher(config.settings, config.seed, self.clock, self.wheel)
         self.store = RedisStore(config.store_url, config.store_timeout_ms)
-        self.desk = Desk(self.store, config.claim_ttl_s)
-        self.tools = ToolServer(
-            config.tools, self.wheel, self.desk.ended, config.tool_timeout_us, config.connect_us
+        self.relay = ToolCallRelay(self.store, config.claim_ttl_s)
+        self.tool_server = ToolServer(
+            config.tools, self.wheel, self.relay.record, config.tool_timeout_us, config.connect_us
         )
-        self.desk.server = self.tools
-        self.peers = Peers(self.core, self.desk, config.connect_us, config.connections)
-        self.core.connect_fleet(self.peers)
-        self.front = RpcFront(self.core, self.desk, config.listen, config.connections)
+        self.relay.tool_server = self.tool_server
+        self.replicas = RpcReplicas(self.core, self.relay, config.connect_us, config.connections)
+        self.core.connect_fleet(self.replicas)
+        self.front = RpcFront(self.core, self.relay, config.listen, config.connections)
         self.tasks: list[asyncio.Task[None]] = []
         self.file_source: FileSource | None = None
         if config.sources is not None:
@@ -166,18 +172,20 @@
 
             sources = membership.load(config.sources)
             if not sources.sole_source:
-                raise ConfigError(f"{config.sources}: this front has no discovery to lie over")
+                raise ConfigError(
+                    f"{config.sources}: this front end has no discovery for the file to overlay"
+                )
             self.file_source = membership.FileSource(
-                self.core, self.peers, sources, loopback_only=True
+                self.core, self.replicas, sources, loopback_only=True
             )
 
     async def start(self) -> None:
-        for work in (self.core.run(), self.wheel.run(), self.tools.run()):
+        for work in (self.core.run(), self.wheel.run(), self.tool_server.run()):
             self.tasks.append(asyncio.create_task(work))
         if self.file_source is not None:
             self.tasks.append(asyncio.create_task(self.file_source.follow()))
         else:
-            self._serve_with(self.config)
+            self._apply_servers(self.config)
         await self.front.start()
         if managed():
             from onyxpass.admin.server import AdminServer
@@ -190,9 +198,9 @@
             listen=f"{self.config.listen.host}:{self.front.port}",
         )
 
-    def _serve_with(self, config: ToolcallsConfig) -> None:
+    def _apply_servers(self, config: ToolcallsConfig) -> None:
         for server, address in config.servers:
-            self.peers.add(server.id, self.core.endpoints.roles[server.kind], address)
+            self.replicas.add(server.id, self.core.endpoints.roles[server.kind], address)
         self.core.update_endpoints(
             contract.EndpointUpdate(
                 contract.EndpointUpdateForm.COMPLETE, tuple(s for s, _ in config.servers)
@@ -200,19 +208,21 @@
         )
 
     def reload(self, read: Callable[[], ToolcallsConfig]) -> None:
-        """Take over the servers of the file as it is now, and what else can be changed; on
-        SIGHUP.
+        """Apply the present file as far as a running process can; called on SIGHUP.
+
+        An invalid file is logged and changes nothing.
         """
         try:
             self.apply_reload(read)
-        except ConfigError as problem:  # guards against a file half written: the old servers stay
+        except ConfigError as problem:  # for example a file half written: the old servers stay
             log.error("configuration_rejected", why=str(problem))
-        except Exception:  # guards against a crash on a file that nobody foresaw
+        except Exception:  # prevents a file with an unforeseen fault from ending the process
             log.exception("configuration_unreadable")
 
     def apply_reload(self, read: Callable[[], ToolcallsConfig]) -> ConfigurationChange:
-        """All that a running process can change, at once; the rest is named and waits for a
-        restart.
+        """Apply every key that a running process can change, and return the change.
+
+        The change names the keys that need a restart. Raises ConfigError if the file is invalid.
         """
         fresh, old = read(), self.config
         if unknown := {server.kind for server, _ in fresh.servers} - set(self.core.endpoints.roles):
@@ -224,15 +234,15 @@
             claim_ttl_s=fresh.claim_ttl_s,
             settings=with_reloaded_keys(old.settings, fresh.settings),
         )
-        self.desk.ttl_s = fresh.claim_ttl_s
+        self.relay.ttl_s = fresh.claim_ttl_s
         if self.config.settings != old.settings:
             self.core.apply_settings(self.config.settings)
         if self.file_source is None:
-            self._serve_with(fresh)
+            self._apply_servers(fresh)
         log.info("reloaded", servers=len(fresh.servers), needs_a_restart=list(change.needs_restart))
         return change
 
-    # As its agent manages it
+    # Interface for the admin server
 
     def configuration_values(self) -> ConfigurationTable:
         return toolcalls_values(self.config)
@@ -245,10 +255,13 @@
 
     def open_requests(self) -> OpenRequests:
         requests, streams, oldest_us = self.core.registry.in_flight_summary()
-        return OpenRequests(max(requests, self.front.unsent()), streams, oldest_us)
+        return OpenRequests(max(requests, self.front.count_unsent()), streams, oldest_us)
 
     def set_draining(self, draining: bool) -> None:
-        """Its connections stay: on each of them more requests are refused by their own answers."""
+        """Resume admitting requests once draining ends.
+
+        Draining closes no connection: each new request on an open connection is rejected.
+        """
         if not draining:
             self.core.shutdown.cancel()
 
@@ -257,7 +270,7 @@
 
     def metrics(self) -> dict[str, Any]:
         sources = {"sources": self.file_source.status()} if self.file_source is not None else {}
-        return {**self.core.metric_rows(), "clients": len(self.front.open), **sources}
+        return {**self.core.metric_rows(), "clients": len(self.front.connections), **sources}
 
     async def stop(self) -> None:
         await self.front.stop()
@@ -265,29 +278,27 @@
         log.info("stopped", name=self.config.name)
 
     async def close(self) -> None:
-        """End all tasks without waiting for anything that is out."""
-        mine = [
+        """Cancel all tasks, without waiting for open requests, and close the store."""
+        tasks = [
             *self.tasks,
-            *self.peers.actor_tasks.values(),
-            *self.peers.release_tasks,
-            *self.desk.tasks,
+            *self.replicas.actor_tasks.values(),
+            *self.replicas.release_tasks,
+            *self.relay.tasks,
         ]
-        mine += [
+        tasks += [
             task
-            for peer in self.peers.actors.values()
-            for task in (*peer.tasks.values(), *peer.background_tasks)
+            for replica in self.replicas.actors.values()
+            for task in (*replica.tasks.values(), *replica.background_tasks)
         ]
-        mine += [self.tools.task] if self.tools.task else []
-        for task in mine:
+        tasks += [self.tool_server.task] if self.tool_server.task else []
+        for task in tasks:
             task.cancel()
-        await asyncio.gather(*mine, return_exceptions=True)
+        await asyncio.gather(*tasks, return_exceptions=True)
         await self.store.close()
 
 
 async def serve(config: ToolcallsConfig, load_config: Callable[[], ToolcallsConfig]) -> None:
-    """Run till SIGTERM or SIGINT, then finish what was taken. SIGHUP reads the file's servers
-    again.
-    """
+    """Run until SIGTERM or SIGINT, then finish the open requests. SIGHUP reloads the file."""
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/tests/test_desired.py
+++ b/tests/test_desired.py
@@ -33,7 +33,7 @@
 from onyxpass.desired.upstream_selection import PREFERRED_RETRY_S, UpstreamSelector
 from onyxpass.history_checkers import configuration as rules
 from onyxpass.history_checkers.configuration import Word
-from onyxpass.testbed.configuration import Trial
+from onyxpass.testbed.configuration import ConfigurationTrial
 from onyxpass.testbed.replicas import StandinDiscovery, StandinFleet
 from onyxpass.testbed.settings import SETTINGS
 
@@ -245,18 +245,18 @@
     tmp_path: Path,
 ) -> None:
     async def go() -> None:
-        async with Trial(tmp_path) as t:
-            await t.order("north-c0", a=1, b=1)
-            await t.in_force(t.host_names, has(a=1, b=1))
+        async with ConfigurationTrial(tmp_path) as t:
+            await t.set_values("north-c0", a=1, b=1)
+            await t.wait_until_in_force(t.host_names, has(a=1, b=1))
             t.cut()
-            await t.order("north-c0", a=2, c="n")
-            await t.order("south-c0", a=3, d="s")
+            await t.set_values("north-c0", a=2, c="n")
+            await t.set_values("south-c0", a=3, d="s")
             north = [name for name in t.host_names if name.startswith("north")]
             south = [name for name in t.host_names if name.startswith("south")]
-            await t.in_force(north, has(a=2, b=1, c="n"))
-            await t.in_force(south, has(a=3, b=1, d="s"))
-            t.mend()
-            await t.in_force(t.host_names, has(b=1, c="n", d="s"))
+            await t.wait_until_in_force(north, has(a=2, b=1, c="n"))
+            await t.wait_until_in_force(south, has(a=3, b=1, d="s"))
+            t.restore()
+            await t.wait_until_in_force(t.host_names, has(b=1, c="n", d="s"))
             states = [await t.state(name) for name in t.members]
             while len({state["digest"] for state in states}) > 1 or not all(
                 state["conflicts"] for state in states
@@ -276,16 +276,18 @@
     tmp_path: Path,
 ) -> None:
     async def go() -> None:
-        async with Trial(tmp_path) as t:
-            await t.order("north-c0", a=1)
-            await t.in_force(t.host_names, has(a=1))
-            older = {name: t.kept(name) for name in ("north-c0", "north-relay", "north-h0")}
+        async with ConfigurationTrial(tmp_path) as t:
+            await t.set_values("north-c0", a=1)
+            await t.wait_until_in_force(t.host_names, has(a=1))
+            older = {
+                name: t.read_state_file(name) for name in ("north-c0", "north-relay", "north-h0")
+            }
             # One host is suspended; another host and the relay of the south are down.
             t.signal("south-h0", signal.SIGSTOP)
             await t.kill("north-h1")
             await t.kill("south-relay")
-            await t.order("north-c0", a=2, b=2)
-            await t.in_force(["north-h0", "south-h1"], has(a=2, b=2))
+            await t.set_values("north-c0", a=2, b=2)
+            await t.wait_until_in_force(["north-h0", "south-h1"], has(a=2, b=2))
             for name in older:  # restart with the older state file
                 await t.kill(name)
                 t.state_file(name).write_text(older[name])
@@ -293,9 +295,9 @@
             t.signal("south-h0", signal.SIGCONT)
             await t.start("north-h1")
             await t.start("south-relay")
-            await t.in_force(t.host_names, has(a=2, b=2))
-            await t.order("north-c0", c=3)
-            await t.in_force(t.host_names, has(a=2, b=2, c=3))
+            await t.wait_until_in_force(t.host_names, has(a=2, b=2))
+            await t.set_values("north-c0", c=3)
+            await t.wait_until_in_force(t.host_names, has(a=2, b=2, c=3))
             assert t.breaches() == []
 
     run(go)
@@ -303,9 +305,9 @@
 
 def test_node_with_a_damaged_state_file_exits_and_leaves_the_file_unchanged(tmp_path: Path) -> None:
     async def go() -> None:
-        async with Trial(tmp_path, hosts=1) as t:
-            await t.order("north-c0", a=1)
-            await t.in_force(t.host_names, has(a=1))
+        async with ConfigurationTrial(tmp_path, hosts=1) as t:
+            await t.set_values("north-c0", a=1)
+            await t.wait_until_in_force(t.host_names, has(a=1))
             await t.kill("north-h0")
             truncated = t.state_file("north-h0").read_text()[:-20]
             t.state_file("north-h0").write_text(truncated)
@@ -320,11 +322,11 @@
 
 def test_operator_commands_set_and_show_values(tmp_path: Path) -> None:
     async def go() -> None:
-        async with Trial(tmp_path, hosts=1) as t:
+        async with ConfigurationTrial(tmp_path, hosts=1) as t:
             cli, key = CliRunner(), ["--key", str(tmp_path / "key")]
             at = {name: ["--at", f"127.0.0.1:{member.port}"] for name, member in t.members.items()}
-            await t.order("north-c0", a=1)
-            await t.in_force(t.host_names, has(a=1))
+            await t.set_values("north-c0", a=1)
+            await t.wait_until_in_force(t.host_names, has(a=1))
             while not await t.state(
                 "south-c0"
             ):  # the command does not retry, and the node may start late
@@ -332,7 +334,9 @@
             set_command = ["set", "limits.sockets=900", *at["south-c0"], *key]
             result = await asyncio.to_thread(cli.invoke, desired_app, set_command)
             assert result.exit_code == 0, result.output
-            await t.in_force(t.host_names, lambda values: values.get("limits.sockets") == 900)
+            await t.wait_until_in_force(
+                t.host_names, lambda values: values.get("limits.sockets") == 900
+            )
             shown = await asyncio.to_thread(
                 cli.invoke,
                 desired_app,
@@ -356,28 +360,31 @@
     """The host's node writes its dispatchers' files and has its agent reload them."""
 
     async def go() -> None:
-        async with Trial(tmp_path, hosts=0) as t, running_discovery() as discovery:
-            await t.order("north-c0", **{OBJECTIVE_KEY: 1_300_000})
+        async with ConfigurationTrial(tmp_path, hosts=0) as t, running_discovery() as discovery:
+            await t.set_values("north-c0", **{OBJECTIVE_KEY: 1_300_000})
             agent = await t.start_agent("north-a0", discovery.address, 2)
             host = t.write_host("north-h0", "north", agent, 2)
             await t.start(host)
-            await t.in_force([host], has(**{OBJECTIVE_KEY: 1_300_000}))
-            assert await t.aims(agent) == [1_300_000] * 2, (
+            await t.wait_until_in_force([host], has(**{OBJECTIVE_KEY: 1_300_000}))
+            assert await t.latency_objectives_us(agent) == [1_300_000] * 2, (
                 "the running dispatchers report the value"
             )
             await t.kill(host)
-            await t.order("south-c0", **{OBJECTIVE_KEY: 1_400_000})
+            await t.set_values("south-c0", **{OBJECTIVE_KEY: 1_400_000})
             await t.start(host)
-            await t.in_force([host], has(**{OBJECTIVE_KEY: 1_400_000}))
-            assert await t.aims(agent) == [1_400_000] * 2
-            accepted = await t.order("north-c0", **{"settings.grades.nobody.promiseUs": 1})
+            await t.wait_until_in_force([host], has(**{OBJECTIVE_KEY: 1_400_000}))
+            assert await t.latency_objectives_us(agent) == [1_400_000] * 2
+            accepted = await t.set_values("north-c0", **{"settings.grades.nobody.promiseUs": 1})
             assert accepted.status == 200, "a control node does not know the dispatchers' files"
             while (await t.state(host))["values"].get("settings.grades.nobody.promiseUs") is None:
                 await asyncio.sleep(0.05)
-            await t.order("north-c0", **{OBJECTIVE_KEY: 1_500_000})
+            await t.set_values("north-c0", **{OBJECTIVE_KEY: 1_500_000})
             await asyncio.sleep(0.5)
             state = await t.state(host)
-            assert state["in_force"] != state["digest"] and await t.aims(agent) == [1_400_000] * 2
+            assert (
+                state["in_force"] != state["digest"]
+                and await t.latency_objectives_us(agent) == [1_400_000] * 2
+            )
             assert "no row named 'nobody'" in (tmp_path / f"{host}.log").read_text()
 
     run(go)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -29,7 +29,7 @@
 from onyxpass.fleet.runner import ChangeOrder
 from onyxpass.history_checkers.trace import breaches
 from onyxpass.testbed.client import CLASSES
-from onyxpass.testbed.demo import ready
+from onyxpass.testbed.demo import wait_until_serving
 from onyxpass.testbed.front import FrontLayer
 from onyxpass.testbed.replicas import Speed, StandinFleet
 from onyxpass.testbed.site import Host, Site
@@ -81,8 +81,10 @@
             while not stopping.is_set():
                 self.request_number += 1
                 traffic_class = CLASSES[self.request_number % len(CLASSES)]
-                answer = await front.ask(f"t{self.request_number:06}", traffic_class, f"s{number}")
-                self.answer_counts[answer.end] += 1
+                answer = await front.send_request(
+                    f"t{self.request_number:06}", traffic_class, f"s{number}"
+                )
+                self.answer_counts[answer.outcome] += 1
 
         front_task = asyncio.create_task(front.run())
         client_tasks = [asyncio.create_task(client(number)) for number in range(clients)]
@@ -104,12 +106,12 @@
     ).start()
     site_hosts = tuple(Host(name, hall, (f"{hall}-1", f"{hall}-2")) for name, hall in HOSTS[:hosts])
     site = Site(folder, fleet, site_hosts, limits, RESTART_POLICY)
-    site.write()
+    site.write_files()
     try:
         for host in site_hosts:
             await site.start(host)
         running = RunningSite(site)
-        first = await ready(running.controller, 30.0)
+        first = await wait_until_serving(running.controller, 30.0)
         assert all(view.serving for view in first.views.values()), first.to_dict()
         yield running
     finally:
@@ -146,7 +148,7 @@
             before = await t.views()
             async with t.traffic():
                 for name in t.site.ports:
-                    t.site.config(name, {"sockets": 900})
+                    t.site.write_instance_config(name, {"sockets": 900})
                 _, report = await t.controller.run_rollout(
                     t.fleet.members, ChangeOrder(ChangeMethod.AUTO, 20.0)
                 )
@@ -162,7 +164,9 @@
                 ), "reload restarts no instance"
                 assert all(v.live_value("config", "generation") == 1 for v in reloaded.values())
                 for name in t.site.ports:
-                    t.site.config(name, {"peers": 7})  # a change of this key needs a restart
+                    t.site.write_instance_config(
+                        name, {"peers": 7}
+                    )  # a change of this key needs a restart
                 report = await t.controller.order("reload", t.fleet.members, 10.0, {})
                 await t.assert_counts(report, failed=6)
                 assert "needs a restart: settings.routers" in str(report.to_dict())
@@ -191,8 +195,8 @@
         ) as t:
             stopped = await t.pid("derby-1")
             for name in t.site.ports:
-                t.site.config(name, {"sockets": 800})
-            t.site.config("santo-amaro-1")
+                t.site.write_instance_config(name, {"sockets": 800})
+            t.site.write_instance_config("santo-amaro-1")
             (t.site.folder / "santo-amaro-1.json").write_text('{"name": "half')
             os.kill(stopped, signal.SIGSTOP)  # its socket accepts connections, but nothing answers
             async with t.traffic():
@@ -214,8 +218,8 @@
                 and listing["selected"] == 6
             )
             os.kill(stopped, signal.SIGCONT)
-            t.site.config("santo-amaro-1", {"sockets": 800})
-            await ready(t.controller)
+            t.site.write_instance_config("santo-amaro-1", {"sockets": 800})
+            await wait_until_serving(t.controller)
             _, report = await t.controller.run_rollout(
                 t.fleet.members, ChangeOrder(ChangeMethod.RELOAD, 10.0)
             )
@@ -233,11 +237,12 @@
             with pytest.raises(CommandRejectedError, match="exceeds the fleet's limits"):
                 await t.controller.order("drain", t.fleet.members, 5.0, {})
             for replica in t.site.fleet.replicas.values():
-                replica.hold.clear()
+                replica.streams_may_continue.clear()
             front = FrontLayer(t.trace, {one.name: t.site.ports[one.name]})
             front.ready.add(one.name)
             streams = [
-                asyncio.create_task(front.ask(f"d{i}", CLASSES[i % 3], "s")) for i in range(3)
+                asyncio.create_task(front.send_request(f"d{i}", CLASSES[i % 3], "s"))
+                for i in range(3)
             ]
             while (await t.views())[one.name].live_value("drain", "streams") != 3:
                 await asyncio.sleep(0.02)
@@ -251,26 +256,26 @@
                 and view.live_value("drain", "late")
                 and not view.serving
             )
-            assert (await front.ask("late", "stock-booking", "s")).end == "refused"
+            assert (await front.send_request("late", "stock-booking", "s")).outcome == "refused"
             for replica in t.site.fleet.replicas.values():
-                replica.hold.set()
+                replica.streams_may_continue.set()
             report = await t.controller.order(
                 "drain", [one], 10.0, {"notice_ms": 0}, regardless=True
             )
             await t.assert_counts(report, done=1)
-            assert [(await stream).end for stream in streams] == ["served"] * 3
+            assert [(await stream).outcome for stream in streams] == ["served"] * 3
             await t.assert_counts(await t.controller.order("undrain", [one], 5.0, {}), done=1)
-            assert (await front.ask("again", "part-lookup", "s")).end == "served"
+            assert (await front.send_request("again", "part-lookup", "s")).outcome == "served"
             for replica in t.site.fleet.replicas.values():
-                replica.hold.clear()
-            stream = asyncio.create_task(front.ask("cut", "stock-booking", "s"))
+                replica.streams_may_continue.clear()
+            stream = asyncio.create_task(front.send_request("cut", "stock-booking", "s"))
             while (await t.views())[one.name].live_value("drain", "streams") != 1:
                 await asyncio.sleep(0.02)
             options = {"notice_ms": 0, "force": True}
             report = await t.controller.order("drain", [one], 0.2, options)
             await t.assert_counts(report, done=1)
             assert report.tally.outcomes()[one.name].reason == "forced: 1 cut short"
-            assert (await stream).end == "broken"
+            assert (await stream).outcome == "broken"
             assert two.name not in report.tally.outcomes() and not breaches(t.trace)
 
     run(go)
@@ -285,10 +290,10 @@
             assert host.process is not None
             before = {name: view.live_value("launch") for name, view in (await t.views()).items()}
             for replica in t.site.fleet.replicas.values():
-                replica.hold.clear()
+                replica.streams_may_continue.clear()
             front = FrontLayer(t.trace, {one.name: t.site.ports[one.name]})
             front.ready.add(one.name)
-            stream = asyncio.create_task(front.ask("r1", "shift-summary", "s"))
+            stream = asyncio.create_task(front.send_request("r1", "shift-summary", "s"))
             while (await t.views())[one.name].live_value("drain", "streams") != 1:
                 await asyncio.sleep(0.02)
             order = asyncio.create_task(t.controller.order("restart", [one], 6.0, {"notice_ms": 0}))
@@ -302,9 +307,9 @@
             direct = FrontLayer(t.trace, {two.name: t.site.ports[two.name]})
             direct.ready.add(two.name)
             for replica in t.site.fleet.replicas.values():
-                replica.hold.set()
-            assert (await stream).end == "served", "the instances serve without their agent"
-            assert (await direct.ask("r2", "stock-booking", "s")).end == "served"
+                replica.streams_may_continue.set()
+            assert (await stream).outcome == "served", "the instances serve without their agent"
+            assert (await direct.send_request("r2", "stock-booking", "s")).outcome == "served"
             await t.site.start(host)
             await t.assert_counts(await order, unknown=1)
             while (found := await t.views())[two.name].live_report is None:
@@ -329,7 +334,7 @@
     async def go() -> None:
         async with running_site(tmp_path, limits=SLOW_LIMITS) as t:
             for name in t.site.ports:
-                t.site.config(name, {"sockets": 700})
+                t.site.write_instance_config(name, {"sockets": 700})
             process = await asyncio.create_subprocess_exec(
                 *(
                     sys.executable,
@@ -383,7 +388,7 @@
     async def go() -> None:
         async with running_site(tmp_path, limits=SLOW_LIMITS) as t:
             for name in t.site.ports:
-                t.site.config(name, {"sockets": 600})
+                t.site.write_instance_config(name, {"sockets": 600})
             settled: list[str] = []
 
             def on_step(what: str, detail: Any) -> None:
@@ -397,7 +402,7 @@
             )
             while not settled:
                 await asyncio.sleep(0.02)
-            t.site.config(settled[0])  # the instance restarts with its old file
+            t.site.write_instance_config(settled[0])  # the instance restarts with its old file
             os.kill(await t.pid(settled[0]), signal.SIGKILL)
             await t.controller.abort_rollout("", "seen enough")
             id, report = await running
@@ -425,7 +430,7 @@
             )
             assert loop.time() - began_s < 4.0, "two silent instances cost one deadline of 0.5 s"
             for name in t.site.ports:
-                t.site.config(name, {"sockets": 500})
+                t.site.write_instance_config(name, {"sockets": 500})
             report = await t.controller.order("reload", t.fleet.members, 1.0, {})
             await t.assert_counts(report, done=4, unknown=2)
             assert "it may have arrived" in report.tally.outcomes()["santo-amaro-1"].reason
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -38,7 +38,7 @@
 from onyxpass.store.leases import LEASE_KEY_PREFIX, LeaseStore
 from onyxpass.store.redis import StoreUnavailableError
 from onyxpass.testbed.link import Link
-from onyxpass.testbed.store import Fault
+from onyxpass.testbed.store import StoreFault
 
 FREE = LeaseRecord(token=3, holder="last", expires_at_ms=0, store_run_id="r")
 SMALL_BOUNDS = SearchBounds(duration_ms=175, max_states=15_000)
@@ -380,7 +380,7 @@
     async def scenario() -> None:
         server = await RespStore().start()
         store = await open_store(server)
-        server.faults = [Fault.LOST]
+        server.faults = [StoreFault.LOST]
         with pytest.raises(StoreUnavailableError):
             await store.execute("l", AcquireRequest("a", 5000))
         held = parse_record(server.data[LEASE_KEY_PREFIX + "l"])
@@ -395,8 +395,8 @@
     run(scenario)
 
 
-@pytest.mark.parametrize("fault", [Fault.REFUSED, Fault.LOADING, Fault.READONLY])
-def test_an_error_of_the_store_raises_and_changes_nothing(fault: Fault) -> None:
+@pytest.mark.parametrize("fault", [StoreFault.REFUSED, StoreFault.LOADING, StoreFault.READONLY])
+def test_an_error_of_the_store_raises_and_changes_nothing(fault: StoreFault) -> None:
     async def scenario() -> None:
         server = await RespStore().start()
         store = await open_store(server)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -410,7 +410,9 @@
                     {"seq": 90, "whole": False, "hosts": []}, d.endpoint_watcher.epoch - 1
                 )
             )
-            assert d.endpoint_watcher.seq == 7, "messages of the old address apply, their versions do not"
+            assert d.endpoint_watcher.seq == 7, (
+                "messages of the old address apply, their versions do not"
+            )
             new.change(new.entry("r0", "r", w.readers[0].address, "leaving"))
             await until(lambda: not d.core.endpoints.accepts_new_work("r0"))
             hold.set()
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -193,10 +193,10 @@
     try:
         message = rpc.parse(line)
     except rpc.RpcError as error:
-        assert error.code in (rpc.PARSE, rpc.INVALID, rpc.BAD_PARAMS)
+        assert error.code in (rpc.PARSE_ERROR, rpc.INVALID_REQUEST, rpc.INVALID_PARAMS)
         assert rpc.parse(rpc.error(error.id, error)).id == error.id  # type: ignore[union-attr]
     else:
-        assert isinstance(message, rpc.Call | rpc.Reply)
+        assert isinstance(message, rpc.RpcRequest | rpc.RpcResponse)
 
 
 VALUES = st.text(st.characters(codec=None), max_size=4) | st.sampled_from(["light", "once"]) | JSON
@@ -227,7 +227,7 @@
     try:
         client = front._generate(1, call_params, Connection(None, None, {}))  # type: ignore[arg-type]
     except rpc.RpcError as error:
-        assert error.code in (rpc.BAD_PARAMS, rpc.INVALID)
+        assert error.code in (rpc.INVALID_PARAMS, rpc.INVALID_REQUEST)
     else:
         assert client.request is not None
         client.has_disconnected = lambda: False  # type: ignore[method-assign]
@@ -239,7 +239,9 @@
 def test_split_json_rpc_lines_are_read_unchanged(text: str, positions: list[int]) -> None:
     async def scenario() -> list[bytes]:
         reader = asyncio.StreamReader(limit=rpc.LINE_LIMIT)
-        for part in split_at(rpc.notice("text", {"text": text}) * 2 + b'{"cut off', positions):
+        for part in split_at(
+            rpc.notification("text", {"text": text}) * 2 + b'{"cut off', positions
+        ):
             reader.feed_data(part)
         reader.feed_eof()
         lines = []
