--- a/benchmarks/parties.py
+++ b/benchmarks/bench_support.py
@@ -18,7 +18,7 @@
 from onyxpass.history_checkers.trace import Trace
 from onyxpass.testbed.replicas import Listed, StandinDiscovery, StandinReplica, States
 
-Found = dict[str, float]
+Measurements = dict[str, float]
 
 
 # What the system tells
@@ -40,16 +40,16 @@
     return next(int(line.split()[1]) for line in lines if line.strip().startswith("lo:"))
 
 
-async def until(done: Callable[[], bool], limit_s: float = 60.0) -> float:
+async def wait_until(condition: Callable[[], bool], timeout_s: float = 60.0) -> float:
     began_s = time.monotonic()
-    while not done():
-        if time.monotonic() - began_s > limit_s:
+    while not condition():
+        if time.monotonic() - began_s > timeout_s:
             raise TimeoutError
         await asyncio.sleep(0.005)
     return time.monotonic() - began_s
 
 
-async def resting(pid: int, seconds: float) -> Found:
+async def measure_idle(pid: int, seconds: float) -> Measurements:
     before, cpu = loopback_bytes(), cpu_s(pid)
     await asyncio.sleep(seconds)
     used = cpu_s(pid) - cpu
@@ -96,13 +96,13 @@
         assert self.process.stdout is not None
         return int(self.process.stdout.readline())
 
-    def order(self, what: str) -> int:
+    def request_change(self, command: str) -> int:
         assert self.process.stdin is not None
-        self.process.stdin.write(what + "\n")
+        self.process.stdin.write(command + "\n")
         self.process.stdin.flush()
         return self._line()
 
-    def end(self) -> None:
+    def stop(self) -> None:
         assert self.process.stdin is not None
         self.process.stdin.close()
         self.process.wait(10)
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -22,14 +22,22 @@
 from dataclasses import asdict
 from pathlib import Path
 
-from parties import Found, ListServer, cpu_s, loopback_bytes, memory_mb, resting, until
+from bench_support import (
+    ListServer,
+    Measurements,
+    cpu_s,
+    loopback_bytes,
+    measure_idle,
+    memory_mb,
+    wait_until,
+)
 
 from onyxpass.agent.credentials import make_key
 from onyxpass.config import settings as platform_settings
 from onyxpass.config.platform_file import Address
 from onyxpass.emulator import capacity, full_scale
-from onyxpass.emulator.decision_cost import measure_choosing
-from onyxpass.emulator.topology import Trouble
+from onyxpass.emulator.decision_cost import measure_decision_cost
+from onyxpass.emulator.topology import InjectedFault
 from onyxpass.history_checkers.configuration import latency_s
 from onyxpass.hollow.dispatchers import HollowFleet
 from onyxpass.testbed.configuration import Trial
@@ -40,16 +48,16 @@
 SERVERS, DISPATCHERS = 600, 370
 IDLE_S, CHANGES = 6.0, 20
 SETTLE_S = 5.0  # after starts, till first checks and pulls are over
-PACE_S = 0.5  # between changes one by one
+CHANGE_INTERVAL_S = 0.5  # between changes one by one
 OUTAGE_S = 12.0  # an hour that a region is cut off, shortened
 RATE = 8.0  # requests a second for a dispatcher
-SERVE = (sys.executable, "-m", "onyxpass", "serve")  # as the platform starts it
+SERVE_COMMAND = (sys.executable, "-m", "onyxpass", "serve")  # as the platform starts it
 
 
 # Hollow dispatchers on the list
 
 
-async def watched(servers: int, dispatchers: int) -> Found:
+async def measure_list(servers: int, dispatchers: int) -> Measurements:
     """Hollow dispatchers in this process watch the list: start, rest, changes, a restart of its
     server.
     """
@@ -59,20 +67,20 @@
         before = loopback_bytes()
         fleet = HollowFleet(settings, Address("127.0.0.1", server.port), dispatchers)
         fleet.start()
-        start_s = await until(lambda: fleet.at_least(1) == dispatchers)
+        start_s = await wait_until(lambda: fleet.at_least(1) == dispatchers)
         await asyncio.sleep(0.5)
         start_bytes = loopback_bytes() - before
-        rest = await resting(server.process.pid, IDLE_S)
+        rest = await measure_idle(server.process.pid, IDLE_S)
         times, before, cpu = [], loopback_bytes(), cpu_s(server.process.pid)
         for _ in range(CHANGES):
-            wanted = server.order("change")
-            times.append(await until(lambda: fleet.at_least(wanted) == dispatchers))  # noqa: B023
+            version = server.request_change("change")
+            times.append(await wait_until(lambda: fleet.at_least(version) == dispatchers))  # noqa: B023
         changes_bytes, changes_cpu = loopback_bytes() - before, cpu_s(server.process.pid) - cpu
         before = loopback_bytes()
-        wanted = server.order("restart")
-        again_s = await until(lambda: fleet.at_least(wanted) == dispatchers)
+        version = server.request_change("restart")
+        restart_s = await wait_until(lambda: fleet.at_least(version) == dispatchers)
         await asyncio.sleep(0.5)
-        again_bytes = loopback_bytes() - before
+        restart_bytes = loopback_bytes() - before
         fleet.stop()
         return {
             "start_s": start_s,
@@ -82,13 +90,13 @@
             "change_s": max(times),
             "change_bytes_each": changes_bytes / CHANGES / dispatchers,
             "change_cpu_ms": changes_cpu / CHANGES * 1e3,
-            "restart_s": again_s,
-            "restart_kb_each": again_bytes / dispatchers / 1e3,
+            "restart_s": restart_s,
+            "restart_kb_each": restart_bytes / dispatchers / 1e3,
             "server_mb": memory_mb(server.process.pid),
             "hollow_mb": memory_mb(os.getpid()),
         }
     finally:
-        server.end()
+        server.stop()
 
 
 # A real dispatcher, and a real agent with real dispatchers
@@ -97,25 +105,27 @@
 def dispatcher_file(folder: Path, name: str, discovery: str, tenants: int, listen: str) -> Path:
     path = folder / f"{name}.json"
     accounts = [{"name": f"t{n}", "quotaPerS": 1.0} for n in range(tenants)]
-    told = {**SETTINGS, "peersTotal": DISPATCHERS, "accounts": accounts}
+    settings_document = {**SETTINGS, "peersTotal": DISPATCHERS, "accounts": accounts}
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
-    whole_file = {
+    document = {
         "name": name,
         "listen": listen,
         "discovery": discovery,
         "seed": "5eed",
         "limits": limits,
     }
-    path.write_text(json.dumps({**whole_file, "known": {}, "settings": told}))
+    path.write_text(json.dumps({**document, "known": {}, "settings": settings_document}))
     return path
 
 
-def environment(config: Path) -> dict[str, str]:
-    kept = {name: value for name, value in os.environ.items() if not name.startswith("ROUTER_")}
-    return {**kept, "ROUTER_CONFIG": str(config), "TMPDIR": str(config.parent)}
+def dispatcher_environment(config: Path) -> dict[str, str]:
+    inherited = {
+        name: value for name, value in os.environ.items() if not name.startswith("ROUTER_")
+    }
+    return {**inherited, "ROUTER_CONFIG": str(config), "TMPDIR": str(config.parent)}
 
 
-async def dispatcher(servers: int, tenants: int) -> Found:
+async def measure_dispatcher(servers: int, tenants: int) -> Measurements:
     """Start, rest, changes of the list, at one real process."""
     server = ListServer(servers)
     with tempfile.TemporaryDirectory(prefix="onyxpass-capacity-") as folder:
@@ -123,7 +133,7 @@
             Path(folder), "n0", f"127.0.0.1:{server.port}", tenants, "127.0.0.1:0"
         )
         process = await asyncio.create_subprocess_exec(
-            *SERVE, stdout=subprocess.PIPE, env=environment(path)
+            *SERVE_COMMAND, stdout=subprocess.PIPE, env=dispatcher_environment(path)
         )
         assert process.stdout is not None
         try:
@@ -136,14 +146,14 @@
                         versions.append(json.loads(line)["seq"])
 
             following = asyncio.create_task(follow())
-            await until(lambda: len(versions) > 1)
+            await wait_until(lambda: len(versions) > 1)
             await asyncio.sleep(1.0)
             start_cpu_s = cpu_s(process.pid)
-            rest = await resting(process.pid, IDLE_S)
+            rest = await measure_idle(process.pid, IDLE_S)
             cpu = cpu_s(process.pid)
             for _ in range(CHANGES):
-                wanted = server.order("change")
-                await until(lambda: versions[-1] >= wanted)  # noqa: B023
+                version = server.request_change("change")
+                await wait_until(lambda: versions[-1] >= version)  # noqa: B023
             changes_cpu = cpu_s(process.pid) - cpu
             found = {
                 "start_cpu_s": start_cpu_s,
@@ -156,27 +166,29 @@
         finally:
             process.terminate()
             await process.wait()
-            server.end()
+            server.stop()
         await following
         return found
 
 
-async def agent(instances: int) -> Found:
+async def measure_agent(instances: int) -> Measurements:
     """A real agent at rest over real dispatchers."""
     server = ListServer(SERVERS)
     with tempfile.TemporaryDirectory(prefix="onyxpass-capacity-") as name:
         folder = Path(name)
         make_key(folder / "key")
-        rows = ""
+        instance_tables = ""
         for number in range(instances):
             listen = f"127.0.0.1:{free_port()}"
             dispatcher_file(folder, f"n{number}", f"127.0.0.1:{server.port}", 0, listen)
-            rows += (
+            instance_tables += (
                 f'[[instances]]\nname = "n{number}"\nkind = "serve"\nconfig = "n{number}.json"\n'
             )
-            rows += f'check = "{listen}"\n'
-        head = f'name = "h0"\nstate = "state"\nlisten = "127.0.0.1:{free_port()}"\nkey = "key"\n'
-        (folder / "agent.toml").write_text(head + rows)
+            instance_tables += f'check = "{listen}"\n'
+        agent_table = (
+            f'name = "h0"\nstate = "state"\nlisten = "127.0.0.1:{free_port()}"\nkey = "key"\n'
+        )
+        (folder / "agent.toml").write_text(agent_table + instance_tables)
         process = await asyncio.create_subprocess_exec(
             *(
                 sys.executable,
@@ -191,17 +203,17 @@
         )
         try:
             children = Path(f"/proc/{process.pid}/task/{process.pid}/children")
-            await until(lambda: len(children.read_text().split()) >= instances)
+            await wait_until(lambda: len(children.read_text().split()) >= instances)
             await asyncio.sleep(SETTLE_S)
-            rest = await resting(process.pid, IDLE_S)
+            rest = await measure_idle(process.pid, IDLE_S)
             return {"cpu_ms_a_s": rest["cpu_ms_a_s"], "mb": memory_mb(process.pid)}
         finally:
             process.terminate()
             await process.wait()
-            server.end()
+            server.stop()
 
 
-async def together(agents: int) -> Found:
+async def measure_real_and_hollow(agents: int) -> Measurements:
     """Real dispatchers, six under each real agent's place, beside hollow ones up to the whole
     number.
     """
@@ -226,30 +238,30 @@
                     Path(name), f"n{number}", f"127.0.0.1:{server.port}", 0, "127.0.0.1:0"
                 )
                 process = await asyncio.create_subprocess_exec(
-                    *SERVE, stdout=subprocess.PIPE, env=environment(path)
+                    *SERVE_COMMAND, stdout=subprocess.PIPE, env=dispatcher_environment(path)
                 )
                 processes.append(process)
                 asyncio.create_task(follow(process, logs[number]))  # noqa: RUF006
             fleet.start()
 
-            def have(wanted: int) -> bool:
-                real = all(log[-1] >= wanted for log in logs)
-                return real and fleet.at_least(wanted) == DISPATCHERS - count
+            def all_have(version: int) -> bool:
+                real = all(log[-1] >= version for log in logs)
+                return real and fleet.at_least(version) == DISPATCHERS - count
 
-            start_s = await until(lambda: have(1))
+            start_s = await wait_until(lambda: all_have(1))
             await asyncio.sleep(1.0)
             times = []
             for _ in range(CHANGES):
-                wanted = server.order("change")
-                times.append(await until(lambda: have(wanted)))  # noqa: B023
-            wanted = server.order("restart")
-            again_s = await until(lambda: have(wanted))
+                version = server.request_change("change")
+                times.append(await wait_until(lambda: all_have(version)))  # noqa: B023
+            version = server.request_change("restart")
+            restart_s = await wait_until(lambda: all_have(version))
             mb = sum(memory_mb(process.pid) for process in processes) / count
             return {
                 "real": count,
                 "start_s": start_s,
                 "change_s": max(times),
-                "restart_s": again_s,
+                "restart_s": restart_s,
                 "mb": mb,
             }
         finally:
@@ -257,10 +269,10 @@
                 process.terminate()
             await asyncio.gather(*(process.wait() for process in processes))
             fleet.stop()
-            server.end()
+            server.stop()
 
 
-async def configured(hosts: int) -> Found:
+async def measure_configuration(hosts: int) -> Measurements:
     """Real nodes, so many hosts in each of two regions and three control nodes: orders till in
     force at all.
 
@@ -281,26 +293,29 @@
             before, began_ns = loopback_bytes(), time.monotonic_ns()
             for number in range(CHANGES):
                 await t.order(f"{'north' if number % 2 else 'south'}-c{number % 3}", paced=number)
-                await asyncio.sleep(PACE_S)
-            paced_s, ended_ns = (time.monotonic_ns() - began_ns) / 1e9, time.monotonic_ns()
-            paced_bytes = loopback_bytes() - before - rest * paced_s
+                await asyncio.sleep(CHANGE_INTERVAL_S)
+            spaced_duration_s, ended_ns = (
+                (time.monotonic_ns() - began_ns) / 1e9,
+                time.monotonic_ns(),
+            )
+            spaced_bytes = loopback_bytes() - before - rest * spaced_duration_s
             for number in range(CHANGES):
                 await t.order("north-c1", burst=number)
             await t.in_force(names, lambda values: values.get("burst") == CHANGES - 1)
-            away = names[:: max(1, len(names) // max(1, len(names) // 10))][
+            stopped_hosts = names[:: max(1, len(names) // max(1, len(names) // 10))][
                 : max(1, len(names) // 10)
             ]
-            for host in away:
+            for host in stopped_hosts:
                 await t.kill(host)
             await t.order("south-c0", away=1)
             await t.in_force(
-                [n for n in names if n not in away], lambda values: values.get("away") == 1
+                [n for n in names if n not in stopped_hosts], lambda values: values.get("away") == 1
             )
             began_s = time.monotonic()
-            for host in away:
+            for host in stopped_hosts:
                 await t.start(host)
             await t.in_force(names, lambda values: values.get("away") == 1)
-            back_s = time.monotonic() - began_s
+            catch_up_s = time.monotonic() - began_s
             t.cut()
             await t.order("north-c0", split=1)
             await t.order("south-c0", other=1)
@@ -310,34 +325,36 @@
             await t.in_force(
                 names, lambda values: values.get("split") == 1 and values.get("other") == 1
             )
-            mended_s = time.monotonic() - began_s
+            heal_s = time.monotonic() - began_s
             mb = memory_mb(t.process_of(names[0]))
-            words = t.words()
-            times = sorted(latency_s(words, names))
-            paced = latency_s([word for word in words if began_ns <= word.at_ns <= ended_ns], names)
+            records = t.words()
+            times = sorted(latency_s(records, names))
+            spaced_latencies = latency_s(
+                [record for record in records if began_ns <= record.at_ns <= ended_ns], names
+            )
             return {
                 "hosts": len(names),
                 "orders": len(times),
-                "paced_median_s": sorted(paced)[len(paced) // 2],
-                "paced_most_s": max(paced),
-                "paced_orders": len(paced),
+                "paced_median_s": sorted(spaced_latencies)[len(spaced_latencies) // 2],
+                "paced_most_s": max(spaced_latencies),
+                "paced_orders": len(spaced_latencies),
                 "most_s": times[-1],
                 "rest_bytes_a_s": rest,
                 "rest_bytes_a_s_across": rest_across,
-                "change_bytes": paced_bytes / CHANGES,
-                "back_s": back_s,
-                "mended_s": mended_s,
+                "change_bytes": spaced_bytes / CHANGES,
+                "back_s": catch_up_s,
+                "mended_s": heal_s,
                 "node_mb": mb,
                 "breaches": len(t.breaches()),
             }
 
 
-def choosing(servers: int) -> Found:
-    found = measure_choosing(servers, DISPATCHERS, RATE, 30.0, 1)
+def measure_choosing(servers: int) -> Measurements:
+    found = measure_decision_cost(servers, DISPATCHERS, RATE, 30.0, 1)
     return {"us_a_request": found.us_a_request, "requests": found.requests}
 
 
-def ordered(instances: int, silent: float) -> Found:
+def measure_reload(instances: int, silent: float) -> Measurements:
     """One reload of all by the operators' tool, over stand-in agents."""
     run = subprocess.run(
         [
@@ -352,51 +369,59 @@
         check=True,
         text=True,
     )
-    told = json.loads(run.stdout)
-    done = sum(count for outcome, count in told["counts"].items() if outcome == "done")
-    return {"seconds": told["seconds"], "mb": told["mb"], "done": done, "asked": instances}
+    output = json.loads(run.stdout)
+    done = sum(count for outcome, count in output["counts"].items() if outcome == "done")
+    return {"seconds": output["seconds"], "mb": output["mb"], "done": done, "asked": instances}
 
 
-def emulated(part: float, seconds: float, troubles: tuple[Trouble, ...] = ()) -> dict[str, object]:
-    return asdict(full_scale.play(full_scale.site_of(part, seconds, troubles), 1))
+def measure_emulated(
+    fraction: float, seconds: float, faults: tuple[InjectedFault, ...] = ()
+) -> dict[str, object]:
+    return asdict(full_scale.run_site(full_scale.scaled_site(fraction, seconds, faults), 1))
 
 
 # Which runs there are: a name, a size, and whether the small form has it
 
-Run = Callable[[float], Found | dict[str, object] | Awaitable[Found]]
+Run = Callable[[float], Measurements | dict[str, object] | Awaitable[Measurements]]
 RUNS: dict[str, tuple[Run, tuple[float, ...], tuple[float, ...]]] = {
-    "choosing by servers": (lambda n: choosing(round(n)), (75, 150, 300, 600), (20, 40)),
-    "dispatcher by servers": (lambda n: dispatcher(round(n), 0), (75, 150, 300, 600), (20,)),
+    "choosing by servers": (lambda n: measure_choosing(round(n)), (75, 150, 300, 600), (20, 40)),
+    "dispatcher by servers": (
+        lambda n: measure_dispatcher(round(n), 0),
+        (75, 150, 300, 600),
+        (20,),
+    ),
     "dispatcher by tenants": (
-        lambda n: dispatcher(SERVERS, round(n)),
+        lambda n: measure_dispatcher(SERVERS, round(n)),
         (500, 1_000, 2_000, 4_000),
         (),
     ),
-    "list by dispatchers": (lambda n: watched(SERVERS, round(n)), (45, 90, 185, 370), (4,)),
-    "list by servers": (lambda n: watched(round(n), 90), (75, 150, 300, 600), ()),
-    "agent by instances": (lambda n: agent(round(n)), (1, 2, 4, 8), (1,)),
-    "order by instances": (lambda n: ordered(round(n), 0.0), (60, 120, 240, 370), (6,)),
-    "order, a tenth silent": (lambda n: ordered(round(n), 0.1), (60, 120, 240, 370), ()),
-    "configuration by hosts": (lambda n: configured(round(n)), (4, 8, 16, 31), (1,)),
-    "real and hollow": (lambda n: together(round(n)), (1, 2, 4, 6), ()),
+    "list by dispatchers": (lambda n: measure_list(SERVERS, round(n)), (45, 90, 185, 370), (4,)),
+    "list by servers": (lambda n: measure_list(round(n), 90), (75, 150, 300, 600), ()),
+    "agent by instances": (lambda n: measure_agent(round(n)), (1, 2, 4, 8), (1,)),
+    "order by instances": (lambda n: measure_reload(round(n), 0.0), (60, 120, 240, 370), (6,)),
+    "order, a tenth silent": (lambda n: measure_reload(round(n), 0.1), (60, 120, 240, 370), ()),
+    "configuration by hosts": (lambda n: measure_configuration(round(n)), (4, 8, 16, 31), (1,)),
+    "real and hollow": (lambda n: measure_real_and_hollow(round(n)), (1, 2, 4, 6), ()),
     "emulated, part of the size": (
-        lambda part: emulated(part, 40.0 if part <= 0.25 else 20.0),
+        lambda fraction: measure_emulated(fraction, 40.0 if fraction <= 0.25 else 20.0),
         (0.125, 0.25, 0.5, 1.0),
         (0.02,),
     ),
     "emulated, a zone cut off": (
-        lambda part: emulated(part, 40.0, (Trouble("cut", 20.0, 8.0, hall=full_scale.ZONES[0]),)),
+        lambda fraction: measure_emulated(
+            fraction, 40.0, (InjectedFault("cut", 20.0, 8.0, hall=full_scale.ZONES[0]),)
+        ),
         (0.125, 0.25),
         (),
     ),
 }
 
 
-def shorten() -> None:
+def use_small_settings() -> None:
     """For tests: what is measured says little then, and all that is checked is checked."""
-    global IDLE_S, CHANGES, OUTAGE_S, PACE_S, SETTLE_S, SERVERS, DISPATCHERS
+    global IDLE_S, CHANGES, OUTAGE_S, CHANGE_INTERVAL_S, SETTLE_S, SERVERS, DISPATCHERS
     SERVERS, DISPATCHERS = 60, 24
-    IDLE_S, CHANGES, OUTAGE_S, PACE_S, SETTLE_S = 0.3, 3, 0.5, 0.3, 0.3
+    IDLE_S, CHANGES, OUTAGE_S, CHANGE_INTERVAL_S, SETTLE_S = 0.3, 3, 0.5, 0.3, 0.3
 
 
 def run_one(name: str, size: float) -> dict[str, object]:
@@ -405,22 +430,22 @@
     return {"name": name, "size": size, **found}  # type: ignore[dict-item]
 
 
-def in_a_process(name: str, size: float) -> dict[str, object]:
-    words = [sys.executable, __file__, "run", name, str(size)]
-    run = subprocess.run(words, stdout=subprocess.PIPE, text=True, check=True, timeout=600)
+def run_in_subprocess(name: str, size: float) -> dict[str, object]:
+    arguments = [sys.executable, __file__, "run", name, str(size)]
+    run = subprocess.run(arguments, stdout=subprocess.PIPE, text=True, check=True, timeout=600)
     found: dict[str, object] = json.loads(run.stdout.strip().splitlines()[-1])
     print(json.dumps(found), file=sys.stderr, flush=True)
     return found
 
 
-def main(words: list[str]) -> None:
+def main(arguments: list[str]) -> None:
     data_path = ROOT / capacity.DATA
-    match words:
+    match arguments:
         case ["run", name, size]:
             print(json.dumps(run_one(name, float(size))))
             return
         case ["small", name, size]:
-            shorten()
+            use_small_settings()
             print(json.dumps(run_one(name, float(size))))
             return
         case ["page"]:
@@ -430,7 +455,9 @@
                 f"{platform.machine()}, {os.cpu_count()} cores, Python {platform.python_version()}"
             )
             runs = [
-                in_a_process(name, size) for name, (_, sizes, _) in RUNS.items() for size in sizes
+                run_in_subprocess(name, size)
+                for name, (_, sizes, _) in RUNS.items()
+                for size in sizes
             ]
             data_path.write_text(json.dumps({"machine": machine, "runs": runs}, indent=1) + "\n")
         case _:
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -24,26 +24,39 @@
 from onyxpass.testbed.agents import StandinAgent
 
 ROOT = Path(__file__).parent.parent
-SIZES, SILENT, EACH, REPEATS, DEADLINE_S = (6, 60, 600), (0.0, 0.1, 0.5), 6, 3, 2.0
-PLANNED = (10, 100, 1_000, 10_000)
+FLEET_SIZES, SILENT_SHARES, INSTANCES_PER_AGENT, REPEATS, DEADLINE_S = (
+    (6, 60, 600),
+    (0.0, 0.1, 0.5),
+    6,
+    3,
+    2.0,
+)
+PLANNER_SIZES = (10, 100, 1_000, 10_000)
 HALLS = ("boa-vista", "santo-amaro", "derby")
 
 
-async def agents(count: int, silent: float, key: str) -> None:
+async def serve_agents(count: int, silent: float, key: str) -> None:
     """The process of the stand-in agents: tells their ports, and stays till its input ends."""
-    made = []
-    for number in range(-(-count // EACH)):
-        names = [f"i{n:05}" for n in range(number * EACH, min(count, (number + 1) * EACH))]
+    stand_ins = []
+    for number in range(-(-count // INSTANCES_PER_AGENT)):
+        names = [
+            f"i{n:05}"
+            for n in range(
+                number * INSTANCES_PER_AGENT, min(count, (number + 1) * INSTANCES_PER_AGENT)
+            )
+        ]
         agent = StandinAgent(names, key)
         await agent.start()
-        made.append(agent)
-    for number in range(round(len(made) * silent)):
-        made[number * len(made) // round(len(made) * silent)].silent = True
-    print(json.dumps([(agent.port, agent.names) for agent in made]), flush=True)
+        stand_ins.append(agent)
+    for number in range(round(len(stand_ins) * silent)):
+        stand_ins[number * len(stand_ins) // round(len(stand_ins) * silent)].silent = True
+    print(json.dumps([(agent.port, agent.names) for agent in stand_ins]), flush=True)
     await asyncio.to_thread(sys.stdin.read)
 
 
-def measured(count: int, silent: float, command: str) -> tuple[float, int, float, dict[str, int]]:
+def measure_in_subprocess(
+    count: int, silent: float, command: str
+) -> tuple[float, int, float, dict[str, int]]:
     """Seconds, connections at once, peak memory in MB, and outcomes of one run in a process of
     its own.
     """
@@ -51,8 +64,8 @@
         [sys.executable, __file__, "run", str(count), str(silent), command],
         stdout=subprocess.PIPE, check=True, text=True,
     )  # fmt: skip
-    told = json.loads(run.stdout)
-    return told["seconds"], told["open"], told["mb"], told["counts"]
+    output = json.loads(run.stdout)
+    return output["seconds"], output["open"], output["mb"], output["counts"]
 
 
 def run_one(count: int, silent: float, command: str) -> None:
@@ -64,30 +77,30 @@
             stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True,
         )  # fmt: skip
         assert process.stdout is not None and process.stdin is not None
-        rows = json.loads(process.stdout.readline())
+        agent_rows = json.loads(process.stdout.readline())
         text = 'name = "bench"\nkey = "key"\n' + "".join(
             f'[[halls]]\nname = "{hall}"\n' for hall in HALLS
         )
-        for number, (port, names) in enumerate(rows):
-            where = (
+        for number, (port, names) in enumerate(agent_rows):
+            agent_keys = (
                 f'host = "h{number}"\nhall = "{HALLS[number % 3]}"\naddress = "127.0.0.1:{port}"\n'
             )
-            text += "[[agents]]\n" + where
+            text += "[[agents]]\n" + agent_keys
             text += "".join(f'[[agents.instances]]\nname = "{name}"\n' for name in names)
-        halls = {HALLS[n % 3] for n in range(len(rows))}
+        halls = {HALLS[n % 3] for n in range(len(agent_rows))}
         for hall in set(HALLS) - halls:
             text = text.replace(f'[[halls]]\nname = "{hall}"\n', "")
         (base / "fleet.toml").write_text(text)
         controller = FleetController(fleet_config.load(base / "fleet.toml"))
         members = controller.fleet.members
 
-        async def go() -> Report:
+        async def run_command() -> Report:
             if command == "list":
                 return await controller.survey(members, DEADLINE_S)
             return await controller.order("reload", members, DEADLINE_S, {})
 
         began_s = time.monotonic()
-        report = asyncio.run(go())
+        report = asyncio.run(run_command())
         seconds = time.monotonic() - began_s
         process.stdin.close()
         process.wait(10)
@@ -106,20 +119,22 @@
     )
 
 
-def planner(count: int) -> tuple[float, int, int]:
+def measure_planner(count: int) -> tuple[float, int, int]:
     """Seconds to plan, waves, and the fewest that any order needs."""
-    units = [
-        PlannedInstance(f"i{n:05}", HALLS[n % 3], f"h{n % 3}-{n // 3 // EACH}")
+    instances = [
+        PlannedInstance(f"i{n:05}", HALLS[n % 3], f"h{n % 3}-{n // 3 // INSTANCES_PER_AGENT}")
         for n in range(count)
     ]
-    keep = {hall: 0.5 * sum(unit.hall == hall for unit in units) for hall in HALLS}
-    limits = DisruptionLimits(max(1, count // 4), max(1, count // 9), 1, keep)
-    names = [unit.name for unit in units]
+    minimum_available = {
+        hall: 0.5 * sum(instance.hall == hall for instance in instances) for hall in HALLS
+    }
+    limits = DisruptionLimits(max(1, count // 4), max(1, count // 9), 1, minimum_available)
+    names = [instance.name for instance in instances]
     began_s = time.perf_counter()
-    found = plan(units, names, limits, canaries=1)
+    found = plan(instances, names, limits, canaries=1)
     seconds = time.perf_counter() - began_s
     assert sum(len(wave) for wave in found.waves) == count
-    return seconds, len(found.waves), fewest_waves(units, names, limits)
+    return seconds, len(found.waves), fewest_waves(instances, names, limits)
 
 
 def main() -> None:
@@ -136,16 +151,19 @@
         "| --- | --- | --- | --- | --- | --- | --- | --- |",
     ]
     for command in ("list", "reload"):
-        for size in SIZES:
+        for size in FLEET_SIZES:
             base = 0.0
-            for silent in SILENT:
-                runs = [measured(size, silent, command) for _ in range(REPEATS)]
+            for silent in SILENT_SHARES:
+                runs = [measure_in_subprocess(size, silent, command) for _ in range(REPEATS)]
                 seconds = statistics.median(run[0] for run in runs)
                 base = base or seconds
                 counts = ", ".join(f"{n} {kind}" for kind, n in runs[0][3].items() if n)
-                most, mb = max(run[1] for run in runs), statistics.median(run[2] for run in runs)
+                peak_connections, mb = (
+                    max(run[1] for run in runs),
+                    statistics.median(run[2] for run in runs),
+                )
                 lines.append(
-                    f"| {command} | {size} | {silent:.0%} | {seconds:.2f} | {seconds / base:.1f} | {most} "
+                    f"| {command} | {size} | {silent:.0%} | {seconds:.2f} | {seconds / base:.1f} | {peak_connections} "
                     f"| {mb:.0f} | {counts} |"
                 )
                 print(lines[-1], flush=True)
@@ -160,10 +178,10 @@
         "| instances | seconds to plan | waves | fewest | one at a time | ratio of waves |",
         "| --- | --- | --- | --- | --- | --- |",
     ]
-    for size in PLANNED:
-        runs_of = [planner(size) for _ in range(REPEATS)]
-        seconds = statistics.median(run[0] for run in runs_of)
-        _, waves, fewest = runs_of[0]
+    for size in PLANNER_SIZES:
+        planner_runs = [measure_planner(size) for _ in range(REPEATS)]
+        seconds = statistics.median(run[0] for run in planner_runs)
+        _, waves, fewest = planner_runs[0]
         lines.append(
             f"| {size} | {seconds:.4f} | {waves} | {fewest} | {size} | {waves / size:.3f} |"
         )
@@ -174,7 +192,7 @@
 
 if __name__ == "__main__":
     if sys.argv[1:2] == ["agents"]:
-        asyncio.run(agents(int(sys.argv[2]), float(sys.argv[3]), sys.argv[4]))
+        asyncio.run(serve_agents(int(sys.argv[2]), float(sys.argv[3]), sys.argv[4]))
     elif sys.argv[1:2] == ["run"]:
         run_one(int(sys.argv[2]), float(sys.argv[3]), sys.argv[4])
     else:
--- a/benchmarks/guard.py
+++ b/benchmarks/guard.py
@@ -15,7 +15,7 @@
 import time
 from pathlib import Path
 
-from parties import cpu_s
+from bench_support import cpu_s
 
 from onyxpass.config.settings import read_settings
 from onyxpass.invariants import InvariantChecker
@@ -27,25 +27,25 @@
 
 ROOT = Path(__file__).parent.parent
 ROUNDS = 20_000
-AT_ONCE = 8
+MAX_CONCURRENT = 8
 
 
-def guard_us() -> float:
+def checker_us() -> float:
     """Of one request: a read, a write, the first event, the answer."""
-    guard = InvariantChecker(read_settings(SETTINGS))
-    guard.record_endpoints([contract.Endpoint(name, "reader") for name in ("r0", "w0")], True, 0)
+    checker = InvariantChecker(read_settings(SETTINGS))
+    checker.record_endpoints([contract.Endpoint(name, "reader") for name in ("r0", "w0")], True, 0)
     began = time.process_time()
     for number in range(ROUNDS):
         request = f"r{number}"
-        guard.record_request(request, "part-lookup", 6_000_000)
-        guard.check_send(request, 0, "r0", False, 5_000_000, 1_000)
-        guard.record_attempt_end(request, 0, contract.AttemptStatus.PREFILLED)
-        guard.check_send(request, 1, "w0", True, 5_000_000, 2_000)
-        guard.check_commit(request, 1)
-        guard.record_attempt_end(request, 1, contract.AttemptStatus.COMPLETED)
-        guard.check_answer(request)
-        guard.record_removal(request)
-    assert not guard.violations
+        checker.record_request(request, "part-lookup", 6_000_000)
+        checker.check_send(request, 0, "r0", False, 5_000_000, 1_000)
+        checker.record_attempt_end(request, 0, contract.AttemptStatus.PREFILLED)
+        checker.check_send(request, 1, "w0", True, 5_000_000, 2_000)
+        checker.check_commit(request, 1)
+        checker.record_attempt_end(request, 1, contract.AttemptStatus.COMPLETED)
+        checker.check_answer(request)
+        checker.record_removal(request)
+    assert not checker.violations
     return (time.process_time() - began) / ROUNDS * 1e6
 
 
@@ -55,29 +55,31 @@
     with tempfile.TemporaryDirectory() as folder:
         path, port = Path(folder) / "config.json", free_port()
         path.write_text(json.dumps(dispatcher_file("n0", f"127.0.0.1:{port}", fleet)))
-        words = (sys.executable, "-m", "onyxpass", "serve", "--config", str(path))
-        child = await asyncio.create_subprocess_exec(
-            *words, cwd=ROOT, stdout=asyncio.subprocess.PIPE
+        command = (sys.executable, "-m", "onyxpass", "serve", "--config", str(path))
+        process = await asyncio.create_subprocess_exec(
+            *command, cwd=ROOT, stdout=asyncio.subprocess.PIPE
         )
-        assert child.stdout is not None
-        while b'"full"' not in await child.stdout.readline():
+        assert process.stdout is not None
+        while b'"full"' not in await process.stdout.readline():
             pass
-        drain = asyncio.create_task(child.stdout.read())
-        places = asyncio.Semaphore(AT_ONCE)
+        drain = asyncio.create_task(process.stdout.read())
+        slots = asyncio.Semaphore(MAX_CONCURRENT)
 
-        async def one(number: int) -> str:
-            async with places:
+        async def send_request(number: int) -> str:
+            async with slots:
                 answer = await ask(
                     fleet.trace, ("127.0.0.1", port), f"r{number}", "part-lookup", f"s{number % 50}"
                 )
                 return answer.end
 
-        await asyncio.gather(*(one(number) for number in range(100)))
-        before_s = cpu_s(child.pid)
-        ends = await asyncio.gather(*(one(number) for number in range(100, 100 + requests)))
-        used_s = cpu_s(child.pid) - before_s
-        child.terminate()
-        await child.wait()
+        await asyncio.gather(*(send_request(number) for number in range(100)))
+        before_s = cpu_s(process.pid)
+        ends = await asyncio.gather(
+            *(send_request(number) for number in range(100, 100 + requests))
+        )
+        used_s = cpu_s(process.pid) - before_s
+        process.terminate()
+        await process.wait()
         await drain
         await fleet.stop()
     assert ends.count("served") == requests, set(ends)
@@ -86,18 +88,18 @@
 
 def main() -> None:
     requests = int(sys.argv[1]) if len(sys.argv) > 1 else 1500
-    whole, guard = asyncio.run(request_us(requests)), guard_us()
+    request_cpu_us, checker_cpu_us = asyncio.run(request_us(requests)), checker_us()
     machine = f"{platform.machine()}, {os.cpu_count()} cores, Python {platform.python_version()}"
     text = f"""# What the guard costs
 
-`make bench-guard`. {machine}; {requests} requests at a real dispatcher, {AT_ONCE} at once, and {ROUNDS}
+`make bench-guard`. {machine}; {requests} requests at a real dispatcher, {MAX_CONCURRENT} at once, and {ROUNDS}
 rounds of the guard's calls for one good request (a read, a write, an event, the answer), in the same run.
 
 | | processor time in us |
 | --- | --- |
-| a whole request at the dispatcher, the guard's calls among it | {whole:.0f} |
-| the guard's calls of one request | {guard:.1f} |
-| the second over the first | {guard / whole:.4f} |
+| a whole request at the dispatcher, the guard's calls among it | {request_cpu_us:.0f} |
+| the guard's calls of one request | {checker_cpu_us:.1f} |
+| the second over the first | {checker_cpu_us / request_cpu_us:.4f} |
 """
     (ROOT / "docs" / "measurements" / "guard.md").write_text(text)
     print(text)
--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 
 from onyxpass.emulator.policies import POLICIES
-from onyxpass.emulator.simulation import World
+from onyxpass.emulator.simulation import Simulation
 from onyxpass.emulator.topology import Site
 
 ROOT = Path(__file__).parent.parent
@@ -24,27 +24,32 @@
 REPEATS = 3
 
 
-def play(servers: int, dispatchers: int, seconds: float, policy: str) -> None:
+def run_simulation(servers: int, dispatchers: int, seconds: float, policy: str) -> None:
     scale = servers / 14
     readers = round(6 * scale)
     site = Site(
         readers, readers, servers - 2 * readers, dispatchers, rate=50 * scale, seconds=seconds
     )
-    world = World(site, POLICIES[policy], 1, traced=False)
+    simulation = Simulation(site, POLICIES[policy], 1, traced=False)
     began_s = time.perf_counter()
-    tally = world.run()
-    took_s = time.perf_counter() - began_s
+    tally = simulation.run()
+    elapsed_s = time.perf_counter() - began_s
     mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
-    ran_s = seconds + 40  # ticks go on till the last second of the day's tail
-    told = {"pace": ran_s / took_s, "took": took_s, "mb": mb, "us": took_s / tally.decisions * 1e6}
-    print(json.dumps({**told, "asked": tally.asked, "g": tally.g}))
+    emulated_s = seconds + 40  # ticks go on till the last second of the day's tail
+    measures = {
+        "pace": emulated_s / elapsed_s,
+        "took": elapsed_s,
+        "mb": mb,
+        "us": elapsed_s / tally.decisions * 1e6,
+    }
+    print(json.dumps({**measures, "asked": tally.asked, "g": tally.g}))
 
 
-def measured(*words: object) -> dict[str, float]:
+def measure_policy(*arguments: object) -> dict[str, float]:
     runs = [
         json.loads(
             subprocess.run(
-                [sys.executable, __file__, *map(str, words)],
+                [sys.executable, __file__, *map(str, arguments)],
                 stdout=subprocess.PIPE,
                 check=True,
                 text=True,
@@ -69,12 +74,12 @@
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- |",
     ]
     for servers, dispatchers, seconds in SIZES:
-        mine = measured(servers, dispatchers, seconds, "module")
-        plain = measured(servers, dispatchers, seconds, "prefix-hash")
+        module = measure_policy(servers, dispatchers, seconds, "module")
+        plain = measure_policy(servers, dispatchers, seconds, "prefix-hash")
         lines.append(
-            f"| {servers} | {dispatchers} | {mine['asked']:.0f} | {mine['pace']:.1f} | {mine['mb']:.0f} "
-            f"| {mine['us']:.0f} | {plain['pace']:.1f} | {plain['us']:.0f} "
-            f"| {mine['took'] / plain['took']:.1f} |"
+            f"| {servers} | {dispatchers} | {module['asked']:.0f} | {module['pace']:.1f} | {module['mb']:.0f} "
+            f"| {module['us']:.0f} | {plain['pace']:.1f} | {plain['us']:.0f} "
+            f"| {module['took'] / plain['took']:.1f} |"
         )
         print(lines[-1], flush=True)
     (ROOT / "docs" / "measurements" / "lab.md").write_text("\n".join(lines) + "\n")
@@ -82,6 +87,6 @@
 
 if __name__ == "__main__":
     if len(sys.argv) > 1:
-        play(int(sys.argv[1]), int(sys.argv[2]), float(sys.argv[3]), sys.argv[4])
+        run_simulation(int(sys.argv[1]), int(sys.argv[2]), float(sys.argv[3]), sys.argv[4])
     else:
         main()
--- a/benchmarks/schedules.py
+++ b/benchmarks/schedules.py
@@ -24,7 +24,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-async def one(seed: int, slots: asyncio.Semaphore, seen: Counter[str]) -> str:
+async def run_schedule(seed: int, slots: asyncio.Semaphore, seen: Counter[str]) -> str:
     async with slots:
         with tempfile.TemporaryDirectory() as folder:
             try:
@@ -45,25 +45,27 @@
     return problem
 
 
-async def measure(many: int, first: int, beside: int) -> str:
-    slots, seen, began_s = asyncio.Semaphore(beside), Counter[str](), time.monotonic()
-    ends = await asyncio.gather(*(one(seed, slots, seen) for seed in range(first, first + many)))
+async def measure(count: int, first: int, concurrency: int) -> str:
+    slots, seen, began_s = asyncio.Semaphore(concurrency), Counter[str](), time.monotonic()
+    ends = await asyncio.gather(
+        *(run_schedule(seed, slots, seen) for seed in range(first, first + count))
+    )
     failed = [first + i for i, problem in enumerate(ends) if problem]
-    strikes = Counter(strike.what for seed in range(first, first + many) for strike in drawn(seed))
+    strikes = Counter(strike.what for seed in range(first, first + count) for strike in drawn(seed))
     machine = f"{platform.machine()}, {os.cpu_count()} cores, Python {platform.python_version()}"
     rows = "\n".join(f"| {what} | {n} |" for what, n in sorted(strikes.items()))
     counts = ", ".join(
         f"{what} {seen[what]}" for what in ("held", "lost", "begin", "end", "refused")
     )
-    bad = f"; not kept: seeds {failed}" if failed else ""
-    took = f"{beside} beside each other, {time.monotonic() - began_s:.0f} s"
+    failures = f"; not kept: seeds {failed}" if failed else ""
+    duration = f"{concurrency} beside each other, {time.monotonic() - began_s:.0f} s"
     return f"""# Schedules of faults, played
 
-`make bench-schedules`. {machine}. Seeds {first} to {first + many - 1}, {took}.
+`make bench-schedules`. {machine}. Seeds {first} to {first + count - 1}, {duration}.
 Two agents, four dispatchers, three tools in turn as processes; six strikes each within 6 s. After each
 schedule a last rollout has to change all, and the histories of all processes are checked.
 
-{many - len(failed)} of {many} kept everything{bad}. Lines of history: {counts}.
+{count - len(failed)} of {count} kept everything{failures}. Lines of history: {counts}.
 
 | strike | times |
 | --- | --- |
@@ -73,11 +75,11 @@
 
 def main() -> None:
     structlog.configure(logger_factory=structlog.ReturnLoggerFactory())
-    given = [int(word) for word in sys.argv[1:]]
-    many, first, beside = [*given, *(100, 1, 4)[len(given) :]]
-    text = asyncio.run(measure(many, first, beside))
+    arguments = [int(word) for word in sys.argv[1:]]
+    count, first, concurrency = [*arguments, *(100, 1, 4)[len(arguments) :]]
+    text = asyncio.run(measure(count, first, concurrency))
     print(text)
-    if many > 1:
+    if count > 1:
         (ROOT / "docs" / "measurements" / "schedules.md").write_text(text)
 
 
--- a/benchmarks/sources.py
+++ b/benchmarks/sources.py
@@ -38,72 +38,73 @@
 SETTLE_S = 0.05
 
 
-class Nobody:
+class NullFleet:
     """A fleet that nothing is sent to."""
 
     def member(self, server: contract.Endpoint, address: Address, left: bool) -> None:
         return
 
 
-def text_of(count: int, weight: float = 1.0) -> str:
+def servers_toml(server_count: int, weight: float = 1.0) -> str:
     rows = []
-    for n in range(count):
+    for n in range(server_count):
         kind = "reader" if n % 2 else "writer"
-        weighed = weight if n == 0 else 1.0
+        entry_weight = weight if n == 0 else 1.0
         rows.append(
             f'[[servers]]\nid = "s{n:05}"\nkind = "{kind}"\nhall = "{HALLS[n % 3]}"\ncell = {n % 7}\n'
-            f'address = "127.{n // 60000}.0.1:{1024 + n % 60000}"\nweight = {weighed}\n'
+            f'address = "127.{n // 60000}.0.1:{1024 + n % 60000}"\nweight = {entry_weight}\n'
         )
     return "".join(rows)
 
 
-def save(path: Path, text: str) -> None:
-    fresh = path.with_name(".new")
-    fresh.write_text(text)
-    fresh.replace(path)
+def replace_file(path: Path, text: str) -> None:
+    temporary = path.with_name(".new")
+    temporary.write_text(text)
+    temporary.replace(path)
 
 
-class Bed:
-    def __init__(self, folder: Path, count: int) -> None:
-        self.folder, self.count = folder, count
+class Fixture:
+    def __init__(self, folder: Path, server_count: int) -> None:
+        self.folder, self.server_count = folder, server_count
         clock = Clock()
         self.core = RequestDispatcher(read_settings(SETTINGS), 1, clock, TimerWheel(clock))
         file = SourcesFile(watch=["s.toml"], settle_s=SETTLE_S, ramp_s=0.0, snapshot="snap")
-        self.source = FileSource(self.core, Nobody(), Sources(file, folder))
+        self.source = FileSource(self.core, NullFleet(), Sources(file, folder))
         self.in_force = asyncio.Event()
         self.source.on_view = lambda _: self.in_force.set()
 
-    async def version(self, number: int) -> float:
+    async def apply_version(self, number: int) -> float:
         """Seconds from the rename to the view in force."""
-        text = await asyncio.to_thread(text_of, self.count, 1.0 + number % 5 / 10)
+        text = await asyncio.to_thread(servers_toml, self.server_count, 1.0 + number % 5 / 10)
         self.in_force.clear()
-        await asyncio.to_thread(save, self.folder / "s.toml", text)
+        await asyncio.to_thread(replace_file, self.folder / "s.toml", text)
         began_s = time.monotonic()
         await self.in_force.wait()
         return time.monotonic() - began_s
 
 
-async def latency(count: int, versions: int) -> tuple[float, float, float, float]:
+async def measure_latency(server_count: int, versions: int) -> tuple[float, float, float, float]:
     """p50 and p99 in force, the loop's longest stall, CPU in percent of a core while nothing
     changes.
     """
     with tempfile.TemporaryDirectory() as folder:
-        bed = Bed(Path(folder), count)
-        save(bed.folder / "s.toml", text_of(count))
+        fixture = Fixture(Path(folder), server_count)
+        replace_file(fixture.folder / "s.toml", servers_toml(server_count))
         stalls: list[float] = []
 
-        async def beat() -> None:
+        async def measure_stalls() -> None:
             while True:
                 began_s = time.monotonic()
                 await asyncio.sleep(0.005)
                 stalls.append(time.monotonic() - began_s - 0.005)
 
         tasks = [
-            asyncio.create_task(work) for work in (bed.source.follow(), bed.core.run(), beat())
+            asyncio.create_task(work)
+            for work in (fixture.source.follow(), fixture.core.run(), measure_stalls())
         ]
-        await bed.in_force.wait()
+        await fixture.in_force.wait()
         stalls.clear()
-        times = sorted([await bed.version(n + 1) for n in range(versions)])
+        times = sorted([await fixture.apply_version(n + 1) for n in range(versions)])
         worst = max(stalls)
         tasks.pop().cancel()
         await asyncio.sleep(0.5)
@@ -120,17 +121,19 @@
         )
 
 
-async def storm(seconds: float) -> tuple[float, int, int]:
+async def measure_replacement_load(seconds: float) -> tuple[float, int, int]:
     """CPU in percent of a core while a file is replaced with itself; replacements, and views
     made of them.
     """
     with tempfile.TemporaryDirectory() as folder:
-        bed = Bed(Path(folder), 14)
-        save(bed.folder / "s.toml", text_of(14))
-        tasks = [asyncio.create_task(work) for work in (bed.source.follow(), bed.core.run())]
-        await bed.in_force.wait()
+        fixture = Fixture(Path(folder), 14)
+        replace_file(fixture.folder / "s.toml", servers_toml(14))
+        tasks = [
+            asyncio.create_task(work) for work in (fixture.source.follow(), fixture.core.run())
+        ]
+        await fixture.in_force.wait()
         writer = await asyncio.create_subprocess_exec(
-            sys.executable, __file__, "storm", str(bed.folder / "s.toml"), str(seconds),
+            sys.executable, __file__, "storm", str(fixture.folder / "s.toml"), str(seconds),
             stdout=asyncio.subprocess.PIPE,
         )  # fmt: skip
         cpu_s, began_s = time.process_time(), time.monotonic()
@@ -138,71 +141,72 @@
         cpu = (time.process_time() - cpu_s) / (time.monotonic() - began_s) * 100
         for task in tasks:
             task.cancel()
-        return cpu, int(out), bed.source.accepted - 1
+        return cpu, int(out), fixture.source.accepted - 1
 
 
-def storming(path: Path, seconds: float) -> None:
-    text, count, began_s = path.read_text(), 0, time.monotonic()
+def replace_repeatedly(path: Path, seconds: float) -> None:
+    text, replacements, began_s = path.read_text(), 0, time.monotonic()
     while time.monotonic() - began_s < seconds:
-        save(path, text)
-        count += 1
-        time.sleep(max(0.0, began_s + count / 1000 - time.monotonic()))
-    print(count)
+        replace_file(path, text)
+        replacements += 1
+        time.sleep(max(0.0, began_s + replacements / 1000 - time.monotonic()))
+    print(replacements)
 
 
-async def memory(versions: int) -> tuple[float, float]:
+async def measure_memory(versions: int) -> tuple[float, float]:
     """MB in use after a tenth of the versions, and after all of them; judged one after the
     other.
     """
     with tempfile.TemporaryDirectory() as folder:
-        bed = Bed(Path(folder), 14)
-        module = asyncio.create_task(bed.core.run())
-        early = 0.0
+        fixture = Fixture(Path(folder), 14)
+        module = asyncio.create_task(fixture.core.run())
+        early_mb = 0.0
         for number in range(versions):
-            save(bed.folder / "s.toml", text_of(14, 1.0 + number % 7 / 10))
-            await bed.source.look(at_once=True)
+            replace_file(fixture.folder / "s.toml", servers_toml(14, 1.0 + number % 7 / 10))
+            await fixture.source.look(at_once=True)
             if number == versions // 10:
-                early = resident()
+                early_mb = resident_mb()
         module.cancel()
-        return early, resident()
+        return early_mb, resident_mb()
 
 
-def resident() -> float:
+def resident_mb() -> float:
     pages = int(Path("/proc/self/statm").read_text().split()[1])
     return pages * resource.getpagesize() / 1e6
 
 
-def entries_of(count: int) -> dict[str, Entry]:
-    found = {}
-    for n in range(count):
+def make_entries(server_count: int) -> dict[str, Entry]:
+    entries = {}
+    for n in range(server_count):
         server = contract.Endpoint(f"s{n:05}", "reader" if n % 2 else "writer", HALLS[n % 3], n % 7)
-        found[server.id] = Entry(server, Address("127.0.0.1", n))
-    return found
+        entries[server.id] = Entry(server, Address("127.0.0.1", n))
+    return entries
 
 
-def index(count: int, rounds: int = 7) -> tuple[float, float]:
+def measure_index(server_count: int, rounds: int = 7) -> tuple[float, float]:
     """Seconds for one change of 5 servers: in place, and by building anew."""
-    chance = random.Random(3)
-    old = entries_of(count)
-    kept = Index.built(ROLES, old.values())
-    places, builds = [], []
+    generator = random.Random(3)
+    current = make_entries(server_count)
+    index = Index.built(ROLES, current.values())
+    in_place_s, rebuild_s = [], []
     for _ in range(rounds):
-        new = dict(old)
-        for name in chance.sample(sorted(old), 5):
-            server = old[name].server
-            new[name] = Entry(
-                contract.Endpoint(name, server.kind, chance.choice(HALLS), 1), old[name].address
+        changed = dict(current)
+        for name in generator.sample(sorted(current), 5):
+            server = current[name].server
+            changed[name] = Entry(
+                contract.Endpoint(name, server.kind, generator.choice(HALLS), 1),
+                current[name].address,
             )
-        difference = compare(old, new)
+        difference = compare(current, changed)
         began_s = time.perf_counter()
-        kept.change(difference, new)
-        places.append(time.perf_counter() - began_s)
+        index.change(difference, changed)
+        in_place_s.append(time.perf_counter() - began_s)
         began_s = time.perf_counter()
-        built = Index.built(ROLES, new.values())
-        builds.append(time.perf_counter() - began_s)
-        assert built.by_place == kept.by_place
-        old = new
-    return statistics.median(places), statistics.median(builds)
+        rebuilt = Index.built(ROLES, changed.values())
+        rebuild_s.append(time.perf_counter() - began_s)
+        assert rebuilt.by_place == index.by_place
+        current = changed
+    return statistics.median(in_place_s), statistics.median(rebuild_s)
 
 
 def main() -> None:
@@ -219,20 +223,20 @@
         "| --- | --- | --- | --- | --- | --- | --- |",
     ]
     base = 0.0
-    for count, versions in zip(SIZES, (60, 20, 6), strict=True):
-        p50, p99, stall, idle = asyncio.run(latency(count, versions))
+    for server_count, versions in zip(SIZES, (60, 20, 6), strict=True):
+        p50, p99, stall, idle = asyncio.run(measure_latency(server_count, versions))
         base = base or p50
         lines.append(
-            f"| {count} | {versions} | {p50 * 1000:.0f} | {p99 * 1000:.0f} | {p50 / base:.1f} "
+            f"| {server_count} | {versions} | {p50 * 1000:.0f} | {p99 * 1000:.0f} | {p50 / base:.1f} "
             f"| {stall * 1000:.0f} | {idle:.1f}% |"
         )
         print(lines[-1], flush=True)
-    cpu, replaced, views = asyncio.run(storm(5.0))
-    early, late = asyncio.run(memory(10_000))
+    cpu, replaced, views = asyncio.run(measure_replacement_load(5.0))
+    early_mb, final_mb = asyncio.run(measure_memory(10_000))
     lines += [
         "",
         f"A file replaced with itself {replaced} times in 5 s: {cpu:.0f}% of a core, {views} new views.",
-        f"Memory after 1,000 versions {early:.1f} MB, after 10,000 {late:.1f} MB ({late / early:.3f}).",
+        f"Memory after 1,000 versions {early_mb:.1f} MB, after 10,000 {final_mb:.1f} MB ({final_mb / early_mb:.3f}).",
         "",
         "## The index",
         "",
@@ -241,9 +245,11 @@
         "| servers | in place, µs | built anew, µs | ratio |",
         "| --- | --- | --- | --- |",
     ]
-    for count in SIZES:
-        place, build = index(count)
-        lines.append(f"| {count} | {place * 1e6:.0f} | {build * 1e6:.0f} | {place / build:.4f} |")
+    for server_count in SIZES:
+        in_place, rebuild = measure_index(server_count)
+        lines.append(
+            f"| {server_count} | {in_place * 1e6:.0f} | {rebuild * 1e6:.0f} | {in_place / rebuild:.4f} |"
+        )
         print(lines[-1], flush=True)
     print(lines[-8], lines[-7])
     (ROOT / "docs" / "measurements" / "sources.md").write_text("\n".join(lines) + "\n")
@@ -252,6 +258,6 @@
 if __name__ == "__main__":
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
     if sys.argv[1:2] == ["storm"]:
-        storming(Path(sys.argv[2]), float(sys.argv[3]))
+        replace_repeatedly(Path(sys.argv[2]), float(sys.argv[3]))
     else:
         main()
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -20,7 +20,7 @@
 import time
 from pathlib import Path
 
-from parties import cpu_s, memory_mb
+from bench_support import cpu_s, memory_mb
 
 from onyxpass.testbed.replicas import StandinFleet
 from onyxpass.testbed.settings import dispatcher_file
@@ -37,28 +37,28 @@
 }
 
 
-async def ready(port: int) -> None:
+async def wait_until_ready(port: int) -> None:
     """Returns once the dispatcher has its whole list."""
     while True:
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(b"GET /health/ready HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n")
-            told = await reader.read()
+            response = await reader.read()
             writer.close()
-            if told.startswith(b"HTTP/1.1 200"):
+            if response.startswith(b"HTTP/1.1 200"):
                 return
         except OSError:
             pass
         await asyncio.sleep(0.005)
 
 
-async def one(build: Path, fleet: StandinFleet, folder: Path) -> dict[str, float]:
+async def measure_start(build: Path, fleet: StandinFleet, folder: Path) -> dict[str, float]:
     with socket.create_server(("127.0.0.1", 0)) as sock:
         port = sock.getsockname()[1]
-    told = dispatcher_file("n0", f"127.0.0.1:{port}", fleet, PEERS)
-    (folder / "config.json").write_text(json.dumps(told))
-    environ = {k: v for k, v in os.environ.items() if not k.startswith(("ROUTER_", "PYTHON"))}
-    environ |= {
+    document = dispatcher_file("n0", f"127.0.0.1:{port}", fleet, PEERS)
+    (folder / "config.json").write_text(json.dumps(document))
+    environment = {k: v for k, v in os.environ.items() if not k.startswith(("ROUTER_", "PYTHON"))}
+    environment |= {
         "ROUTER_CONFIG": str(folder / "config.json"),
         "TMPDIR": str(folder),
         "PYTHONPATH": str(build),
@@ -67,24 +67,24 @@
     process = subprocess.Popen(
         [sys.executable, "-m", "onyxpass", "serve"],
         cwd=build,
-        env=environ,
+        env=environment,
         stdout=subprocess.DEVNULL,
     )
     try:
-        await ready(port)
-        found = {"start_s": time.monotonic() - began_s, "start_cpu_s": cpu_s(process.pid)}
+        await wait_until_ready(port)
+        measurement = {"start_s": time.monotonic() - began_s, "start_cpu_s": cpu_s(process.pid)}
         await asyncio.sleep(0.5)
         before_s = cpu_s(process.pid)
         await asyncio.sleep(IDLE_S)
-        found["idle_ms"] = (cpu_s(process.pid) - before_s) / IDLE_S * 1000
-        found["mb"], found["own_mb"] = (
+        measurement["idle_ms"] = (cpu_s(process.pid) - before_s) / IDLE_S * 1000
+        measurement["mb"], measurement["own_mb"] = (
             memory_mb(process.pid, "VmRSS"),
             memory_mb(process.pid, "RssAnon"),
         )
     finally:
         process.terminate()
         await asyncio.to_thread(process.wait)
-    return found
+    return measurement
 
 
 async def main(earlier: Path, runs: int) -> None:
@@ -93,13 +93,13 @@
             [sys.executable, "-m", "compileall", "-q", str(build / "onyxpass")], check=True
         )
     fleet = await StandinFleet(READERS, WRITERS).start()
-    found: dict[Path, list[dict[str, float]]] = {earlier: [], ROOT: []}
+    measurements_by_build: dict[Path, list[dict[str, float]]] = {earlier: [], ROOT: []}
     with tempfile.TemporaryDirectory(prefix="onyxpass-start-") as folder:
         for _ in range(runs):
-            for build, rows in found.items():
-                rows.append(await one(build, fleet, Path(folder)))
+            for build, measurements in measurements_by_build.items():
+                measurements.append(await measure_start(build, fleet, Path(folder)))
     await fleet.stop()
-    what = subprocess.run(
+    earlier_commit = subprocess.run(
         ["git", "log", "-1", "--format=%h %s"],
         cwd=earlier,
         capture_output=True,
@@ -111,13 +111,16 @@
         "",
         f"`make bench-start`, {runs} runs of each build in turn, medians. {os.cpu_count()} cores,",
         f"{platform.machine()}, Python {platform.python_version()}. {READERS} readers and {WRITERS} writers",
-        f"on the list, {PEERS} dispatchers told. Earlier build: `{what.stdout.strip()}`.",
+        f"on the list, {PEERS} dispatchers told. Earlier build: `{earlier_commit.stdout.strip()}`.",
         "",
         "| measure | earlier | now | ratio |",
         "| --- | --- | --- | --- |",
     ]
     for title, key in MEASURES.items():
-        old, new = (statistics.median(row[key] for row in rows) for rows in found.values())
+        old, new = (
+            statistics.median(row[key] for row in measurements)
+            for measurements in measurements_by_build.values()
+        )
         lines.append(f"| {title} | {old:.3g} | {new:.3g} | {new / old:.2f} |")
     print("\n".join(lines))
     (ROOT / "docs" / "measurements" / "start.md").write_text("\n".join(lines) + "\n")
--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -30,100 +30,104 @@
 
 ROOT = Path(__file__).parent.parent
 RUNS = ((6, 300), (40, 600), (200, 2_000))  # contenders, lease time in ms
-STRIKES = ("killed", "cut off", "given back")
+FAULTS = ("killed", "cut off", "given back")
 
 
 class Contender:
     def __init__(self, url: str, name: str, ttl_ms: int, lines: list[Line]) -> None:
         self.store = LeaseStore(url, ttl_ms, timeout_ms=1_000)
         self.name, self.ttl_ms, self.lines = name, ttl_ms, lines
-        self.lives = 0
-        self.keeper = self.born()
+        self.incarnation = 0
+        self.client = self.restart()
 
-    def born(self) -> LeaseClient:
-        self.lives += 1
-        holder = LeaseHolder(f"{self.name}-{self.lives}", self.ttl_ms)
+    def restart(self) -> LeaseClient:
+        self.incarnation += 1
+        holder = LeaseHolder(f"{self.name}-{self.incarnation}", self.ttl_ms)
 
-        def told(what: str, token: int, _why: str) -> None:
+        def record_event(what: str, token: int, _why: str) -> None:
             until_ns = holder.last_valid_until_ms * 1_000_000 if what == "lost" else None
             fields = {"lease": "l", "token": token, "holder": holder.name, "until_ns": until_ns}
             self.lines.append(
                 Line(time.clock_gettime_ns(time.CLOCK_BOOTTIME), what, "bench", 0, fields)
             )
 
-        self.keeper = LeaseClient(holder, self.store.request_sender("l"), boottime_ms, told)
-        return self.keeper
+        self.client = LeaseClient(holder, self.store.request_sender("l"), boottime_ms, record_event)
+        return self.client
 
 
-async def handovers(url: str, many: int, ttl_ms: int, wanted: int) -> dict[str, object]:
+async def handovers(url: str, contender_count: int, ttl_ms: int, wanted: int) -> dict[str, object]:
     lines: list[Line] = []
-    all_ = [Contender(url, f"c{i}", ttl_ms, lines) for i in range(many)]
+    contenders = [Contender(url, f"c{i}", ttl_ms, lines) for i in range(contender_count)]
 
-    async def waits(who: Contender) -> None:
-        await who.keeper.acquire()
+    async def acquire_lease(contender: Contender) -> None:
+        await contender.client.acquire()
 
-    waiting = {who: asyncio.create_task(waits(who)) for who in all_}
-    took: dict[str, list[float]] = {strike: [] for strike in STRIKES}
+    acquisitions = {
+        contender: asyncio.create_task(acquire_lease(contender)) for contender in contenders
+    }
+    durations_ms: dict[str, list[float]] = {fault: [] for fault in FAULTS}
     began_s, commands = time.monotonic(), 0
     for number in range(wanted):
-        await asyncio.wait(waiting.values(), return_when=asyncio.FIRST_COMPLETED)
-        holder = next(who for who, task in waiting.items() if task.done())
-        strike = STRIKES[number % len(STRIKES)]
-        struck_s = time.monotonic()
-        del waiting[holder]
-        if strike == "given back":
-            await holder.keeper.release()
+        await asyncio.wait(acquisitions.values(), return_when=asyncio.FIRST_COMPLETED)
+        holder = next(contender for contender, task in acquisitions.items() if task.done())
+        fault = FAULTS[number % len(FAULTS)]
+        fault_s = time.monotonic()
+        del acquisitions[holder]
+        if fault == "given back":
+            await holder.client.release()
         else:
-            if strike == "cut off":
+            if fault == "cut off":
                 await holder.store._redis.aclose()
-            holder.keeper.close()
-        holder.keeper.close()
-        await asyncio.wait(waiting.values(), return_when=asyncio.FIRST_COMPLETED)
-        took[strike].append((time.monotonic() - struck_s) * 1000)
-        holder.born()
-        waiting[holder] = asyncio.create_task(waits(holder))
+            holder.client.close()
+        holder.client.close()
+        await asyncio.wait(acquisitions.values(), return_when=asyncio.FIRST_COMPLETED)
+        durations_ms[fault].append((time.monotonic() - fault_s) * 1000)
+        holder.restart()
+        acquisitions[holder] = asyncio.create_task(acquire_lease(holder))
     spent_s = time.monotonic() - began_s
-    commands = sum(who.store.commands for who in all_)
-    for task in waiting.values():
+    commands = sum(contender.store.commands for contender in contenders)
+    for task in acquisitions.values():
         task.cancel()
-    for who in all_:
-        who.keeper.close()
-        await who.store.close()
+    for contender in contenders:
+        contender.client.close()
+        await contender.store.close()
     found = breaches(sorted(lines, key=lambda line: line.at_ns), ["holders apart"])
     return {
-        "contenders": many,
+        "contenders": contender_count,
         "ttl_ms": ttl_ms,
         "handovers": wanted,
-        "took": took,
+        "took": durations_ms,
         "overlaps": len(found),
-        "commands": commands / many / (spent_s * 1000 / ttl_ms),
+        "commands": commands / contender_count / (spent_s * 1000 / ttl_ms),
     }
 
 
-async def plain(url: str, many: int, ttl_ms: int, wanted: int) -> list[float]:
+async def measure_plain_key(
+    url: str, contender_count: int, ttl_ms: int, wanted: int
+) -> list[float]:
     """The baseline: killed holders of a key with NX and PX."""
-    clients = [Redis.from_url(url, protocol=2) for _ in range(many)]
-    took: list[float] = []
-    holder, struck_s = -1, 0.0
-    while len(took) < wanted:
-        for i, client in enumerate(clients):
-            if i != holder and await client.set("plain", str(i), nx=True, px=ttl_ms):
+    clients = [Redis.from_url(url, protocol=2) for _ in range(contender_count)]
+    durations_ms: list[float] = []
+    holder, fault_s = -1, 0.0
+    while len(durations_ms) < wanted:
+        for i, redis_client in enumerate(clients):
+            if i != holder and await redis_client.set("plain", str(i), nx=True, px=ttl_ms):
                 if holder >= 0:
-                    took.append((time.monotonic() - struck_s) * 1000)
-                holder, struck_s = i, time.monotonic()  # it is killed at once
+                    durations_ms.append((time.monotonic() - fault_s) * 1000)
+                holder, fault_s = i, time.monotonic()  # it is killed at once
                 break
         await asyncio.sleep(ttl_ms / 3 / 1000)
-    for client in clients:
-        await client.aclose()
-    return took
+    for redis_client in clients:
+        await redis_client.aclose()
+    return durations_ms
 
 
-def row(values: list[float]) -> str:
+def median_and_p99(values: list[float]) -> str:
     ordered = sorted(values)
     return f"{statistics.median(ordered):.0f}, {ordered[min(len(ordered) - 1, int(0.99 * len(ordered)))]:.0f}"
 
 
-async def measure(wanted: int, states: int) -> str:
+async def measure(wanted: int, max_states: int) -> str:
     port = free_port()
     store = await asyncio.create_subprocess_exec(
         *(sys.executable, "-m", "onyxpass", "standin", "store", "--port", str(port)),
@@ -132,19 +136,19 @@
     assert store.stdout is not None
     await store.stdout.readline()
     url = f"redis://127.0.0.1:{port}/0"
-    out = []
+    rows = []
     try:
-        for many, ttl_ms in RUNS:
+        for contender_count, ttl_ms in RUNS:
             count = max(9, wanted * 300 // ttl_ms)
-            found = await handovers(url, many, ttl_ms, count)
-            base = await plain(url, many, ttl_ms, max(9, count // 10))
-            took = found["took"]
-            assert isinstance(took, dict)
-            ratio = statistics.median(took["killed"]) / statistics.median(base)
-            cells = " | ".join(row(took[strike]) for strike in STRIKES)
-            ends = f"{row(base)} | {ratio:.2f} | {found['overlaps']} | {found['commands']:.1f}"
-            out.append(f"| {many} | {ttl_ms} | {count} | {cells} | {ends} |")
-            print(out[-1], flush=True)
+            found = await handovers(url, contender_count, ttl_ms, count)
+            base = await measure_plain_key(url, contender_count, ttl_ms, max(9, count // 10))
+            durations_ms = found["took"]
+            assert isinstance(durations_ms, dict)
+            ratio = statistics.median(durations_ms["killed"]) / statistics.median(base)
+            cells = " | ".join(median_and_p99(durations_ms[fault]) for fault in FAULTS)
+            last_cells = f"{median_and_p99(base)} | {ratio:.2f} | {found['overlaps']} | {found['commands']:.1f}"
+            rows.append(f"| {contender_count} | {ttl_ms} | {count} | {cells} | {last_cells} |")
+            print(rows[-1], flush=True)
     finally:
         store.terminate()
         await store.wait()
@@ -161,8 +165,8 @@
             reacquisitions=0,
         )
     ).run()
-    wide = ModelChecker(SearchBounds(max_states=states)).run()
-    walks = ModelChecker(
+    faulty = ModelChecker(SearchBounds(max_states=max_states)).run()
+    random_walks = ModelChecker(
         SearchBounds(
             duration_ms=1000,
             lost_messages=3,
@@ -173,18 +177,20 @@
             reacquisitions=3,
         )
     ).walk(1, 3_000)
-    bound = "" if wide.complete else " (the bound on states ended it)"
-    broken = sum(bool(each.violation) for each in (full, wide, walks))
+    truncation_note = "" if faulty.complete else " (the bound on states ended it)"
+    violation_count = sum(
+        bool(checker_result.violation) for checker_result in (full, faulty, random_walks)
+    )
     searched = (
-        f"Searched: {full.states} states, all of two contenders within 150 ms and no fault; {wide.states} "
-        f"of two within 300 ms and each fault once{bound}; {walks.states} steps of seeded walks with up to "
-        f"three of each. Breaches: {broken}. {time.monotonic() - began_s:.0f} s."
+        f"Searched: {full.states} states, all of two contenders within 150 ms and no fault; {faulty.states} "
+        f"of two within 300 ms and each fault once{truncation_note}; {random_walks.states} steps of seeded walks with up to "
+        f"three of each. Breaches: {violation_count}. {time.monotonic() - began_s:.0f} s."
     )
     print(searched, flush=True)
-    return "\n".join([*out, "", searched])
+    return "\n".join([*rows, "", searched])
 
 
-HEAD = """# Acting together, measured
+HEADER = """# Acting together, measured
 
 `make bench-together`. {machine}. The store is the stand-in, a process of its own. Milliseconds from the
 strike to the next holder's word: median, 99th percentile. A killed or cut-off holder is waited for till its
@@ -198,11 +204,11 @@
 def main() -> None:
     structlog.configure(logger_factory=structlog.ReturnLoggerFactory())
     wanted = int(sys.argv[1]) if len(sys.argv) > 1 else 2_000
-    states = int(sys.argv[2]) if len(sys.argv) > 2 else 1_000_000
+    max_states = int(sys.argv[2]) if len(sys.argv) > 2 else 1_000_000
     machine = f"{platform.machine()}, {os.cpu_count()} cores, Python {platform.python_version()}"
-    text = asyncio.run(measure(wanted, states))
+    text = asyncio.run(measure(wanted, max_states))
     (ROOT / "docs" / "measurements" / "together.md").write_text(
-        HEAD.format(machine=machine) + text + "\n"
+        HEADER.format(machine=machine) + text + "\n"
     )
 
 
--- a/onyxpass/emulator/capacity.py
+++ b/onyxpass/emulator/capacity.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from onyxpass.emulator import full_scale
-from onyxpass.emulator.slopes import Point, Slope, fit
+from onyxpass.emulator.linear_fit import LinearFit, Point, fit
 
 DATA = Path("docs/measurements/capacity.json")
 PAGE = Path("docs/CAPACITY.md")
@@ -17,25 +17,29 @@
 Run = dict[str, Any]
 
 REGIONS = 2
-CHANGES_A_DAY, IN_FORCE_S = 840, 12.0
-CORE_MS_A_S, MEMORY_MB, BYTES_A_S = 26.0, 32.0, 3_000.0  # of a dispatcher, for control
-HANDOVER_GB_A_S = 2_900.0
-FAILED_A_DAY, REPLACED_A_DAY = 17, 58
-REPLICA_TURNS_A_DAY = 2 * (FAILED_A_DAY + REPLACED_A_DAY)  # each leaves the list and comes back
+CHANGES_PER_DAY, CHANGE_DEADLINE_S = 840, 12.0
+CPU_MS_PER_S, MEMORY_MB, BYTES_PER_S = 26.0, 32.0, 3_000.0  # of a dispatcher, for control
+TRANSFER_GB_PER_S = 2_900.0
+FAILED_PER_DAY, REPLACED_PER_DAY = 17, 58
+LIST_CHANGES_PER_DAY = 2 * (
+    FAILED_PER_DAY + REPLACED_PER_DAY
+)  # each leaves the list and comes back
 DAY_S = 86_400
-KEPT_S = 15.0  # for which replicas keep an idle connection in the trials' settings, assumed
-DISPATCHERS_A_HOST = 6  # assumed
-RACK, ZONES = 8, 6  # replicas that one rack's failure takes, assumed
-CALL_S = 0.2  # of a shared discovery, for one call: ``net/pacing.py``
+IDLE_CONNECTION_S = (
+    15.0  # for which replicas keep an idle connection in the trials' settings, assumed
+)
+DISPATCHERS_PER_HOST = 6  # assumed
+REPLICAS_PER_RACK, ZONE_COUNT = 8, 6  # replicas that one rack's failure takes, assumed
+DISCOVERY_CALL_S = 0.2  # of a shared discovery, for one call: ``net/pacing.py``
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
+class FittedMeasure:
     """One row of a role's table."""
 
     what: str
-    by: str
-    slope: Slope
+    grows_by: str
+    fitted_line: LinearFit
     sizes: tuple[float, ...]
     size: float
     budget: float | None = None
@@ -43,35 +47,35 @@
 
     @property
     def value(self) -> float:
-        return self.slope.at(self.size)
+        return self.fitted_line.at(self.size)
 
     @property
     def ratio(self) -> str:
         return f"{self.value / self.budget:.2f}" if self.budget else ""
 
     @property
-    def reach(self) -> str:
-        return "" if self.slope.reaches(self.size) else ", beyond twice the largest size"
+    def range_note(self) -> str:
+        return "" if self.fitted_line.covers(self.size) else ", beyond twice the largest size"
 
 
-class Data:
+class CapacityData:
     """The committed runs."""
 
-    def __init__(self, told: dict[str, Any]) -> None:
-        self.machine: str = told["machine"]
-        self.runs: list[Run] = told["runs"]
+    def __init__(self, document: dict[str, Any]) -> None:
+        self.machine: str = document["machine"]
+        self.runs: list[Run] = document["runs"]
 
     @classmethod
-    def read(cls, root: Path) -> "Data":
+    def read(cls, root: Path) -> "CapacityData":
         return cls(json.loads((root / DATA).read_text()))
 
-    def rows(self, name: str) -> list[Run]:
+    def runs_named(self, name: str) -> list[Run]:
         return [run for run in self.runs if run["name"] == name]
 
-    def at(self, name: str, size: float) -> Run:
-        return next(run for run in self.rows(name) if run["size"] == size)
+    def run_at(self, name: str, size: float) -> Run:
+        return next(run for run in self.runs_named(name) if run["size"] == size)
 
-    def line(
+    def fitted(
         self,
         name: str,
         key: str,
@@ -79,20 +83,22 @@
         size: float,
         budget: float | None = None,
         unit: str = "",
-    ) -> Line:
-        points = [Point(run["size"], float(run[key])) for run in self.rows(name)]
-        by = name.rpartition(" by ")[2] if " by " in name else "instances"
-        return Line(
-            what, by, fit(points), tuple(point.size for point in points), size, budget, unit
+    ) -> FittedMeasure:
+        points = [Point(run["size"], float(run[key])) for run in self.runs_named(name)]
+        grows_by = name.rpartition(" by ")[2] if " by " in name else "instances"
+        return FittedMeasure(
+            what, grows_by, fit(points), tuple(point.size for point in points), size, budget, unit
         )
 
 
-def roles(data: Data) -> dict[str, list[Line]]:
+def role_measures(data: CapacityData) -> dict[str, list[FittedMeasure]]:
     """The lines of each role's table."""
     servers, dispatchers = full_scale.REPLICAS, full_scale.DISPATCHERS
     dispatcher = [
-        data.line("dispatcher by servers", "mb", "memory, whole process", servers, MEMORY_MB, "MB"),
-        data.line(
+        data.fitted(
+            "dispatcher by servers", "mb", "memory, whole process", servers, MEMORY_MB, "MB"
+        ),
+        data.fitted(
             "dispatcher by tenants",
             "mb",
             "the same, 600 servers",
@@ -100,29 +106,29 @@
             MEMORY_MB,
             "MB",
         ),
-        data.line(
+        data.fitted(
             "dispatcher by servers",
             "rest_cpu_ms_a_s",
             "processor at rest",
             servers,
-            CORE_MS_A_S,
+            CPU_MS_PER_S,
             "ms/s",
         ),
-        data.line(
-            "dispatcher by servers", "rest_bytes_a_s", "bytes at rest", servers, BYTES_A_S, "B/s"
+        data.fitted(
+            "dispatcher by servers", "rest_bytes_a_s", "bytes at rest", servers, BYTES_PER_S, "B/s"
         ),
-        data.line(
+        data.fitted(
             "dispatcher by servers", "change_cpu_ms", "processor, one change", servers, None, "ms"
         ),
-        data.line(
+        data.fitted(
             "dispatcher by tenants", "file_kb", "its configuration", full_scale.TENANTS, None, "KB"
         ),
-        data.line(
+        data.fitted(
             "choosing by servers", "us_a_request", "choosing, a request", servers, None, "us"
         ),
     ]
     lists = [
-        data.line(
+        data.fitted(
             "list by dispatchers",
             "rest_cpu_ms_a_s",
             "processor at rest",
@@ -130,24 +136,29 @@
             1_000.0,
             "ms/s",
         ),
-        data.line(
+        data.fitted(
             "list by dispatchers", "change_cpu_ms", "processor, one change", dispatchers, None, "ms"
         ),
-        data.line(
-            "list by dispatchers", "change_s", "a change at all", dispatchers, IN_FORCE_S, "s"
+        data.fitted(
+            "list by dispatchers",
+            "change_s",
+            "a change at all",
+            dispatchers,
+            CHANGE_DEADLINE_S,
+            "s",
         ),
-        data.line(
+        data.fitted(
             "list by dispatchers",
             "restart_s",
             "its restart, till all have it",
             dispatchers,
-            IN_FORCE_S,
+            CHANGE_DEADLINE_S,
             "s",
         ),
-        data.line(
+        data.fitted(
             "list by servers", "start_kb_each", "whole list, each dispatcher", servers, None, "KB"
         ),
-        data.line(
+        data.fitted(
             "list by servers",
             "change_bytes_each",
             "one change, each dispatcher",
@@ -155,34 +166,48 @@
             None,
             "B",
         ),
-        data.line("list by dispatchers", "server_mb", "memory", dispatchers, None, "MB"),
+        data.fitted("list by dispatchers", "server_mb", "memory", dispatchers, None, "MB"),
     ]
     agents = [
-        data.line("agent by instances", "cpu_ms_a_s", "processor at rest", 6, None, "ms/s"),
-        data.line("agent by instances", "mb", "memory", 6, None, "MB"),
+        data.fitted("agent by instances", "cpu_ms_a_s", "processor at rest", 6, None, "ms/s"),
+        data.fitted("agent by instances", "mb", "memory", 6, None, "MB"),
     ]
     tool = [
-        data.line("order by instances", "seconds", "a reload of all", dispatchers, IN_FORCE_S, "s"),
-        data.line(
+        data.fitted(
+            "order by instances", "seconds", "a reload of all", dispatchers, CHANGE_DEADLINE_S, "s"
+        ),
+        data.fitted(
             "order, a tenth silent",
             "seconds",
             "the same, a tenth silent",
             dispatchers,
-            IN_FORCE_S,
+            CHANGE_DEADLINE_S,
             "s",
         ),
-        data.line("order by instances", "mb", "memory", dispatchers, None, "MB"),
+        data.fitted("order by instances", "mb", "memory", dispatchers, None, "MB"),
     ]
-    hosts = dispatchers / DISPATCHERS_A_HOST / REGIONS
+    hosts = dispatchers / DISPATCHERS_PER_HOST / REGIONS
     configuration = [
-        data.line(
-            "configuration by hosts", "paced_most_s", "a change at all", hosts, IN_FORCE_S, "s"
+        data.fitted(
+            "configuration by hosts",
+            "paced_most_s",
+            "a change at all",
+            hosts,
+            CHANGE_DEADLINE_S,
+            "s",
+        ),
+        data.fitted(
+            "configuration by hosts",
+            "back_s",
+            "all, after being away",
+            hosts,
+            CHANGE_DEADLINE_S,
+            "s",
         ),
-        data.line(
-            "configuration by hosts", "back_s", "all, after being away", hosts, IN_FORCE_S, "s"
+        data.fitted(
+            "configuration by hosts", "mended_s", "all, after a cut", hosts, CHANGE_DEADLINE_S, "s"
         ),
-        data.line("configuration by hosts", "mended_s", "all, after a cut", hosts, IN_FORCE_S, "s"),
-        data.line(
+        data.fitted(
             "configuration by hosts",
             "rest_bytes_a_s",
             "bytes at rest, all nodes",
@@ -190,7 +215,7 @@
             None,
             "B/s",
         ),
-        data.line(
+        data.fitted(
             "configuration by hosts",
             "change_bytes",
             "bytes of a change, all nodes",
@@ -198,7 +223,7 @@
             None,
             "B",
         ),
-        data.line(
+        data.fitted(
             "configuration by hosts", "node_mb", "memory of a host's node", hosts, None, "MB"
         ),
     ]
@@ -211,25 +236,25 @@
     }
 
 
-def table(lines: list[Line]) -> str:
+def markdown_table(measures: list[FittedMeasure]) -> str:
     """Rows of Markdown."""
-    found = [
+    rows = [
         "| what | grows by | measured at | constant | each | residual | at the size | budget | ratio |",
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- |",
     ]
-    for line in lines:
-        sizes = ", ".join(f"{size:g}" for size in line.sizes)
-        budget = f"{line.budget:g} {line.unit}" if line.budget else ""
-        drawn = f"{line.slope.constant:.3g} | {line.slope.each:.3g} | {line.slope.residual:.2f}"
-        value = f"{line.value:.3g} {line.unit}{line.reach}"
-        found.append(
-            f"| {line.what} | {line.by} | {sizes} | {drawn} | {value} | {budget} | {line.ratio} |"
+    for measure in measures:
+        sizes = ", ".join(f"{size:g}" for size in measure.sizes)
+        budget = f"{measure.budget:g} {measure.unit}" if measure.budget else ""
+        drawn = f"{measure.fitted_line.intercept:.3g} | {measure.fitted_line.slope:.3g} | {measure.fitted_line.residual:.2f}"
+        value = f"{measure.value:.3g} {measure.unit}{measure.range_note}"
+        rows.append(
+            f"| {measure.what} | {measure.grows_by} | {sizes} | {drawn} | {value} | {budget} | {measure.ratio} |"
         )
-    return "\n".join(found)
+    return "\n".join(rows)
 
 
 @dataclass(frozen=True, slots=True)
-class Event:
+class ControlEvent:
     """What one thing that happens costs one dispatcher on its watch."""
 
     what: str
@@ -237,31 +262,31 @@
     kb: float
 
 
-def events(change_bytes: float, restart_kb: float) -> list[Event]:
+def events(change_bytes: float, restart_kb: float) -> list[ControlEvent]:
     """Each replica that leaves or comes is one change of the list."""
-    zone = full_scale.REPLICAS // ZONES
+    zone = full_scale.REPLICAS // ZONE_COUNT
     changes = (
         ("a replica's machine fails, and comes back", 2),
-        ("a rack goes, and comes back (8 replicas, assumed)", 2 * RACK),
+        ("a rack goes, and comes back (8 replicas, assumed)", 2 * REPLICAS_PER_RACK),
         ("a zone goes, and comes back (100 replicas)", 2 * zone),
         ("the other region is away for an hour, and comes back (300 replicas)", 2 * 3 * zone),
     )
-    found = [Event(what, number, number * change_bytes / 1e3) for what, number in changes]
-    return [*found, Event("the list's server is restarted", 1, restart_kb)]
+    found = [ControlEvent(what, number, number * change_bytes / 1e3) for what, number in changes]
+    return [*found, ControlEvent("the list's server is restarted", 1, restart_kb)]
 
 
-def figures(data: Data) -> dict[str, Any]:
+def page_figures(data: CapacityData) -> dict[str, Any]:
     """What the page's sentences need besides the tables."""
     servers, dispatchers = full_scale.REPLICAS, full_scale.DISPATCHERS
-    lists = data.at("list by dispatchers", dispatchers)
+    lists = data.run_at("list by dispatchers", dispatchers)
     configured = [
         {**run, "most_after_s": max(run["paced_most_s"], run["back_s"], run["mended_s"])}
-        for run in data.rows("configuration by hosts")
+        for run in data.runs_named("configuration by hosts")
     ]
-    rest = data.line("configuration by hosts", "rest_bytes_a_s", "", 1)
-    change = data.line("configuration by hosts", "change_bytes", "", 1)
-    silent = data.at("order, a tenth silent", dispatchers)
-    emulated = data.rows("emulated, part of the size")
+    rest = data.fitted("configuration by hosts", "rest_bytes_a_s", "", 1)
+    change = data.fitted("configuration by hosts", "change_bytes", "", 1)
+    silent = data.run_at("order, a tenth silent", dispatchers)
+    emulated = data.runs_named("emulated, part of the size")
     return {
         **connections(servers, dispatchers),
         "servers": servers,
@@ -271,29 +296,29 @@
         "list_change_s": lists["change_s"],
         "change_bytes": lists["change_bytes_each"],
         "changes_run": 20,
-        "changes_a_day": REPLICA_TURNS_A_DAY,
+        "changes_a_day": LIST_CHANGES_PER_DAY,
         "day_bytes_a_s": lists["rest_bytes_a_s_each"]
-        + lists["change_bytes_each"] * REPLICA_TURNS_A_DAY / DAY_S,
+        + lists["change_bytes_each"] * LIST_CHANGES_PER_DAY / DAY_S,
         "events": events(lists["change_bytes_each"], lists["restart_kb_each"]),
-        "minute_kb": BYTES_A_S * 60 / 1e3,
-        "hour_mb": BYTES_A_S * 3_600 / 1e6,
-        "choosing": data.at("choosing by servers", servers)["us_a_request"]
+        "minute_kb": BYTES_PER_S * 60 / 1e3,
+        "hour_mb": BYTES_PER_S * 3_600 / 1e6,
+        "choosing": data.run_at("choosing by servers", servers)["us_a_request"]
         * full_scale.RATE
         / dispatchers
         / 1e4,
-        "shared_s": dispatchers * CALL_S,
+        "shared_s": dispatchers * DISCOVERY_CALL_S,
         "emulated": emulated,
         "largest": emulated[-1],
-        "cut": data.rows("emulated, a zone cut off"),
-        "real": data.rows("real and hollow"),
+        "cut": data.runs_named("emulated, a zone cut off"),
+        "real": data.runs_named("real and hollow"),
         "configured": configured,
-        "host_rest": rest.slope.each / REGIONS,
-        "host_change": change.slope.each / REGIONS,
-        "pushed_s": data.at("order by instances", dispatchers)["seconds"],
+        "host_rest": rest.fitted_line.slope / REGIONS,
+        "host_change": change.fitted_line.slope / REGIONS,
+        "pushed_s": data.run_at("order by instances", dispatchers)["seconds"],
         "pushed_silent_s": silent["seconds"],
         "pushed_missed": silent["asked"] - silent["done"],
-        "handover": HANDOVER_GB_A_S,
-        "in_force_s": IN_FORCE_S,
+        "handover": TRANSFER_GB_PER_S,
+        "in_force_s": CHANGE_DEADLINE_S,
     }
 
 
@@ -302,7 +327,7 @@
     rate = full_scale.RATE / dispatchers
     gap_s = servers / (2 * rate)
     attempts = 2 * full_scale.RATE / servers
-    cold = math.exp(-KEPT_S / gap_s)
+    cold = math.exp(-IDLE_CONNECTION_S / gap_s)
     return {
         "rate": rate,
         "pair_gap_s": gap_s,
@@ -313,11 +338,11 @@
     }
 
 
-def page(root: Path) -> str:
+def render_page(root: Path) -> str:
     """The whole page; it depends on the committed data and nothing else."""
     import jinja2
 
-    data = Data.read(root)
+    data = CapacityData.read(root)
     environment = jinja2.Environment(
         loader=jinja2.FileSystemLoader(Path(__file__).parent / "templates"),
         undefined=jinja2.StrictUndefined,
@@ -325,6 +350,6 @@
         trim_blocks=True,
         lstrip_blocks=True,
     )
-    tables = {name: table(lines) for name, lines in roles(data).items()}
+    tables = {name: markdown_table(lines) for name, lines in role_measures(data).items()}
     template = environment.get_template(TEMPLATE)
-    return template.render(machine=data.machine, tables=tables, **figures(data))
+    return template.render(machine=data.machine, tables=tables, **page_figures(data))
--- a/onyxpass/emulator/cli.py
+++ b/onyxpass/emulator/cli.py
@@ -12,11 +12,18 @@
 
 from onyxpass.config import toml_config
 from onyxpass.config.platform_file import ConfigError
-from onyxpass.emulator.compare import compared, problems
-from onyxpass.emulator.experiment import KNOWING, MEASURES, ExperimentFile, Rows, carry_out, runs_of
+from onyxpass.emulator.compare import compare_policies, failed_runs
+from onyxpass.emulator.experiment import (
+    FULL_KNOWLEDGE,
+    MEASURES,
+    ExperimentFile,
+    ResultStore,
+    execute_runs,
+    expand_runs,
+)
 from onyxpass.emulator.policies import POLICIES
-from onyxpass.emulator.simulation import PolicyFault, World
-from onyxpass.emulator.topology import Site, Trouble
+from onyxpass.emulator.simulation import PolicyError, Simulation
+from onyxpass.emulator.topology import InjectedFault, Site
 from onyxpass.history_checkers.trace import breaches
 
 lab_app = typer.Typer(
@@ -24,7 +31,7 @@
 )
 
 
-def troubles_of(texts: list[str]) -> tuple[Trouble, ...]:
+def parse_faults(texts: list[str]) -> tuple[InjectedFault, ...]:
     """``cut:derby@20+10`` or ``flush:0.5@30``: what, hall, server or size, seconds from the
     start, length.
     """
@@ -38,7 +45,7 @@
             if what not in ("lag", "flush", "hot", "cut", "flap", "crash", "slow"):
                 raise ValueError("no such trouble")
             found.append(
-                Trouble(
+                InjectedFault(
                     what,
                     float(at),
                     float(length or 0),
@@ -69,15 +76,15 @@
     as_json: Annotated[bool, typer.Option("--json", help="For programs.")] = False,
 ) -> None:
     """One day for each policy, on the same traffic: worth answered, ends, rules broken, pace."""
-    known = [*POLICIES, KNOWING]
+    known = [*POLICIES, FULL_KNOWLEDGE]
     names = policies or known
     if unknown := [name for name in names if name not in known]:
         typer.echo(f"onyxpass: no policy {unknown[0]!r}; there are {', '.join(known)}", err=True)
         raise typer.Exit(2)
-    planned = troubles_of(trouble or [])
-    site = Site(readers, writers, mixed, dispatchers, rate=rate, seconds=seconds, troubles=planned)
+    faults = parse_faults(trouble or [])
+    site = Site(readers, writers, mixed, dispatchers, rate=rate, seconds=seconds, faults=faults)
     placed = {spec.id for _, spec in site.servers()}
-    for found in site.troubles:
+    for found in site.faults:
         if (found.server and found.server not in placed) or (
             found.hall and found.hall not in site.halls
         ):
@@ -89,23 +96,29 @@
     for name in names:
         began_s = time.perf_counter()
         try:
-            world = World(site, POLICIES.get(name), seed)
-            tally = world.run()
-        except PolicyFault as problem:
+            simulation = Simulation(site, POLICIES.get(name), seed)
+            tally = simulation.run()
+        except PolicyError as problem:
             typer.echo(f"{name}: its run ended: {problem}", err=True)
             worst = 1
             continue
-        took_s = time.perf_counter() - began_s
-        broken = breaches(world.trace)
-        told = {key: value for key, value in asdict(tally).items() if key != "by_second"}
+        elapsed_s = time.perf_counter() - began_s
+        broken = breaches(simulation.trace)
+        fields = {key: value for key, value in asdict(tally).items() if key != "by_second"}
         if as_json:
-            row = {"policy": name, "g": tally.g, **told, "broken": len(broken), "seconds": took_s}
+            row = {
+                "policy": name,
+                "g": tally.g,
+                **fields,
+                "broken": len(broken),
+                "seconds": elapsed_s,
+            }
             typer.echo(json.dumps(row))
             continue
         ends = ", ".join(
-            f"{told[key]} {key}" for key in ("served", "refused", "failed", "gone", "late")
+            f"{fields[key]} {key}" for key in ("served", "refused", "failed", "gone", "late")
         )
-        pace = f"{seconds / took_s:.0f}x real time"
+        pace = f"{seconds / elapsed_s:.0f}x real time"
         typer.echo(f"{name:16} G {tally.g:.3f}  {ends}, {len(broken)} rules broken; {pace}")
     raise typer.Exit(worst)
 
@@ -116,7 +129,7 @@
 ]
 
 
-def experiment(path: Path) -> ExperimentFile:
+def read_experiment(path: Path) -> ExperimentFile:
     try:
         return toml_config.read(ExperimentFile, path)
     except ConfigError as problem:
@@ -131,16 +144,16 @@
     workers: Annotated[int, typer.Option(min=1, max=256, help="Processes.")] = os.cpu_count() or 1,
 ) -> None:
     """Play all days of an experiment that have not been played; killed, it goes on where it was."""
-    found = experiment(file)
-    runs, kept = runs_of(found), Rows(rows or file.with_suffix(".db"))
+    found = read_experiment(file)
+    runs, results = expand_runs(found), ResultStore(rows or file.with_suffix(".db"))
     with Progress(transient=True) as progress:
         bar = progress.add_task(found.name, total=len(runs))
-        played = carry_out(runs, kept, workers, lambda _: progress.advance(bar))
+        played = execute_runs(runs, results, workers, lambda _: progress.advance(bar))
     typer.echo(f"{found.name}: {len(runs)} runs, {played} of them played now")
-    wrong = problems(runs, kept)
-    for text in wrong:
+    failed = failed_runs(runs, results)
+    for text in failed:
         typer.echo(f"ended by its policy: {text}", err=True)
-    raise typer.Exit(1 if wrong else 0)
+    raise typer.Exit(1 if failed else 0)
 
 
 @lab_app.command("compare")
@@ -152,11 +165,11 @@
     """Each policy against the baseline: the mean difference on the same days, its interval, or
     noise.
     """
-    found = experiment(file)
+    found = read_experiment(file)
     if measure not in MEASURES:
         typer.echo(f"onyxpass: no measure {measure!r}; there are {', '.join(MEASURES)}", err=True)
         raise typer.Exit(2)
-    for row in compared(found, Rows(rows or file.with_suffix(".db")), measure):
+    for row in compare_policies(found, ResultStore(rows or file.with_suffix(".db")), measure):
         where = ", ".join(f"{key} {value:g}" for key, value in row.point) or "base"
         verdict = "noise" if row.noise else "differs"
         typer.echo(
@@ -174,10 +187,10 @@
     ] = None,
 ) -> None:
     """One self-contained HTML page of what has been played."""
-    from onyxpass.emulator.report import write
+    from onyxpass.emulator.report import write_report
 
-    found, path = experiment(file), out or file.with_suffix(".html")
-    write(found, Rows(rows or file.with_suffix(".db")), path)
+    found, path = read_experiment(file), out or file.with_suffix(".html")
+    write_report(found, ResultStore(rows or file.with_suffix(".db")), path)
     typer.echo(f"{path}")
 
 
@@ -189,9 +202,9 @@
     """Count what all dispatchers of a fleet logged, together, by reason and time; and reads by
     reader.
     """
-    from onyxpass.emulator.log_summary import gather
+    from onyxpass.emulator.log_summary import summarize_logs
 
-    tables = gather(folder, step)
+    tables = summarize_logs(folder, step)
     if not tables.files:
         typer.echo(f"onyxpass: {folder}: no *.log file there", err=True)
         raise typer.Exit(2)
--- a/onyxpass/emulator/compare.py
+++ b/onyxpass/emulator/compare.py
@@ -8,14 +8,14 @@
 
 import numpy as np
 
-from onyxpass.emulator.experiment import ExperimentFile, Rows, Run, runs_of
+from onyxpass.emulator.experiment import ExperimentFile, ExperimentRun, ResultStore, expand_runs
 
-DRAWS = 4_000
-LEVEL = 0.95
+BOOTSTRAP_RESAMPLES = 4_000
+CONFIDENCE_LEVEL = 0.95
 
 
 @dataclass(frozen=True, slots=True)
-class Difference:
+class PairedDifference:
     """Of one measure at one point: the policy's less the baseline's, over the seeds that both
     have played.
     """
@@ -35,25 +35,27 @@
         return self.pairs < 3 or self.low <= 0.0 <= self.high
 
 
-def interval(values: Sequence[float], seed: int = 1) -> tuple[float, float]:
+def bootstrap_interval(values: Sequence[float], seed: int = 1) -> tuple[float, float]:
     """A bootstrap interval of the mean; the same for the same values."""
     if len(values) < 2:
         return float("-inf"), float("inf")
-    chance = np.random.default_rng(seed)
-    found = np.asarray(values)
-    means = chance.choice(found, (DRAWS, len(found))).mean(axis=1)
-    low, high = np.quantile(means, [(1 - LEVEL) / 2, (1 + LEVEL) / 2])
+    generator = np.random.default_rng(seed)
+    samples = np.asarray(values)
+    means = generator.choice(samples, (BOOTSTRAP_RESAMPLES, len(samples))).mean(axis=1)
+    low, high = np.quantile(means, [(1 - CONFIDENCE_LEVEL) / 2, (1 + CONFIDENCE_LEVEL) / 2])
     return float(low), float(high)
 
 
-def compared(file: ExperimentFile, rows: Rows, measure: str = "g") -> list[Difference]:
-    by_run: dict[tuple[str, tuple[tuple[str, float], ...], int], Mapping[str, Any]] = {}
-    for run in runs_of(file):
-        if (found := rows.get(run)) is not None and "problem" not in found:
-            by_run[run.policy, run.point, run.seed] = found
-    points = list(dict.fromkeys(run.point for run in runs_of(file)))
+def compare_policies(
+    file: ExperimentFile, results: ResultStore, measure: str = "g"
+) -> list[PairedDifference]:
+    measures_by_run: dict[tuple[str, tuple[tuple[str, float], ...], int], Mapping[str, Any]] = {}
+    for run in expand_runs(file):
+        if (measures := results.get(run)) is not None and "problem" not in measures:
+            measures_by_run[run.policy, run.point, run.seed] = measures
+    points = list(dict.fromkeys(run.point for run in expand_runs(file)))
     return [
-        _difference(file, by_run, policy, point, measure)
+        _difference(file, measures_by_run, policy, point, measure)
         for point in points
         for policy in file.policies
         if policy != file.baseline
@@ -62,31 +64,34 @@
 
 def _difference(
     file: ExperimentFile,
-    by_run: Mapping[tuple[str, tuple[tuple[str, float], ...], int], Mapping[str, Any]],
+    measures_by_run: Mapping[tuple[str, tuple[tuple[str, float], ...], int], Mapping[str, Any]],
     policy: str,
     point: tuple[tuple[str, float], ...],
     measure: str,
-) -> Difference:
+) -> PairedDifference:
     pairs = [
         (
-            float(by_run[policy, point, seed][measure]),
-            float(by_run[file.baseline, point, seed][measure]),
+            float(measures_by_run[policy, point, seed][measure]),
+            float(measures_by_run[file.baseline, point, seed][measure]),
         )
         for seed in file.seeds
-        if (policy, point, seed) in by_run and (file.baseline, point, seed) in by_run
+        if (policy, point, seed) in measures_by_run
+        and (file.baseline, point, seed) in measures_by_run
     ]
     differences = [mine - theirs for mine, theirs in pairs]
-    low, high = interval(differences)
+    low, high = bootstrap_interval(differences)
     mean = sum(differences) / len(differences) if differences else 0.0
     value = sum(mine for mine, _ in pairs) / len(pairs) if pairs else 0.0
-    return Difference(policy, point, measure, len(pairs), mean, low, high, value)
+    return PairedDifference(policy, point, measure, len(pairs), mean, low, high, value)
 
 
-def problems(runs: Iterable[Run], rows: Rows) -> list[str]:
+def failed_runs(runs: Iterable[ExperimentRun], results: ResultStore) -> list[str]:
     """Runs that a policy's fault has ended."""
-    found = []
+    descriptions = []
     for run in runs:
-        row = rows.get(run)
+        row = results.get(run)
         if row is not None and "problem" in row:
-            found.append(f"{run.policy}, seed {run.seed}, {dict(run.point)}: {row['problem']}")
-    return found
+            descriptions.append(
+                f"{run.policy}, seed {run.seed}, {dict(run.point)}: {row['problem']}"
+            )
+    return descriptions
--- a/onyxpass/emulator/decision_cost.py
+++ b/onyxpass/emulator/decision_cost.py
@@ -9,15 +9,19 @@
 from dataclasses import dataclass
 from itertools import count
 
-from onyxpass.emulator.topology import S, Site
+from onyxpass.emulator.topology import SECOND_US, Site
 from onyxpass.scheduling import contract
 from onyxpass.scheduling.router import Router
 
-READ_US, FIRST_US, REST_US = 200_000, 60_000, 4_000_000  # of a request, on an unloaded server
+PREFILL_US, FIRST_TOKEN_US, STREAM_US = (
+    200_000,
+    60_000,
+    4_000_000,
+)  # of a request, on an unloaded server
 
 
 @dataclass(frozen=True, slots=True)
-class Choosing:
+class DecisionCost:
     """``us_a_request``: processor time of the module for one request, from arrival to its end."""
 
     servers: int
@@ -26,47 +30,52 @@
     us_a_request: float
 
 
-def measure_choosing(
+def measure_decision_cost(
     servers: int, routers: int, rate: float, seconds: float, seed: int
-) -> Choosing:
+) -> DecisionCost:
     """``rate``: requests a second that this one module gets. Two in five servers read."""
     readers = round(0.4 * servers)
     site = Site(readers, servers - readers, 0, dispatchers=routers)
-    day = _Day(Router(site.settings(0), seed), random.Random(seed), site)
+    load = _DecisionLoad(Router(site.settings(0), seed), random.Random(seed), site)
     gc.collect()
     began_s = time.process_time()
-    done = day.run(rate, seconds)
-    return Choosing(servers, routers, done, (time.process_time() - began_s) * 1e6 / max(1, done))
+    request_count = load.run(rate, seconds)
+    return DecisionCost(
+        servers,
+        routers,
+        request_count,
+        (time.process_time() - began_s) * 1e6 / max(1, request_count),
+    )
 
 
-class _Day:
+class _DecisionLoad:
     """Feeds the module; no work of its own but a queue of events."""
 
-    def __init__(self, router: Router, chance: random.Random, site: Site) -> None:
-        self.router, self.chance, self.site = router, chance, site
-        self.now_us, self.order = 1_000 * S, count()
-        self.later: list[tuple[int, int, contract.Event]] = []
+    def __init__(self, router: Router, generator: random.Random, site: Site) -> None:
+        self.router, self.generator, self.site = router, generator, site
+        self.now_us, self.sequence = 1_000 * SECOND_US, count()
+        self.pending: list[tuple[int, int, contract.Event]] = []
         self.attempts: dict[int, int] = {}
-        specs = tuple(spec for _, spec in site.servers())
-        self._tell(contract.EndpointUpdate(contract.EndpointUpdateForm.COMPLETE, specs, 1))
+        endpoints = tuple(endpoint for _, endpoint in site.servers())
+        self._handle(contract.EndpointUpdate(contract.EndpointUpdateForm.COMPLETE, endpoints, 1))
 
     def run(self, rate: float, seconds: float) -> int:
-        end_us = self.now_us + round(seconds * S)
+        end_us = self.now_us + round(seconds * SECOND_US)
         number, next_us = 0, self.now_us
         while self.now_us < end_us:
-            if self.later and self.later[0][0] <= next_us:
-                self.now_us, _, event = heapq.heappop(self.later)
-                self._tell(event)
+            if self.pending and self.pending[0][0] <= next_us:
+                self.now_us, _, event = heapq.heappop(self.pending)
+                self._handle(event)
                 continue
             self.now_us, number = next_us, number + 1
-            next_us += round(self.chance.expovariate(rate) * S)
-            self._tell(self._arrival(number))
+            next_us += round(self.generator.expovariate(rate) * SECOND_US)
+            self._handle(self._arrival(number))
         return number
 
     def _arrival(self, number: int) -> contract.Arrival:
-        traffic_class = self.chance.choice(self.site.classes).traffic
-        session = f"s{self.chance.randrange(200)}"
-        prefix = f"p{round(self.chance.paretovariate(0.9)) % 1_000}"
+        traffic_class = self.generator.choice(self.site.classes).traffic_class
+        session = f"s{self.generator.randrange(200)}"
+        prefix = f"p{round(self.generator.paretovariate(0.9)) % 1_000}"
         return contract.Arrival(
             number,
             traffic_class.name,
@@ -79,9 +88,9 @@
         )
 
     def _after(self, delay_us: int, event: contract.Event) -> None:
-        heapq.heappush(self.later, (self.now_us + delay_us, next(self.order), event))
+        heapq.heappush(self.pending, (self.now_us + delay_us, next(self.sequence), event))
 
-    def _tell(self, event: contract.Event) -> None:
+    def _handle(self, event: contract.Event) -> None:
         for action in self.router.handle(self.now_us, event):
             match action:
                 case contract.SendAttempt(number, server, _):
@@ -94,15 +103,15 @@
         self.attempts[number] = attempt + 1
         if not attempt:
             self._after(
-                READ_US,
+                PREFILL_US,
                 contract.AttemptOutcome(
-                    number, 0, server, contract.AttemptStatus.PREFILLED, READ_US
+                    number, 0, server, contract.AttemptStatus.PREFILLED, PREFILL_US
                 ),
             )
             return
         del self.attempts[number]
-        self._after(FIRST_US, contract.StreamStarted(number, attempt, server, FIRST_US))
+        self._after(FIRST_TOKEN_US, contract.StreamStarted(number, attempt, server, FIRST_TOKEN_US))
         ended = contract.AttemptOutcome(
-            number, attempt, server, contract.AttemptStatus.COMPLETED, REST_US, True
+            number, attempt, server, contract.AttemptStatus.COMPLETED, STREAM_US, True
         )
-        self._after(REST_US, ended)
+        self._after(STREAM_US, ended)
--- a/onyxpass/emulator/events.py
+++ b/onyxpass/emulator/events.py
@@ -12,48 +12,50 @@
 class Rank(IntEnum):
     """What comes first at one instant."""
 
-    TROUBLE = 0  # the world changes before anybody acts in it
+    FAULT = 0  # the world changes before anybody acts in it
     SERVER = 1  # work ends
     NETWORK = 2  # messages arrive
     TIMER = 3
     CLIENT = 4  # new work comes last
 
 
-class Handle:
+class ScheduledEvent:
     """One event that may be called off."""
 
-    __slots__ = ("call", "off")
+    __slots__ = ("callback", "cancelled")
 
-    def __init__(self, call: Callable[[], None]) -> None:
-        self.call, self.off = call, False
+    def __init__(self, callback: Callable[[], None]) -> None:
+        self.callback, self.cancelled = callback, False
 
     def cancel(self) -> None:
-        self.off = True
+        self.cancelled = True
 
 
-class Queue:
+class EventQueue:
     """``now_us``: whole microseconds. Nothing is ever put before it."""
 
     def __init__(self) -> None:
         self.now_us = 0
-        self.count = 0  # events that have happened
+        self.executed_count = 0  # events that have happened
         self._order = 0
-        self._heap: list[tuple[int, int, int, Handle]] = []
+        self._heap: list[tuple[int, int, int, ScheduledEvent]] = []
 
-    def at(self, when_us: int, rank: Rank, call: Callable[[], None]) -> Handle:
-        handle = Handle(call)
+    def schedule_at(self, when_us: int, rank: Rank, callback: Callable[[], None]) -> ScheduledEvent:
+        event = ScheduledEvent(callback)
         self._order += 1
-        heapq.heappush(self._heap, (max(when_us, self.now_us), rank, self._order, handle))
-        return handle
+        heapq.heappush(self._heap, (max(when_us, self.now_us), rank, self._order, event))
+        return event
 
-    def after(self, delay_us: float, rank: Rank, call: Callable[[], None]) -> Handle:
-        return self.at(self.now_us + max(0, round(delay_us)), rank, call)
+    def schedule_after(
+        self, delay_us: float, rank: Rank, callback: Callable[[], None]
+    ) -> ScheduledEvent:
+        return self.schedule_at(self.now_us + max(0, round(delay_us)), rank, callback)
 
     def run(self, until_us: int) -> None:
         """Let all happen up to and with ``until_us``."""
         while self._heap and self._heap[0][0] <= until_us:
-            self.now_us, _, _, handle = heapq.heappop(self._heap)
-            if not handle.off:
-                self.count += 1
-                handle.call()
+            self.now_us, _, _, event = heapq.heappop(self._heap)
+            if not event.cancelled:
+                self.executed_count += 1
+                event.callback()
         self.now_us = max(self.now_us, until_us)
--- a/onyxpass/emulator/experiment.py
+++ b/onyxpass/emulator/experiment.py
@@ -21,11 +21,11 @@
 
 from onyxpass.config import toml_config
 from onyxpass.emulator.policies import POLICIES
-from onyxpass.emulator.simulation import PolicyFault, World
-from onyxpass.emulator.topology import Site, Trouble
+from onyxpass.emulator.simulation import PolicyError, Simulation
+from onyxpass.emulator.topology import InjectedFault, Site
 from onyxpass.history_checkers.trace import breaches
 
-KNOWING = "full-knowledge"
+FULL_KNOWLEDGE = "full-knowledge"
 AXES = (
     "readers",
     "writers",
@@ -37,12 +37,12 @@
     "list_lag_s",
     "retries",
 )
-COUNTS = ("readers", "writers", "mixed", "dispatchers", "retries")
+INTEGER_FIELDS = ("readers", "writers", "mixed", "dispatchers", "retries")
 MEASURES = ("g", "served", "refused", "failed", "gone", "late", "attempts", "worst_10s", "broken")
-Number = Annotated[float, Field(gt=0, le=1e6)]
+PositiveNumber = Annotated[float, Field(gt=0, le=1e6)]
 
 
-class TroubleTable(toml_config.Model):
+class FaultTable(toml_config.Model):
     what: str
     at_s: float
     for_s: float = 0.0
@@ -56,12 +56,14 @@
     policies: Annotated[list[str], Field(min_length=1)]
     baseline: str  # the policy that the others are held against
     seeds: Annotated[list[int], Field(min_length=1)]
-    base: dict[str, Number] = Field(default_factory=dict)
-    axes: dict[str, Annotated[list[Number], Field(min_length=1)]] = Field(default_factory=dict)
-    troubles: list[TroubleTable] = Field(default_factory=list)
+    base: dict[str, PositiveNumber] = Field(default_factory=dict)
+    axes: dict[str, Annotated[list[PositiveNumber], Field(min_length=1)]] = Field(
+        default_factory=dict
+    )
+    troubles: list[FaultTable] = Field(default_factory=list)
 
     def faults(self) -> Iterable[tuple[tuple[toml_config.PathPart, ...], str]]:
-        known = [*POLICIES, KNOWING]
+        known = [*POLICIES, FULL_KNOWLEDGE]
         for number, name in enumerate(self.policies):
             if name not in known:
                 yield (
@@ -74,69 +76,75 @@
             for key in keys:
                 if key not in AXES:
                     yield (table, key), f"no key {key!r}{toml_config.suggestion(key, AXES)}"
-        for number, trouble in enumerate(self.troubles):
-            if trouble.what not in ("lag", "flush", "hot", "cut", "flap", "crash", "slow"):
-                yield ("troubles", number, "what"), f"no trouble {trouble.what!r}"
+        for number, fault in enumerate(self.troubles):
+            if fault.what not in ("lag", "flush", "hot", "cut", "flap", "crash", "slow"):
+                yield ("troubles", number, "what"), f"no trouble {fault.what!r}"
         if len(set(self.seeds)) < len(self.seeds):
             yield ("seeds",), "a seed stands there twice"
 
 
 @dataclass(frozen=True, slots=True)
-class Run:
+class ExperimentRun:
     """One day of one policy."""
 
     policy: str
     seed: int
     point: tuple[tuple[str, float], ...]  # of the axes
     base: tuple[tuple[str, float], ...]
-    troubles: tuple[Trouble, ...]
+    troubles: tuple[InjectedFault, ...]
 
     @property
     def key(self) -> str:
-        told = json.dumps(asdict(self), sort_keys=True)
-        return hashlib.blake2b(told.encode(), digest_size=12).hexdigest()
+        fields = json.dumps(asdict(self), sort_keys=True)
+        return hashlib.blake2b(fields.encode(), digest_size=12).hexdigest()
 
     def site(self) -> Site:
         values = {**dict(self.base), **dict(self.point)}
-        typed = {key: int(value) if key in COUNTS else value for key, value in values.items()}
-        return Site(**typed, troubles=self.troubles)  # type: ignore[arg-type]
+        typed = {
+            key: int(value) if key in INTEGER_FIELDS else value for key, value in values.items()
+        }
+        return Site(**typed, faults=self.troubles)  # type: ignore[arg-type]
 
 
-def runs_of(file: ExperimentFile) -> list[Run]:
+def expand_runs(file: ExperimentFile) -> list[ExperimentRun]:
     """All of them, in a fixed order."""
     names = sorted(file.axes)
-    troubles = tuple(Trouble(**table.model_dump()) for table in file.troubles)
-    found = []
+    troubles = tuple(InjectedFault(**table.model_dump()) for table in file.troubles)
+    runs = []
     for values in itertools.product(*(file.axes[name] for name in names)):
         point = tuple(zip(names, values, strict=True))
         for seed, policy in itertools.product(file.seeds, file.policies):
-            found.append(Run(policy, seed, point, tuple(sorted(file.base.items())), troubles))
-    return found
+            runs.append(
+                ExperimentRun(policy, seed, point, tuple(sorted(file.base.items())), troubles)
+            )
+    return runs
 
 
-def play(run: Run) -> dict[str, float | str]:
+def execute_run(run: ExperimentRun) -> dict[str, float | str]:
     """A run's measures. One whose policy fails has its reason in place of them."""
     began_s = time.perf_counter()
     try:
-        world = World(run.site(), POLICIES.get(run.policy), run.seed)
-        tally = world.run()
-    except PolicyFault as problem:
+        simulation = Simulation(run.site(), POLICIES.get(run.policy), run.seed)
+        tally = simulation.run()
+    except PolicyError as problem:
         return {"problem": str(problem)}
-    told = asdict(tally)
-    found: dict[str, float | str] = {key: float(told[key]) for key in MEASURES if key in told}
+    fields = asdict(tally)
+    measures: dict[str, float | str] = {
+        key: float(fields[key]) for key in MEASURES if key in fields
+    }
     seconds = sorted(tally.by_second.items())
     windows = [seconds[i : i + 10] for i in range(max(1, len(seconds) - 9))]
     shares = [sum(row[0] for _, row in w) / max(1e-9, sum(row[1] for _, row in w)) for w in windows]
-    found |= {
+    measures |= {
         "g": tally.g,
         "worst_10s": min(shares, default=0.0),
-        "broken": float(len(breaches(world.trace))),
+        "broken": float(len(breaches(simulation.trace))),
     }
-    found["seconds"] = time.perf_counter() - began_s
-    return found
+    measures["seconds"] = time.perf_counter() - began_s
+    return measures
 
 
-class Rows:
+class ResultStore:
     """The results of experiments, by run."""
 
     def __init__(self, path: Path) -> None:
@@ -150,7 +158,7 @@
     def close(self) -> None:
         self.db.close()
 
-    def put(self, run: Run, measures: Mapping[str, float | str]) -> None:
+    def put(self, run: ExperimentRun, measures: Mapping[str, float | str]) -> None:
         row = (
             run.key,
             run.policy,
@@ -160,29 +168,32 @@
         )
         self.db.execute("INSERT OR REPLACE INTO runs VALUES (?, ?, ?, ?, ?)", row)
 
-    def get(self, run: Run) -> dict[str, Any] | None:
+    def get(self, run: ExperimentRun) -> dict[str, Any] | None:
         row = self.db.execute("SELECT measures FROM runs WHERE key = ?", (run.key,)).fetchone()
         return json.loads(row[0]) if row is not None else None
 
 
-def carry_out(
-    runs: Iterable[Run], rows: Rows, workers: int, done: Callable[[Run], None] = lambda _: None
+def execute_runs(
+    runs: Iterable[ExperimentRun],
+    results: ResultStore,
+    workers: int,
+    done: Callable[[ExperimentRun], None] = lambda _: None,
 ) -> int:
     """Play what has no row yet; how many that were."""
     missing = []
     for run in runs:
-        if rows.get(run) is None:
+        if results.get(run) is None:
             missing.append(run)
         else:
             done(run)
     if workers <= 1:
         for run in missing:
-            rows.put(run, play(run))
+            results.put(run, execute_run(run))
             done(run)
         return len(missing)
     with ProcessPoolExecutor(workers, mp_context=get_context("spawn")) as pool:
-        playing = {pool.submit(play, run): run for run in missing}
-        for ended in as_completed(playing):
-            rows.put(playing[ended], ended.result())
-            done(playing[ended])
+        run_by_future = {pool.submit(execute_run, run): run for run in missing}
+        for ended in as_completed(run_by_future):
+            results.put(run_by_future[ended], ended.result())
+            done(run_by_future[ended])
     return len(missing)
--- a/onyxpass/emulator/full_scale.py
+++ b/onyxpass/emulator/full_scale.py
@@ -6,27 +6,27 @@
 from dataclasses import dataclass, replace
 
 from onyxpass.emulator.policies import POLICIES
-from onyxpass.emulator.servers import Reach
-from onyxpass.emulator.simulation import World
-from onyxpass.emulator.topology import CLASSES, MIXED, READER, WRITER, Site, Trouble
+from onyxpass.emulator.servers import TransferDistance
+from onyxpass.emulator.simulation import Simulation
+from onyxpass.emulator.topology import CLASSES, MIXED, READER, WRITER, InjectedFault, Site
 
 REPLICAS, DISPATCHERS, RATE = 600, 370, 3_000.0
-READING = 0.4  # of the replicas
+READER_SHARE = 0.4  # of the replicas
 TENANTS = 4_000
 FIRST_TOKEN_US, TOKEN_US = 1_100_000, 25_000  # the aims, for 95 in 100
 ZONES = tuple(f"{region}/{zone}" for region in ("north", "south") for zone in ("a", "b", "c"))
 # for each pair of dispatcher and server; half of it was measured at the whole size
-MB_A_PAIR = 0.002
+MB_PER_PAIR = 0.002
 MB_BASE = 120.0
-MB_A_PROCESS = 50.0  # the largest of ours, a node or an agent, measured
+MB_PER_PROCESS = 50.0  # the largest of ours, a node or an agent, measured
 
 
-class TooLarge(ValueError):
+class MemoryLimitError(ValueError):
     """A run that would not fit into the memory that it may take."""
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class ScaleResult:
     """``moved``: share of the hand-over's tokens by how far they went."""
 
     replicas: int
@@ -44,15 +44,15 @@
     mb: float
 
 
-def site_of(part: float, seconds: float, troubles: tuple[Trouble, ...] = ()) -> Site:
+def scaled_site(fraction: float, seconds: float, faults: tuple[InjectedFault, ...] = ()) -> Site:
     """A part of the whole size: servers, dispatchers and requests shrink alike."""
-    replicas = max(8, round(REPLICAS * part))
-    readers = round(READING * replicas)
+    replicas = max(8, round(REPLICAS * fraction))
+    readers = round(READER_SHARE * replicas)
     classes = tuple(
         replace(
             c,
-            traffic=replace(
-                c.traffic,
+            traffic_class=replace(
+                c.traffic_class,
                 latency_objective_us=FIRST_TOKEN_US,
                 latency_objective_us_per_1k_tokens=0,
                 token_objective_us=TOKEN_US,
@@ -64,42 +64,42 @@
         readers,
         replicas - readers,
         0,
-        dispatchers=max(2, round(DISPATCHERS * part)),
+        dispatchers=max(2, round(DISPATCHERS * fraction)),
         halls=ZONES,
         kinds=(READER, WRITER, MIXED),
         classes=classes,
-        rate=RATE * part,
+        rate=RATE * fraction,
         seconds=seconds,
         tenants=TENANTS,
         prefixes=400,
-        troubles=troubles,
+        faults=faults,
     )
 
 
 def estimate_mb(site: Site) -> float:
     """What a run takes: mostly each dispatcher's view of each server."""
     servers = site.readers + site.writers + site.mixed
-    return MB_BASE + MB_A_PAIR * servers * site.dispatchers
+    return MB_BASE + MB_PER_PAIR * servers * site.dispatchers
 
 
-def check_fits(site: Site, most_mb: float) -> None:
+def check_memory(site: Site, max_mb: float) -> None:
     """TooLarge, with what would fit, before anything is made."""
-    if (needs := estimate_mb(site)) <= most_mb:
+    if (needed_mb := estimate_mb(site)) <= max_mb:
         return
-    part = max(0.0, (most_mb - MB_BASE) / (needs - MB_BASE)) ** 0.5
-    raise TooLarge(
-        f"{site.dispatchers} dispatchers and {site.readers + site.writers} servers need some {needs:.0f} MB, "
-        f"{most_mb:.0f} may be used; {part:.2f} of the size on each side would fit"
+    fraction = max(0.0, (max_mb - MB_BASE) / (needed_mb - MB_BASE)) ** 0.5
+    raise MemoryLimitError(
+        f"{site.dispatchers} dispatchers and {site.readers + site.writers} servers need some {needed_mb:.0f} MB, "
+        f"{max_mb:.0f} may be used; {fraction:.2f} of the size on each side would fit"
     )
 
 
-def check_processes(count: int, most_mb: float | None = None) -> None:
+def check_processes(count: int, max_mb: float | None = None) -> None:
     """TooLarge, with what would fit, where so many processes of ours are too many."""
-    most_mb = half_of_memory_mb() if most_mb is None else most_mb
-    if count * MB_A_PROCESS > most_mb:
-        fits = int(most_mb // MB_A_PROCESS)
-        raise TooLarge(
-            f"{count} processes need some {count * MB_A_PROCESS:.0f} MB; {fits} would fit"
+    max_mb = half_of_memory_mb() if max_mb is None else max_mb
+    if count * MB_PER_PROCESS > max_mb:
+        process_limit = int(max_mb // MB_PER_PROCESS)
+        raise MemoryLimitError(
+            f"{count} processes need some {count * MB_PER_PROCESS:.0f} MB; {process_limit} would fit"
         )
 
 
@@ -110,20 +110,20 @@
     return total_kb / 1024 / 2
 
 
-def play(site: Site, seed: int, most_mb: float | None = None) -> Told:
+def run_site(site: Site, seed: int, max_mb: float | None = None) -> ScaleResult:
     """Run it; TooLarge before it starts where it does not fit."""
-    check_fits(site, half_of_memory_mb() if most_mb is None else most_mb)
+    check_memory(site, half_of_memory_mb() if max_mb is None else max_mb)
     began_s = time.perf_counter()
-    world = World(site, POLICIES["module"], seed, traced=False)
-    tally = world.run()
+    simulation = Simulation(site, POLICIES["module"], seed, traced=False)
+    tally = simulation.run()
     wall_s = time.perf_counter() - began_s
-    moved = Counter[Reach]()
-    for server in world.servers.values():
-        moved.update(server.moved)
+    moved = Counter[TransferDistance]()
+    for server in simulation.servers.values():
+        moved.update(server.transferred_tokens)
     tokens = max(1, sum(moved.values()))
     served = max(1, len(tally.waits_us))
-    return Told(
-        replicas=len(world.servers),
+    return ScaleResult(
+        replicas=len(simulation.servers),
         dispatchers=site.dispatchers,
         rate=site.rate,
         seconds=site.seconds,
@@ -133,7 +133,7 @@
         failed=tally.failed,
         first_token_in_aim=sum(wait <= FIRST_TOKEN_US for wait in tally.waits_us) / served,
         tokens_in_aim=sum(pace <= TOKEN_US for pace in tally.paces_us) / served,
-        moved={kind.value: moved[kind] / tokens for kind in Reach},
+        moved={kind.value: moved[kind] / tokens for kind in TransferDistance},
         wall_s=wall_s,
         mb=resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,
     )
--- a/onyxpass/emulator/policies.py
+++ b/onyxpass/emulator/policies.py
@@ -23,39 +23,39 @@
     def handle(self, now_us: int, event: contract.Event) -> list[contract.Action]: ...
 
 
-class Job:
-    __slots__ = ("ask", "attempts", "reader", "tried")
+class PolicyRequest:
+    __slots__ = ("arrival", "attempts", "failed_servers", "reader")
 
-    def __init__(self, ask: contract.Arrival) -> None:
-        self.ask, self.attempts, self.reader = ask, 0, ""
-        self.tried: set[str] = set()
+    def __init__(self, arrival: contract.Arrival) -> None:
+        self.arrival, self.attempts, self.reader = arrival, 0, ""
+        self.failed_servers: set[str] = set()
 
 
-class Baseline:
+class BaselinePolicy:
     """``reader`` and ``writer`` choose among servers that are up, sorted by id."""
 
     def __init__(self, settings: contract.Settings, seed: int) -> None:
-        self.settings, self.chance = settings, random.Random(seed)
+        self.settings, self.generator = settings, random.Random(seed)
         self.roles = {kind.name: kind.role for kind in settings.kinds}
         self.classes = {traffic_class.name: traffic_class for traffic_class in settings.classes}
         self.servers: dict[str, contract.Endpoint] = {}
-        self.jobs: dict[int, Job] = {}
-        self.flight: dict[str, int] = {}
+        self.requests: dict[int, PolicyRequest] = {}
+        self.in_flight: dict[str, int] = {}
 
-    def reader(self, job: Job, among: Sequence[str]) -> str:
+    def choose_reader(self, request: PolicyRequest, candidates: Sequence[str]) -> str:
         raise NotImplementedError
 
-    def writer(self, job: Job, among: Sequence[str]) -> str:
+    def choose_writer(self, request: PolicyRequest, candidates: Sequence[str]) -> str:
         raise NotImplementedError
 
-    def _up(self, job: Job, *roles: contract.Role) -> list[str]:
-        up = [
+    def _candidates(self, request: PolicyRequest, *roles: contract.Role) -> list[str]:
+        endpoints_up = [
             name
             for name, server in sorted(self.servers.items())
             if server.condition is contract.EndpointCondition.UP
             and self.roles[server.kind] in roles
         ]
-        return [name for name in up if name not in job.tried] or up
+        return [name for name in endpoints_up if name not in request.failed_servers] or endpoints_up
 
     def handle(self, now_us: int, event: contract.Event) -> list[contract.Action]:
         match event:
@@ -71,94 +71,110 @@
                     else:
                         self.servers[server.id] = server
             case contract.Arrival():
-                job = self.jobs[event.id] = Job(event)
-                return self._read(now_us, job)
+                request = self.requests[event.id] = PolicyRequest(event)
+                return self._read(now_us, request)
             case contract.RequestWithdrawn(id):
-                self.jobs.pop(id, None)
+                self.requests.pop(id, None)
                 return [contract.ReleaseState(id)]
             case contract.AttemptOutcome():
                 return self._outcome(now_us, event)
         return []
 
     def _outcome(self, now_us: int, event: contract.AttemptOutcome) -> list[contract.Action]:
-        self.flight[event.server] = max(0, self.flight.get(event.server, 0) - 1)
-        job = self.jobs.get(event.id)
-        if job is None:
+        self.in_flight[event.server] = max(0, self.in_flight.get(event.server, 0) - 1)
+        request = self.requests.get(event.id)
+        if request is None:
             return []
         if event.final or event.status is AttemptStatus.COMPLETED:
-            del self.jobs[event.id]
+            del self.requests[event.id]
             return []
         if event.status is AttemptStatus.PREFILLED:
-            job.reader = event.server
-            return self._write(now_us, job)
-        unsafe = self.classes[job.ask.traffic_class].idempotency is contract.Idempotency.NONE
-        reads = (
-            self.roles[self.servers[event.server].kind] if event.server in self.servers else None
+            request.reader = event.server
+            return self._write(now_us, request)
+        unsafe = (
+            self.classes[request.arrival.traffic_class].idempotency is contract.Idempotency.NONE
         )
-        if event.status not in RETRYABLE and (unsafe and reads is not contract.Role.PREFILL):
-            return self._give_up(job, contract.Fail(event.id))
-        job.tried.add(event.server)
-        gone = event.status is AttemptStatus.OVERLOADED and event.note == contract.STATE_LOST
-        if job.reader and not gone:
-            return self._write(now_us, job)
-        job.reader = ""
-        return self._read(now_us, job)
-
-    def _read(self, now_us: int, job: Job) -> list[contract.Action]:
+        role = self.roles[self.servers[event.server].kind] if event.server in self.servers else None
+        if event.status not in RETRYABLE and (unsafe and role is not contract.Role.PREFILL):
+            return self._give_up(request, contract.Fail(event.id))
+        request.failed_servers.add(event.server)
+        state_lost = event.status is AttemptStatus.OVERLOADED and event.note == contract.STATE_LOST
+        if request.reader and not state_lost:
+            return self._write(now_us, request)
+        request.reader = ""
+        return self._read(now_us, request)
+
+    def _read(self, now_us: int, request: PolicyRequest) -> list[contract.Action]:
         return self._send(
-            now_us, job, self._up(job, contract.Role.PREFILL, contract.Role.MIXED), self.reader
+            now_us,
+            request,
+            self._candidates(request, contract.Role.PREFILL, contract.Role.MIXED),
+            self.choose_reader,
         )
 
-    def _write(self, now_us: int, job: Job) -> list[contract.Action]:
+    def _write(self, now_us: int, request: PolicyRequest) -> list[contract.Action]:
         return self._send(
-            now_us, job, self._up(job, contract.Role.DECODE, contract.Role.MIXED), self.writer
+            now_us,
+            request,
+            self._candidates(request, contract.Role.DECODE, contract.Role.MIXED),
+            self.choose_writer,
         )
 
     def _send(
-        self, now_us: int, job: Job, among: list[str], choose: Callable[[Job, Sequence[str]], str]
+        self,
+        now_us: int,
+        request: PolicyRequest,
+        candidates: list[str],
+        choose: Callable[[PolicyRequest, Sequence[str]], str],
     ) -> list[contract.Action]:
-        left_us = job.ask.deadline_us - now_us
+        remaining_us = request.arrival.deadline_us - now_us
         if (
-            not among
-            or job.attempts >= self.settings.max_attempts
-            or left_us <= 2 * self.settings.tick_us
+            not candidates
+            or request.attempts >= self.settings.max_attempts
+            or remaining_us <= 2 * self.settings.tick_us
         ):
-            return self._give_up(job, contract.Reject(job.ask.id, self.settings.max_retry_after_us))
-        server = choose(job, among)
-        job.attempts += 1
-        self.flight[server] = self.flight.get(server, 0) + 1
-        return [contract.SendAttempt(job.ask.id, server, left_us)]
-
-    def _give_up(self, job: Job, action: contract.Reject | contract.Fail) -> list[contract.Action]:
-        self.jobs.pop(job.ask.id, None)
-        return [contract.ReleaseState(job.ask.id), action]
+            return self._give_up(
+                request, contract.Reject(request.arrival.id, self.settings.max_retry_after_us)
+            )
+        server = choose(request, candidates)
+        request.attempts += 1
+        self.in_flight[server] = self.in_flight.get(server, 0) + 1
+        return [contract.SendAttempt(request.arrival.id, server, remaining_us)]
+
+    def _give_up(
+        self, request: PolicyRequest, action: contract.Reject | contract.Fail
+    ) -> list[contract.Action]:
+        self.requests.pop(request.arrival.id, None)
+        return [contract.ReleaseState(request.arrival.id), action]
 
 
-class Random(Baseline):
-    def reader(self, job: Job, among: Sequence[str]) -> str:
-        return self.chance.choice(among)
+class RandomPolicy(BaselinePolicy):
+    def choose_reader(self, request: PolicyRequest, candidates: Sequence[str]) -> str:
+        return self.generator.choice(candidates)
 
-    writer = reader
+    choose_writer = choose_reader
 
 
-class RoundRobin(Baseline):
-    turn = 0
+class RoundRobin(BaselinePolicy):
+    choice_count = 0
 
-    def reader(self, job: Job, among: Sequence[str]) -> str:
-        self.turn += 1
-        return among[(self.turn + self.settings.ordinal) % len(among)]
+    def choose_reader(self, request: PolicyRequest, candidates: Sequence[str]) -> str:
+        self.choice_count += 1
+        return candidates[(self.choice_count + self.settings.ordinal) % len(candidates)]
 
-    writer = reader
+    choose_writer = choose_reader
 
 
-class LeastInFlight(Baseline):
+class LeastInFlight(BaselinePolicy):
     """By this dispatcher's own sends; ties by chance."""
 
-    def reader(self, job: Job, among: Sequence[str]) -> str:
-        least = min(self.flight.get(name, 0) for name in among)
-        return self.chance.choice([name for name in among if self.flight.get(name, 0) == least])
+    def choose_reader(self, request: PolicyRequest, candidates: Sequence[str]) -> str:
+        lowest = min(self.in_flight.get(name, 0) for name in candidates)
+        return self.generator.choice(
+            [name for name in candidates if self.in_flight.get(name, 0) == lowest]
+        )
 
-    writer = reader
+    choose_writer = choose_reader
 
 
 class PrefixHash(LeastInFlight):
@@ -166,21 +182,25 @@
     flight.
     """
 
-    class Place:
+    class HashCandidate:
         rendezvous_weight = 1.0
 
         def __init__(self, name: str) -> None:
             self.id = name
 
-    def reader(self, job: Job, among: Sequence[str]) -> str:
-        places = [self.Place(name) for name in among]
-        return str(rank_by_rendezvous(job.ask.prefix or job.ask.session, places)[0].id)
+    def choose_reader(self, request: PolicyRequest, candidates: Sequence[str]) -> str:
+        hash_candidates = [self.HashCandidate(name) for name in candidates]
+        return str(
+            rank_by_rendezvous(request.arrival.prefix or request.arrival.session, hash_candidates)[
+                0
+            ].id
+        )
 
-    def writer(self, job: Job, among: Sequence[str]) -> str:
-        return LeastInFlight.reader(self, job, among)
+    def choose_writer(self, request: PolicyRequest, candidates: Sequence[str]) -> str:
+        return LeastInFlight.choose_reader(self, request, candidates)
 
 
-class FullKnowledge(Baseline):
+class FullKnowledge(BaselinePolicy):
     """Sees the true state of all servers: whom it takes is done first. No real dispatcher can
     know that.
 
@@ -188,21 +208,24 @@
     """
 
     def __init__(
-        self, settings: contract.Settings, seed: int, waits: Callable[[str, Job], float]
+        self,
+        settings: contract.Settings,
+        seed: int,
+        load_score: Callable[[str, PolicyRequest], float],
     ) -> None:
         super().__init__(settings, seed)
-        self.waits = waits
+        self.load_score = load_score
 
-    def reader(self, job: Job, among: Sequence[str]) -> str:
-        return min(among, key=lambda name: (self.waits(name, job), name))
+    def choose_reader(self, request: PolicyRequest, candidates: Sequence[str]) -> str:
+        return min(candidates, key=lambda name: (self.load_score(name, request), name))
 
-    writer = reader
+    choose_writer = choose_reader
 
 
-Maker = Callable[[contract.Settings, int], Policy]
-POLICIES: Mapping[str, Maker] = {
+PolicyFactory = Callable[[contract.Settings, int], Policy]
+POLICIES: Mapping[str, PolicyFactory] = {
     "module": Router,
-    "random": Random,
+    "random": RandomPolicy,
     "round-robin": RoundRobin,
     "least-in-flight": LeastInFlight,
     "prefix-hash": PrefixHash,
--- a/onyxpass/emulator/processor_sharing.py
+++ b/onyxpass/emulator/processor_sharing.py
@@ -9,85 +9,87 @@
 import math
 from collections.abc import Callable
 
-from onyxpass.emulator.events import Handle, Queue, Rank
+from onyxpass.emulator.events import EventQueue, Rank, ScheduledEvent
 
 
-class Job:
-    __slots__ = ("done", "end", "off", "start")
+class ServiceJob:
+    __slots__ = ("end", "on_done", "removed", "start")
 
-    def __init__(self, start: float, end: float, done: Callable[[], None]) -> None:
-        self.start, self.end, self.done, self.off = start, end, done, False
+    def __init__(self, start: float, end: float, on_done: Callable[[], None]) -> None:
+        self.start, self.end, self.on_done, self.removed = start, end, on_done, False
 
 
-class Shared:
+class SharedCapacity:
     """``rate``: units a second for each of ``n`` jobs. It is asked again after each change."""
 
-    def __init__(self, queue: Queue, rate: Callable[[int], float]) -> None:
+    def __init__(self, queue: EventQueue, rate: Callable[[int], float]) -> None:
         self.queue, self.rate = queue, rate
-        self.virtual = 0.0
-        self.count = 0
-        self._at_us = 0
-        self._speed = 0.0
-        self._heap: list[tuple[float, int, Job]] = []
+        self.virtual_time = 0.0
+        self.open_count = 0
+        self._updated_us = 0
+        self._current_rate = 0.0
+        self._heap: list[tuple[float, int, ServiceJob]] = []
         self._order = 0
-        self._next: Handle | None = None
+        self._next_event: ScheduledEvent | None = None
 
     def _advance(self) -> None:
-        self.virtual += self._speed * (self.queue.now_us - self._at_us) / 1e6
-        self._at_us = self.queue.now_us
+        self.virtual_time += self._current_rate * (self.queue.now_us - self._updated_us) / 1e6
+        self._updated_us = self.queue.now_us
 
-    def add(self, size: float, done: Callable[[], None]) -> Job:
+    def add(self, size: float, on_done: Callable[[], None]) -> ServiceJob:
         self._advance()
-        job = Job(self.virtual, self.virtual + max(size, 0.0), done)
+        job = ServiceJob(self.virtual_time, self.virtual_time + max(size, 0.0), on_done)
         self._order += 1
         heapq.heappush(self._heap, (job.end, self._order, job))
-        self.count += 1
-        self.changed()
+        self.open_count += 1
+        self.update_rate()
         return job
 
-    def drop(self, job: Job) -> float:
+    def remove(self, job: ServiceJob) -> float:
         """Take a job out; units that it had been served."""
-        if job.off:
+        if job.removed:
             return 0.0
         self._advance()
-        job.off = True
-        self.count -= 1
-        served = min(self.virtual, job.end) - job.start
-        self.changed()
+        job.removed = True
+        self.open_count -= 1
+        served = min(self.virtual_time, job.end) - job.start
+        self.update_rate()
         return served
 
-    def served(self, job: Job) -> float:
+    def served(self, job: ServiceJob) -> float:
         """Units that an open job has been served."""
         self._advance()
-        return min(self.virtual, job.end) - job.start
+        return min(self.virtual_time, job.end) - job.start
 
-    def changed(self) -> None:
+    def update_rate(self) -> None:
         """The rate may be another now."""
         self._advance()
-        if self._next is not None:
-            self._next.cancel()
-            self._next = None
-        while self._heap and self._heap[0][2].off:
+        if self._next_event is not None:
+            self._next_event.cancel()
+            self._next_event = None
+        while self._heap and self._heap[0][2].removed:
             heapq.heappop(self._heap)
-        self._speed = self.rate(self.count) if self.count else 0.0
-        if self._heap and self._speed > 0:
-            left = max(0.0, self._heap[0][0] - self.virtual)
+        self._current_rate = self.rate(self.open_count) if self.open_count else 0.0
+        if self._heap and self._current_rate > 0:
+            remaining = max(0.0, self._heap[0][0] - self.virtual_time)
             # Upwards: guards against an event that is due at once, finds a rest, and is due at once
             # again.
-            self._next = self.queue.after(
-                math.ceil(left / self._speed * 1e6), Rank.SERVER, self._due
+            self._next_event = self.queue.schedule_after(
+                math.ceil(remaining / self._current_rate * 1e6), Rank.SERVER, self._finish_due_jobs
             )
 
-    def _due(self) -> None:
-        self._next = None
+    def _finish_due_jobs(self) -> None:
+        self._next_event = None
         self._advance()
-        ended: list[Job] = []
-        while self._heap and (self._heap[0][2].off or self._heap[0][0] <= self.virtual + 1e-6):
+        finished: list[ServiceJob] = []
+        while self._heap and (
+            self._heap[0][2].removed or self._heap[0][0] <= self.virtual_time + 1e-6
+        ):
             job = heapq.heappop(self._heap)[2]
-            if not job.off:
-                job.off = True
-                self.count -= 1
-                ended.append(job)
-        self.changed()
-        for job in ended:
-            job.done()
+            if not job.removed:
+                job.removed = True
+                self.open_count -= 1
+                finished.append(job)
+        self.update_rate()
+        for job in finished:
+            job.on_done()
--- a/onyxpass/emulator/report.py
+++ b/onyxpass/emulator/report.py
@@ -12,11 +12,16 @@
 import matplotlib.pyplot as plt
 from jinja2 import Environment, PackageLoader, select_autoescape
 
-from onyxpass.emulator.compare import Difference, compared, interval, problems
-from onyxpass.emulator.experiment import ExperimentFile, Rows, Run, runs_of
+from onyxpass.emulator.compare import (
+    PairedDifference,
+    bootstrap_interval,
+    compare_policies,
+    failed_runs,
+)
+from onyxpass.emulator.experiment import ExperimentFile, ExperimentRun, ResultStore, expand_runs
 
 PLOTTED = ("g", "worst_10s", "late", "refused")
-NAMES = {
+TITLES = {
     "g": "G: worth answered in time, of the worth asked for",
     "worst_10s": "G of the worst ten seconds",
     "late": "requests served late",
@@ -41,19 +46,19 @@
     seeds: int
 
 
-def cell(runs: Sequence[Run], rows: Rows, measure: str) -> Cell | None:
+def mean_cell(runs: Sequence[ExperimentRun], results: ResultStore, measure: str) -> Cell | None:
     values = [
         float(found[measure])
         for run in runs
-        if (found := rows.get(run)) is not None and "problem" not in found
+        if (found := results.get(run)) is not None and "problem" not in found
     ]
     if not values:
         return None
-    low, high = interval(values) if len(values) > 1 else (values[0], values[0])
+    low, high = bootstrap_interval(values) if len(values) > 1 else (values[0], values[0])
     return Cell(sum(values) / len(values), low, high, len(values))
 
 
-def plot(file: ExperimentFile, rows: Rows, axis: str, measure: str) -> Plot:
+def plot(file: ExperimentFile, results: ResultStore, axis: str, measure: str) -> Plot:
     """One line a policy over an axis; all other axes and seeds are averaged, the band is the
     interval.
     """
@@ -63,17 +68,19 @@
         for value in file.axes[axis]:
             here = [
                 run
-                for run in runs_of(file)
+                for run in expand_runs(file)
                 if run.policy == policy and dict(run.point)[axis] == value
             ]
-            if (found := cell(here, rows, measure)) is not None:
+            if (found := mean_cell(here, results, measure)) is not None:
                 points.append((value, found))
-        at = [value for value, _ in points]
+        x_values = [value for value, _ in points]
         width = 2.4 if policy == file.baseline else 1.2
         axes.plot(
-            at, [found.mean for _, found in points], marker="o", label=policy, linewidth=width
+            x_values, [found.mean for _, found in points], marker="o", label=policy, linewidth=width
+        )
+        axes.fill_between(
+            x_values, [f.low for _, f in points], [f.high for _, f in points], alpha=0.15
         )
-        axes.fill_between(at, [f.low for _, f in points], [f.high for _, f in points], alpha=0.15)
     axes.set_xlabel(axis)
     axes.set_ylabel(measure)
     axes.grid(alpha=0.3)
@@ -83,21 +90,23 @@
     figure.savefig(image, format="png", metadata={"Software": None})
     plt.close(figure)
     return Plot(
-        measure, f"{NAMES[measure]}, over {axis}", base64.b64encode(image.getvalue()).decode()
+        measure, f"{TITLES[measure]}, over {axis}", base64.b64encode(image.getvalue()).decode()
     )
 
 
-def write(file: ExperimentFile, rows: Rows, path: Path) -> None:
+def write_report(file: ExperimentFile, results: ResultStore, path: Path) -> None:
     """The whole page. An experiment without axes has tables only."""
-    runs = runs_of(file)
-    plots = [plot(file, rows, axis, measure) for axis in sorted(file.axes) for measure in PLOTTED]
-    differences: dict[str, list[Difference]] = {
-        m: compared(file, rows, m) for m in ("g", "worst_10s")
+    runs = expand_runs(file)
+    plots = [
+        plot(file, results, axis, measure) for axis in sorted(file.axes) for measure in PLOTTED
+    ]
+    differences: dict[str, list[PairedDifference]] = {
+        m: compare_policies(file, results, m) for m in ("g", "worst_10s")
     }
-    played = sum(rows.get(run) is not None for run in runs)
+    played = sum(results.get(run) is not None for run in runs)
     broken: dict[str, int] = {}
     for run in runs:
-        found = rows.get(run) or {}
+        found = results.get(run) or {}
         broken[run.policy] = broken.get(run.policy, 0) + int(found.get("broken", 0))
     environment = Environment(
         loader=PackageLoader("onyxpass.emulator"), autoescape=select_autoescape()
@@ -109,8 +118,8 @@
         played=played,
         planned=len(runs),
         broken=broken,
-        problems=problems(runs, rows),
+        problems=failed_runs(runs, results),
     )
-    fresh = path.with_name(path.name + ".new")
-    fresh.write_text(text)
-    fresh.replace(path)
+    temporary = path.with_name(path.name + ".new")
+    temporary.write_text(text)
+    temporary.replace(path)
--- a/onyxpass/emulator/servers.py
+++ b/onyxpass/emulator/servers.py
@@ -13,23 +13,23 @@
 from enum import Enum
 from functools import partial
 
-from onyxpass.emulator.events import Handle, Queue, Rank
-from onyxpass.emulator.processor_sharing import Job, Shared
-from onyxpass.emulator.topology import Kind, Site
+from onyxpass.emulator.events import EventQueue, Rank, ScheduledEvent
+from onyxpass.emulator.processor_sharing import ServiceJob, SharedCapacity
+from onyxpass.emulator.topology import ServerProfile, Site
 from onyxpass.scheduling import contract
 from onyxpass.scheduling.contract import AttemptStatus
 
-EPSILON = 1e-6
+TOKEN_TOLERANCE = 1e-6
 
 
-class Reach(Enum):
+class TransferDistance(Enum):
     """How far a state moves: the widest boundary that it crosses."""
 
-    NONE = "same server"
-    CELL = "same cell"
-    ZONE = "other cell"
-    REGION = "other zone"
-    FAR = "other region"
+    SAME_SERVER = "same server"
+    SAME_CELL = "same cell"
+    OTHER_CELL = "other cell"
+    OTHER_ZONE = "other zone"
+    OTHER_REGION = "other region"
 
 
 def region_of(zone: str) -> str:
@@ -37,18 +37,24 @@
     return zone.partition("/")[0] if "/" in zone else ""
 
 
-def reach(there: contract.Endpoint, here: contract.Endpoint) -> Reach:
-    if there.id == here.id:
-        return Reach.NONE
-    if region_of(there.zone) != region_of(here.zone):
-        return Reach.FAR
-    if there.zone != here.zone:
-        return Reach.REGION
-    return Reach.CELL if there.cell == here.cell else Reach.ZONE
+def transfer_distance(
+    source: contract.Endpoint, destination: contract.Endpoint
+) -> TransferDistance:
+    if source.id == destination.id:
+        return TransferDistance.SAME_SERVER
+    if region_of(source.zone) != region_of(destination.zone):
+        return TransferDistance.OTHER_REGION
+    if source.zone != destination.zone:
+        return TransferDistance.OTHER_ZONE
+    return (
+        TransferDistance.SAME_CELL
+        if source.cell == destination.cell
+        else TransferDistance.OTHER_CELL
+    )
 
 
 @dataclass(eq=False, slots=True)
-class Ask:
+class ServerRequest:
     """One request as servers see it. ``id`` names it at its dispatcher only; ``key`` is the
     whole world's.
     """
@@ -56,31 +62,31 @@
     key: str
     session: str
     prefix: str | None
-    prompt: int
+    prompt_tokens: int
     prefix_tokens: int
-    out: int  # tokens of its answer, which nobody is told
+    output_tokens: int  # tokens of its answer, which nobody is told
     traffic_class: str
 
 
 @dataclass(eq=False, slots=True)
-class Visit:
+class ServerAttempt:
     """One attempt at one server. ``ended`` is told once; ``first`` when the first token leaves."""
 
-    ask: Ask
-    ended: Callable[[AttemptStatus, int], None]
-    first: Callable[[], None]
-    off: bool = False
-    began: bool = False  # its answer streams
-    job: Job | None = None
-    move: Job | None = None
-    link: Shared | None = None
-    timer: Handle | None = None
-    produced: int = 0  # tokens of its answer, when it went back into the queue
-    context: int = 0
+    request: ServerRequest
+    on_end: Callable[[AttemptStatus, int], None]
+    on_first_token: Callable[[], None]
+    closed: bool = False
+    streaming: bool = False  # its answer streams
+    decode_job: ServiceJob | None = None
+    transfer_job: ServiceJob | None = None
+    link: SharedCapacity | None = None
+    timer: ScheduledEvent | None = None
+    produced_tokens: int = 0  # tokens of its answer, when it went back into the queue
+    context_tokens: int = 0
 
 
 @dataclass(eq=False, slots=True)
-class State:
+class PrefillState:
     """What a read has left: in its reader's memory till a writer has fetched it, or it is let
     go.
     """
@@ -89,34 +95,34 @@
     tokens: int
 
 
-class Kept:
+class PrefixCache:
     """Texts that a reader has kept, the least recently used go first."""
 
-    def __init__(self, most: int) -> None:
-        self.most, self.total = most, 0
-        self.texts: OrderedDict[str, int] = OrderedDict()
+    def __init__(self, max_tokens: int) -> None:
+        self.max_tokens, self.total_tokens = max_tokens, 0
+        self.entries: OrderedDict[str, int] = OrderedDict()
 
-    def found(self, ask: Ask) -> int:
+    def cached_tokens(self, request: ServerRequest) -> int:
         """Tokens from the prompt's beginning on that need not be read."""
         best = 0
         for key, limit in (
-            ("s" + ask.session, ask.prompt),
-            ("p" + (ask.prefix or ""), ask.prefix_tokens),
+            ("s" + request.session, request.prompt_tokens),
+            ("p" + (request.prefix or ""), request.prefix_tokens),
         ):
-            if key in self.texts:
-                self.texts.move_to_end(key)
-                best = max(best, min(self.texts[key], limit))
-        return min(best, max(0, ask.prompt - 1))
+            if key in self.entries:
+                self.entries.move_to_end(key)
+                best = max(best, min(self.entries[key], limit))
+        return min(best, max(0, request.prompt_tokens - 1))
 
-    def keep(self, key: str, tokens: int) -> None:
-        self.total += tokens - self.texts.pop(key, 0)
-        self.texts[key] = tokens
-        while self.total > self.most and len(self.texts) > 1:
-            self.total -= self.texts.popitem(last=False)[1]
+    def store(self, key: str, tokens: int) -> None:
+        self.total_tokens += tokens - self.entries.pop(key, 0)
+        self.entries[key] = tokens
+        while self.total_tokens > self.max_tokens and len(self.entries) > 1:
+            self.total_tokens -= self.entries.popitem(last=False)[1]
 
     def clear(self) -> None:
-        self.texts.clear()
-        self.total = 0
+        self.entries.clear()
+        self.total_tokens = 0
 
 
 class Server:
@@ -124,296 +130,355 @@
 
     def __init__(
         self,
-        queue: Queue,
+        queue: EventQueue,
         site: Site,
-        kind: Kind,
-        spec: contract.Endpoint,
-        states: dict[str, State],
-        links: dict[int, Shared],
+        kind: ServerProfile,
+        endpoint: contract.Endpoint,
+        states: dict[str, PrefillState],
+        links: dict[int, SharedCapacity],
     ) -> None:
-        self.queue, self.site, self.kind, self.spec = queue, site, kind, spec
+        self.queue, self.site, self.kind, self.endpoint = queue, site, kind, endpoint
         self.states, self.links = states, links
-        self.up, self.fallen = True, False
-        self.slow = 1.0  # how many times as long everything takes
-        self.born_us: int | None = None
-        self.work, self.work_us = 0.0, 0  # sent lately, for the rule on cold servers
-        self.kept = Kept(kind.memory)
-        self.held = 0  # tokens of states that wait here
-        self.waiting: deque[Visit] = deque()
-        self.reading: Visit | None = None
-        self.port = Shared(queue, lambda n: site.near_rate / n)
-        self.answers = Shared(queue, self._token_rate)
-        self.open: dict[Visit, None] = {}  # in the order in which they began
-        self.context = 0.0  # tokens of all contexts, less those that are still to be produced
-        self.coming: dict[Visit, None] = {}  # their state is on its way, or they are read anew
-        self.overflow: Handle | None = None
-        self.reads = self.rereads = self.tokens = 0
-        self.moved = Counter[Reach]()  # tokens of states fetched, by how far they came
-        self.asked: deque[Visit] = deque()  # at a writer: waiting for a slot and memory
+        self.up, self.overloaded = True, False
+        self.slowdown = 1.0  # how many times as long everything takes
+        self.started_us: int | None = None
+        self.recent_work_s, self.work_updated_us = (
+            0.0,
+            0,
+        )  # sent lately, for the rule on cold servers
+        self.prefix_cache = PrefixCache(kind.memory_tokens)
+        self.state_tokens = 0  # tokens of states that wait here
+        self.prefill_queue: deque[ServerAttempt] = deque()
+        self.prefilling: ServerAttempt | None = None
+        self.port = SharedCapacity(queue, lambda n: site.port_rate / n)
+        self.decode_capacity = SharedCapacity(queue, self._token_rate)
+        self.decoding: dict[ServerAttempt, None] = {}  # in the order in which they began
+        self.context_tokens = (
+            0.0  # tokens of all contexts, less those that are still to be produced
+        )
+        self.preparing: dict[
+            ServerAttempt, None
+        ] = {}  # their state is on its way, or they are read anew
+        self.overflow_event: ScheduledEvent | None = None
+        self.prefill_count = self.repeated_prefill_count = self.decoded_tokens = 0
+        self.transferred_tokens = Counter[
+            TransferDistance
+        ]()  # tokens of states fetched, by how far they came
+        self.decode_queue: deque[ServerAttempt] = (
+            deque()
+        )  # at a writer: waiting for a slot and memory
 
     # Speed
 
-    def capacity(self) -> float:
+    def speed_factor(self) -> float:
         """Of its full speed, now: a cold one is slow."""
-        if self.born_us is None:
-            return 1.0 / self.slow
-        age = (self.queue.now_us - self.born_us) / self.site.cold_us
-        warmth = self.site.cold_from + (1 - self.site.cold_from) * min(1.0, max(0.0, age))
-        return warmth / self.slow
+        if self.started_us is None:
+            return 1.0 / self.slowdown
+        age = (self.queue.now_us - self.started_us) / self.site.warmup_us
+        warmth = self.site.cold_speed_factor + (1 - self.site.cold_speed_factor) * min(
+            1.0, max(0.0, age)
+        )
+        return warmth / self.slowdown
 
     def _token_rate(self, n: int) -> float:
         """Tokens a second for each of ``n`` answers."""
-        context = self.context + n * self.answers.virtual
-        step_us = self.kind.step_us + n * self.kind.each_us + context / 1000 * self.kind.context_us
-        return 1e6 / step_us * self.capacity()
+        context_tokens = self.context_tokens + n * self.decode_capacity.virtual_time
+        step_us = (
+            self.kind.step_us
+            + n * self.kind.step_us_per_answer
+            + context_tokens / 1000 * self.kind.step_us_per_1k_context
+        )
+        return 1e6 / step_us * self.speed_factor()
 
     # What dispatchers send
 
-    def take(self, visit: Visit) -> None:
+    def receive(self, attempt: ServerAttempt) -> None:
         """The last byte of an attempt has come."""
-        if not self.up or self.fallen:
-            visit.ended(AttemptStatus.UNREACHABLE, 0)
+        if not self.up or self.overloaded:
+            attempt.on_end(AttemptStatus.UNREACHABLE, 0)
             return
-        self._weigh(visit)
-        if self.fallen:
-            visit.ended(AttemptStatus.RESET, 0)
-        elif visit.ask.key in self.states or self.kind.role is contract.Role.DECODE:
-            self._take_write(visit)
+        self._check_cold_overload(attempt)
+        if self.overloaded:
+            attempt.on_end(AttemptStatus.RESET, 0)
+        elif attempt.request.key in self.states or self.kind.role is contract.Role.DECODE:
+            self._enqueue_decode(attempt)
         else:
-            self._take_read(visit)
+            self._enqueue_prefill(attempt)
 
-    def _weigh(self, visit: Visit) -> None:
+    def _check_cold_overload(self, attempt: ServerAttempt) -> None:
         """A cold server falls over at more than a multiple of its present speed, as the rule
         says.
         """
-        if self.born_us is None or self.queue.now_us - self.born_us >= self.site.cold_us:
+        if self.started_us is None or self.queue.now_us - self.started_us >= self.site.warmup_us:
             return
         now_us = self.queue.now_us
-        self.work *= math.exp(-(now_us - self.work_us) / self.site.fall_us)
-        self.work_us = now_us
+        self.recent_work_s *= math.exp(
+            -(now_us - self.work_updated_us) / self.site.overload_window_us
+        )
+        self.work_updated_us = now_us
         if self.kind.role is contract.Role.DECODE:
-            self.work += (
-                visit.ask.out
-                * (self.kind.step_us / max(1, self.kind.slots) + self.kind.each_us)
+            self.recent_work_s += (
+                attempt.request.output_tokens
+                * (self.kind.step_us / max(1, self.kind.slots) + self.kind.step_us_per_answer)
                 / 1e6
             )
         else:
-            self.work += (visit.ask.prompt - self.kept.found(visit.ask)) / self.kind.read_rate
-        if self.work > self.site.fall_multiple * self.capacity() * self.site.fall_us / 1e6 + 1.0:
+            self.recent_work_s += (
+                attempt.request.prompt_tokens - self.prefix_cache.cached_tokens(attempt.request)
+            ) / self.kind.prefill_rate
+        if (
+            self.recent_work_s
+            > self.site.overload_multiple * self.speed_factor() * self.site.overload_window_us / 1e6
+            + 1.0
+        ):
             self.crash()
-            self.fallen = True
+            self.overloaded = True
 
-    def _take_read(self, visit: Visit) -> None:
-        if len(self.waiting) + (self.reading is not None) >= self.kind.slots + self.kind.queue:
-            visit.ended(AttemptStatus.OVERLOADED, 0)
+    def _enqueue_prefill(self, attempt: ServerAttempt) -> None:
+        if (
+            len(self.prefill_queue) + (self.prefilling is not None)
+            >= self.kind.slots + self.kind.queue_limit
+        ):
+            attempt.on_end(AttemptStatus.OVERLOADED, 0)
             return
-        self.waiting.append(visit)
-        self._read_next()
+        self.prefill_queue.append(attempt)
+        self._start_next_prefill()
 
-    def _read_next(self) -> None:
-        while self.up and self.reading is None and self.waiting:
-            visit = self.waiting.popleft()
-            if visit.off:
+    def _start_next_prefill(self) -> None:
+        while self.up and self.prefilling is None and self.prefill_queue:
+            attempt = self.prefill_queue.popleft()
+            if attempt.closed:
                 continue
-            ask = visit.ask
-            if self.held + ask.prompt > self.kind.memory and self.held:
-                self.waiting.appendleft(visit)  # till some state has been fetched or let go
+            request = attempt.request
+            if (
+                self.state_tokens + request.prompt_tokens > self.kind.memory_tokens
+                and self.state_tokens
+            ):
+                self.prefill_queue.appendleft(attempt)  # till some state has been fetched or let go
                 return
-            self.reading = visit
-            kept = self.kept.found(ask)
-            took_us = self.kind.step_us + (ask.prompt - kept) / self.kind.read_rate * 1e6
-            took_us /= self.capacity()
-            visit.timer = self.queue.after(took_us, Rank.SERVER, partial(self._read, visit, kept))
-
-    def _read(self, visit: Visit, kept: int) -> None:
-        ask, self.reading = visit.ask, None
-        self.reads += 1
-        if ask.prefix:
-            self.kept.keep("p" + ask.prefix, ask.prefix_tokens)
-        self.kept.keep("s" + ask.session, ask.prompt)
-        self.held += ask.prompt
-        self.states[ask.key] = State(self, ask.prompt)
+            self.prefilling = attempt
+            cached_tokens = self.prefix_cache.cached_tokens(request)
+            duration_us = (
+                self.kind.step_us
+                + (request.prompt_tokens - cached_tokens) / self.kind.prefill_rate * 1e6
+            )
+            duration_us /= self.speed_factor()
+            attempt.timer = self.queue.schedule_after(
+                duration_us, Rank.SERVER, partial(self._finish_prefill, attempt, cached_tokens)
+            )
+
+    def _finish_prefill(self, attempt: ServerAttempt, cached_tokens: int) -> None:
+        request, self.prefilling = attempt.request, None
+        self.prefill_count += 1
+        if request.prefix:
+            self.prefix_cache.store("p" + request.prefix, request.prefix_tokens)
+        self.prefix_cache.store("s" + request.session, request.prompt_tokens)
+        self.state_tokens += request.prompt_tokens
+        self.states[request.key] = PrefillState(self, request.prompt_tokens)
         if self.kind.role is contract.Role.MIXED:  # it answers what it has read
-            self._take_write(visit)
+            self._enqueue_decode(attempt)
         else:
-            visit.off = True
-            visit.ended(AttemptStatus.PREFILLED, kept)
-        self._read_next()
+            attempt.closed = True
+            attempt.on_end(AttemptStatus.PREFILLED, cached_tokens)
+        self._start_next_prefill()
 
-    def let_go(self, key: str) -> None:
+    def release_state(self, key: str) -> None:
         """Release what this server holds for a request."""
         if (state := self.states.pop(key, None)) is not None:
-            state.reader.held -= state.tokens
-            state.reader._read_next()
+            state.reader.state_tokens -= state.tokens
+            state.reader._start_next_prefill()
 
     # Answers
 
-    def _take_write(self, visit: Visit) -> None:
-        if visit.ask.key not in self.states:
-            visit.ended(AttemptStatus.OVERLOADED, contract.STATE_LOST)
+    def _enqueue_decode(self, attempt: ServerAttempt) -> None:
+        if attempt.request.key not in self.states:
+            attempt.on_end(AttemptStatus.OVERLOADED, contract.STATE_LOST)
             return
         if (
-            len(self.open) + len(self.coming) >= self.kind.slots
-            and len(self.asked) >= self.kind.queue
+            len(self.decoding) + len(self.preparing) >= self.kind.slots
+            and len(self.decode_queue) >= self.kind.queue_limit
         ):
-            visit.ended(AttemptStatus.OVERLOADED, 0)
+            attempt.on_end(AttemptStatus.OVERLOADED, 0)
             return
-        self.asked.append(visit)
-        self._write_next()
+        self.decode_queue.append(attempt)
+        self._start_next_decodes()
 
-    def _used(self) -> float:
-        return self.context + len(self.open) * self.answers.virtual
+    def _used_tokens(self) -> float:
+        return self.context_tokens + len(self.decoding) * self.decode_capacity.virtual_time
 
-    def _write_next(self) -> None:
-        while self.up and self.asked and len(self.open) + len(self.coming) < self.kind.slots:
-            visit = self.asked[0]
-            if visit.off:
-                self.asked.popleft()
+    def _start_next_decodes(self) -> None:
+        while (
+            self.up
+            and self.decode_queue
+            and len(self.decoding) + len(self.preparing) < self.kind.slots
+        ):
+            attempt = self.decode_queue[0]
+            if attempt.closed:
+                self.decode_queue.popleft()
                 continue
-            need = visit.ask.prompt + visit.produced
-            if self._used() + need > self.kind.memory and (self.open or self.coming):
+            needed_tokens = attempt.request.prompt_tokens + attempt.produced_tokens
+            if self._used_tokens() + needed_tokens > self.kind.memory_tokens and (
+                self.decoding or self.preparing
+            ):
                 return
-            self.asked.popleft()
-            state = self.states.get(visit.ask.key)
-            if visit.began:  # it ran out of memory before, and is read anew here
-                self.coming[visit] = None
-                took_us = need / self.kind.read_rate * 1e6 / self.capacity()
-                self.rereads += 1
-                visit.timer = self.queue.after(took_us, Rank.SERVER, lambda v=visit: self._begin(v))  # type: ignore[misc]
+            self.decode_queue.popleft()
+            state = self.states.get(attempt.request.key)
+            if attempt.streaming:  # it ran out of memory before, and is read anew here
+                self.preparing[attempt] = None
+                duration_us = needed_tokens / self.kind.prefill_rate * 1e6 / self.speed_factor()
+                self.repeated_prefill_count += 1
+                attempt.timer = self.queue.schedule_after(
+                    duration_us,
+                    Rank.SERVER,
+                    lambda v=attempt: self._begin_decode(v),  # type: ignore[misc]
+                )
             elif state is None:
-                visit.off = True
-                visit.ended(AttemptStatus.OVERLOADED, contract.STATE_LOST)
+                attempt.closed = True
+                attempt.on_end(AttemptStatus.OVERLOADED, contract.STATE_LOST)
             else:
-                self.coming[visit] = None
-                self._fetch(visit, state)
+                self.preparing[attempt] = None
+                self._fetch_state(attempt, state)
 
-    def _fetch(self, visit: Visit, state: State) -> None:
+    def _fetch_state(self, attempt: ServerAttempt, state: PrefillState) -> None:
         """Move the state here. A move out of the cell takes the cell's link, and longer to
         another hall.
         """
         reader, size = state.reader, float(state.tokens)
-        self.moved[reach(reader.spec, self.spec)] += state.tokens
+        self.transferred_tokens[transfer_distance(reader.endpoint, self.endpoint)] += state.tokens
         if reader is self:
-            size, visit.link = 0.0, self.port
-        elif reader.spec.cell == self.spec.cell:
-            visit.link = reader.port
+            size, attempt.link = 0.0, self.port
+        elif reader.endpoint.cell == self.endpoint.cell:
+            attempt.link = reader.port
         else:
-            visit.link = self.links[reader.spec.cell]
-            if reader.spec.zone != self.spec.zone:
-                size *= self.site.hall_slower
-        visit.move = visit.link.add(size, lambda: self._fetched(visit))
-
-    def _fetched(self, visit: Visit) -> None:
-        visit.move = None
-        if visit.ask.key not in self.states:  # its reader died meanwhile
-            del self.coming[visit]
-            visit.off = True
-            visit.ended(AttemptStatus.OVERLOADED, contract.STATE_LOST)
-            self._write_next()
+            attempt.link = self.links[reader.endpoint.cell]
+            if reader.endpoint.zone != self.endpoint.zone:
+                size *= self.site.cross_hall_factor
+        attempt.transfer_job = attempt.link.add(size, lambda: self._finish_fetch(attempt))
+
+    def _finish_fetch(self, attempt: ServerAttempt) -> None:
+        attempt.transfer_job = None
+        if attempt.request.key not in self.states:  # its reader died meanwhile
+            del self.preparing[attempt]
+            attempt.closed = True
+            attempt.on_end(AttemptStatus.OVERLOADED, contract.STATE_LOST)
+            self._start_next_decodes()
             return
-        self.let_go(visit.ask.key)
-        self._begin(visit)
-
-    def _begin(self, visit: Visit) -> None:
-        del self.coming[visit]
-        visit.timer = None
-        visit.context = visit.ask.prompt + visit.produced
-        self.open[visit] = None
-        self.answers._advance()
-        self.context += visit.context - self.answers.virtual
-        left = max(1, visit.ask.out - visit.produced)
-        visit.job = self.answers.add(left, lambda: self._done(visit))
-        if not visit.began:
-            visit.began = True
-            step_us = 1e6 / self._token_rate(len(self.open))
-            self.queue.after(step_us, Rank.SERVER, lambda: None if visit.off else visit.first())
-        self._bound()
-        self._write_next()
-
-    def _leave(self, visit: Visit, served: float) -> None:
+        self.release_state(attempt.request.key)
+        self._begin_decode(attempt)
+
+    def _begin_decode(self, attempt: ServerAttempt) -> None:
+        del self.preparing[attempt]
+        attempt.timer = None
+        attempt.context_tokens = attempt.request.prompt_tokens + attempt.produced_tokens
+        self.decoding[attempt] = None
+        self.decode_capacity._advance()
+        self.context_tokens += attempt.context_tokens - self.decode_capacity.virtual_time
+        remaining = max(1, attempt.request.output_tokens - attempt.produced_tokens)
+        attempt.decode_job = self.decode_capacity.add(
+            remaining, lambda: self._finish_decode(attempt)
+        )
+        if not attempt.streaming:
+            attempt.streaming = True
+            step_us = 1e6 / self._token_rate(len(self.decoding))
+            self.queue.schedule_after(
+                step_us, Rank.SERVER, lambda: None if attempt.closed else attempt.on_first_token()
+            )
+        self._schedule_overflow()
+        self._start_next_decodes()
+
+    def _end_decode(self, attempt: ServerAttempt, served: float) -> None:
         """Its context and what it has produced are free again."""
-        del self.open[visit]
-        self.context -= visit.context + served - self.answers.virtual
-        self.tokens += round(served)
-        self.answers.changed()
-        self._bound()
+        del self.decoding[attempt]
+        self.context_tokens -= attempt.context_tokens + served - self.decode_capacity.virtual_time
+        self.decoded_tokens += round(served)
+        self.decode_capacity.update_rate()
+        self._schedule_overflow()
 
-    def _bound(self) -> None:
+    def _schedule_overflow(self) -> None:
         """When memory runs out, if nothing changes before."""
-        if self.overflow is not None:
-            self.overflow.cancel()
-            self.overflow = None
-        count = len(self.open)
+        if self.overflow_event is not None:
+            self.overflow_event.cancel()
+            self.overflow_event = None
+        count = len(self.decoding)
         if count < 2:
             return
-        left = (self.kind.memory - self._used()) / count
-        speed = self._token_rate(count)
-        if left / speed < 30.0:
-            self.overflow = self.queue.after(
-                max(0.0, left / speed * 1e6) + 1, Rank.SERVER, self._overflow
+        remaining = (self.kind.memory_tokens - self._used_tokens()) / count
+        rate = self._token_rate(count)
+        if remaining / rate < 30.0:
+            self.overflow_event = self.queue.schedule_after(
+                max(0.0, remaining / rate * 1e6) + 1, Rank.SERVER, self._evict_newest_decode
             )
 
-    def _overflow(self) -> None:
+    def _evict_newest_decode(self) -> None:
         """The newest answer goes back into the queue, and is read anew here."""
-        self.overflow = None
-        self.answers._advance()
-        if self._used() < self.kind.memory - EPSILON or len(self.open) < 2:
-            self._bound()
+        self.overflow_event = None
+        self.decode_capacity._advance()
+        if (
+            self._used_tokens() < self.kind.memory_tokens - TOKEN_TOLERANCE
+            or len(self.decoding) < 2
+        ):
+            self._schedule_overflow()
             return
-        visit = next(reversed(self.open))
-        assert visit.job is not None
-        served = self.answers.drop(visit.job)
-        visit.job = None
-        visit.produced += round(served)
-        self._leave(visit, served)
-        self.asked.appendleft(visit)
-
-    def _done(self, visit: Visit) -> None:
-        visit.off = True
-        left = max(1, visit.ask.out - visit.produced)
-        self._leave(visit, left)
-        visit.ended(AttemptStatus.COMPLETED, 0)
-        self._write_next()
-
-    def cancel(self, visit: Visit) -> None:
+        attempt = next(reversed(self.decoding))
+        assert attempt.decode_job is not None
+        served = self.decode_capacity.remove(attempt.decode_job)
+        attempt.decode_job = None
+        attempt.produced_tokens += round(served)
+        self._end_decode(attempt, served)
+        self.decode_queue.appendleft(attempt)
+
+    def _finish_decode(self, attempt: ServerAttempt) -> None:
+        attempt.closed = True
+        remaining = max(1, attempt.request.output_tokens - attempt.produced_tokens)
+        self._end_decode(attempt, remaining)
+        attempt.on_end(AttemptStatus.COMPLETED, 0)
+        self._start_next_decodes()
+
+    def cancel(self, attempt: ServerAttempt) -> None:
         """The dispatcher has closed the attempt: its work stops here."""
-        if visit.off:
+        if attempt.closed:
             return
-        visit.off = True
-        if visit.timer is not None:
-            visit.timer.cancel()
-        if self.reading is visit:
-            self.reading = None
-            self._read_next()
-        elif visit.move is not None and visit.link is not None:
-            visit.link.drop(visit.move)
-            visit.move = None
-            del self.coming[visit]
-            self._write_next()
-        elif visit.job is not None:
-            self._leave(visit, self.answers.drop(visit.job))
-            self._write_next()
-        elif visit in self.coming:
-            del self.coming[visit]
-            self._write_next()
+        attempt.closed = True
+        if attempt.timer is not None:
+            attempt.timer.cancel()
+        if self.prefilling is attempt:
+            self.prefilling = None
+            self._start_next_prefill()
+        elif attempt.transfer_job is not None and attempt.link is not None:
+            attempt.link.remove(attempt.transfer_job)
+            attempt.transfer_job = None
+            del self.preparing[attempt]
+            self._start_next_decodes()
+        elif attempt.decode_job is not None:
+            self._end_decode(attempt, self.decode_capacity.remove(attempt.decode_job))
+            self._start_next_decodes()
+        elif attempt in self.preparing:
+            del self.preparing[attempt]
+            self._start_next_decodes()
 
     # Troubles
 
     def crash(self) -> None:
         """The process dies: what is here is lost, and connections are reset."""
         self.up = False
-        here = (self.reading, *self.waiting, *self.asked, *self.coming, *self.open)
-        for visit in [v for v in here if v is not None and not v.off]:
-            self.cancel(visit)
-            visit.ended(AttemptStatus.RESET, 0)
-        self.waiting.clear()
-        self.asked.clear()
+        attempts = (
+            self.prefilling,
+            *self.prefill_queue,
+            *self.decode_queue,
+            *self.preparing,
+            *self.decoding,
+        )
+        for attempt in [v for v in attempts if v is not None and not v.closed]:
+            self.cancel(attempt)
+            attempt.on_end(AttemptStatus.RESET, 0)
+        self.prefill_queue.clear()
+        self.decode_queue.clear()
         for key in [key for key, state in self.states.items() if state.reader is self]:
             del self.states[key]
-        self.held = 0
-        self.kept.clear()
+        self.state_tokens = 0
+        self.prefix_cache.clear()
 
     def start(self) -> None:
         """Up again, empty and cold."""
-        self.up, self.fallen, self.work = True, False, 0.0
-        self.born_us = self.queue.now_us
+        self.up, self.overloaded, self.recent_work_s = True, False, 0.0
+        self.started_us = self.queue.now_us
