--- a/onyxpass/emulator/simulation.py
+++ b/onyxpass/emulator/simulation.py
@@ -4,43 +4,43 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
-from onyxpass.emulator.events import Handle, Queue, Rank
-from onyxpass.emulator.policies import FullKnowledge, Job, Maker, Policy
-from onyxpass.emulator.processor_sharing import Shared
-from onyxpass.emulator.servers import Ask, Server, State, Visit
-from onyxpass.emulator.topology import Site, Trouble
-from onyxpass.emulator.traffic import Turn, draw
+from onyxpass.emulator.events import EventQueue, Rank, ScheduledEvent
+from onyxpass.emulator.policies import FullKnowledge, Policy, PolicyFactory, PolicyRequest
+from onyxpass.emulator.processor_sharing import SharedCapacity
+from onyxpass.emulator.servers import PrefillState, Server, ServerAttempt, ServerRequest
+from onyxpass.emulator.topology import InjectedFault, Site
+from onyxpass.emulator.traffic import Turn, draw_turns
 from onyxpass.history_checkers.trace import Trace, What
 from onyxpass.scheduling import contract
 from onyxpass.scheduling.contract import AttemptStatus
 
-RETRY_S = 1.0  # a client that was refused with no advice comes again after so long
-STALL_US = 4_600_000  # a stream that is silent for so long is given up
-CUT_CONNECT_US = 250_000  # for a connection that never comes up to be given up
+DEFAULT_RETRY_S = 1.0  # a client that was refused with no advice comes again after so long
+STREAM_STALL_TIMEOUT_US = 4_600_000  # a stream that is silent for so long is given up
+CONNECT_TIMEOUT_US = 250_000  # for a connection that never comes up to be given up
 
 
-class PolicyFault(RuntimeError):
+class PolicyError(RuntimeError):
     """The policy raised, or asked for what makes no sense: its own run ends, and nobody else's."""
 
 
 @dataclass(eq=False, slots=True)
-class Try:
+class ClientRequest:
     """One try of a client. ``worth`` belongs to the first one."""
 
     turn: Turn
-    ask: Ask
+    server_request: ServerRequest
     arrival: contract.Arrival
-    first: bool
-    began_us: int
+    is_first: bool
+    created_us: int
     committed: bool = False
-    over: bool = False
+    finished: bool = False
     attempts: int = 0
-    visit: Visit | None = None
+    attempt: ServerAttempt | None = None
     server: str = ""
     sent_us: int = 0
-    first_us: int = 0
-    timer: Handle | None = None
-    guard: Handle | None = None
+    first_token_us: int = 0
+    attempt_timer: ScheduledEvent | None = None
+    withdrawal_timer: ScheduledEvent | None = None
 
 
 @dataclass(slots=True)
@@ -71,45 +71,53 @@
 class Dispatcher:
     """Carries out what its policy asks for, under the same invariants as the program's core."""
 
-    def __init__(self, world: "World", ordinal: int, policy: Policy) -> None:
-        self.world, self.ordinal, self.policy = world, ordinal, policy
-        self.hall = world.site.halls[ordinal % len(world.site.halls)]
-        self.open: dict[int, Try] = {}
+    def __init__(self, simulation: "Simulation", ordinal: int, policy: Policy) -> None:
+        self.simulation, self.ordinal, self.policy = simulation, ordinal, policy
+        self.hall = simulation.site.halls[ordinal % len(simulation.site.halls)]
+        self.open_requests: dict[int, ClientRequest] = {}
 
-    def tell(self, event: contract.Event) -> None:
-        world = self.world
-        world.tally.decisions += 1
+    def handle_event(self, event: contract.Event) -> None:
+        simulation = self.simulation
+        simulation.tally.decisions += 1
         try:
-            actions = self.policy.handle(world.queue.now_us, event)
+            actions = self.policy.handle(simulation.queue.now_us, event)
             for action in actions:
-                self._do(action)
-        except PolicyFault:
+                self._perform(action)
+        except PolicyError:
             raise
         except Exception as problem:
-            raise PolicyFault(
-                f"dispatcher {self.ordinal} at {world.queue.now_us} us: {problem!r}"
+            raise PolicyError(
+                f"dispatcher {self.ordinal} at {simulation.queue.now_us} us: {problem!r}"
             ) from problem
 
-    def _do(self, action: contract.Action) -> None:
-        world = self.world
+    def _perform(self, action: contract.Action) -> None:
+        simulation = self.simulation
         match action:
-            case contract.SendAttempt(number, server, timeout_us):
-                self._send(number, server, timeout_us)
-            case contract.Reject(number, wait_us):
-                if (found := self.open.get(number)) is not None:
-                    world.answered(self, found, "refused", wait_us)
-            case contract.Fail(number):
-                if (found := self.open.get(number)) is not None:
-                    world.answered(self, found, "failed", 0)
-            case contract.ReleaseState(number):
-                key = f"{self.ordinal}-{number}"
-                world.queue.after(world.site.one_way_us, Rank.NETWORK, lambda: world.release(key))
-            case contract.CancelAttempt(number, attempt):
-                found = self.open.get(number)
-                if found is not None and found.visit is not None and found.attempts - 1 == attempt:
-                    self._stop(found, AttemptStatus.CANCELLED)
+            case contract.SendAttempt(request_id, server, timeout_us):
+                self._send(request_id, server, timeout_us)
+            case contract.Reject(request_id, wait_us):
+                if (request := self.open_requests.get(request_id)) is not None:
+                    simulation.record_answer(self, request, "refused", wait_us)
+            case contract.Fail(request_id):
+                if (request := self.open_requests.get(request_id)) is not None:
+                    simulation.record_answer(self, request, "failed", 0)
+            case contract.ReleaseState(request_id):
+                key = f"{self.ordinal}-{request_id}"
+                simulation.queue.schedule_after(
+                    simulation.site.one_way_us, Rank.NETWORK, lambda: simulation.release_state(key)
+                )
+            case contract.CancelAttempt(request_id, attempt_index):
+                request = self.open_requests.get(request_id)
+                if (
+                    request is not None
+                    and request.attempt is not None
+                    and request.attempts - 1 == attempt_index
+                ):
+                    self._close_attempt(request, AttemptStatus.CANCELLED)
             case contract.SetTimer(ref, delay_us):
-                world.queue.after(delay_us, Rank.TIMER, lambda: self.tell(contract.TimerFired(ref)))
+                simulation.queue.schedule_after(
+                    delay_us, Rank.TIMER, lambda: self.handle_event(contract.TimerFired(ref))
+                )
             case (
                 contract.HealthCheck()
                 | contract.FetchEndpoints()
@@ -118,223 +126,263 @@
             ):
                 pass
             case _:
-                raise PolicyFault(f"dispatcher {self.ordinal}: a malformed action: {action!r}")
+                raise PolicyError(f"dispatcher {self.ordinal}: a malformed action: {action!r}")
 
-    def _send(self, number: int, server: str, timeout_us: int) -> None:
-        world, found = self.world, self.open.get(number)
-        if server not in world.servers:
-            raise PolicyFault(
+    def _send(self, request_id: int, server: str, timeout_us: int) -> None:
+        simulation, request = self.simulation, self.open_requests.get(request_id)
+        if server not in simulation.servers:
+            raise PolicyError(
                 f"dispatcher {self.ordinal}: a send to {server!r}, which nobody named"
             )
-        if found is None or found.visit is not None or found.committed or found.over:
-            raise PolicyFault(
-                f"dispatcher {self.ordinal}: a send for {number}, which may not go out"
+        if request is None or request.attempt is not None or request.committed or request.finished:
+            raise PolicyError(
+                f"dispatcher {self.ordinal}: a send for {request_id}, which may not go out"
             )
-        attempt, found.attempts = found.attempts, found.attempts + 1
-        if found.attempts > 4:
-            raise PolicyFault(f"dispatcher {self.ordinal}: a fifth attempt for {number}")
-        world.tally.attempts += 1
-        found.server, found.sent_us = server, world.queue.now_us
-        target = world.servers[server]
-
-        def ended(status: AttemptStatus, note: int) -> None:
-            world.over_there(target, visit)
+        attempt_index, request.attempts = request.attempts, request.attempts + 1
+        if request.attempts > 4:
+            raise PolicyError(f"dispatcher {self.ordinal}: a fifth attempt for {request_id}")
+        simulation.tally.attempts += 1
+        request.server, request.sent_us = server, simulation.queue.now_us
+        target = simulation.servers[server]
+
+        def on_end(status: AttemptStatus, note: int) -> None:
+            simulation.record_closed(target, attempt)
             # nothing is heard of it: a begun stream has stopped
-            if world.cut(self.hall, target.spec.zone):
-                stalled = lambda: self._ended(found, visit, attempt, AttemptStatus.RESET, 0)  # noqa: E731
-                world.queue.after(STALL_US, Rank.TIMER, stalled)
+            if simulation.is_partitioned(self.hall, target.endpoint.zone):
+                stalled = lambda: self._finish_attempt(  # noqa: E731
+                    request, attempt, attempt_index, AttemptStatus.RESET, 0
+                )
+                simulation.queue.schedule_after(STREAM_STALL_TIMEOUT_US, Rank.TIMER, stalled)
                 return
-            world.back(target, lambda: self._ended(found, visit, attempt, status, note), self)
+            simulation.deliver_reply(
+                target,
+                lambda: self._finish_attempt(request, attempt, attempt_index, status, note),
+                self,
+            )
 
-        def first() -> None:
-            world.began(target, visit)
-            world.back(target, lambda: self._first(found, visit, attempt), self)
+        def on_first_token() -> None:
+            simulation.record_running(target, attempt)
+            simulation.deliver_reply(
+                target, lambda: self._commit(request, attempt, attempt_index), self
+            )
 
-        visit = found.visit = Visit(found.ask, ended, first)
-        found.timer = world.queue.after(
-            timeout_us, Rank.TIMER, lambda: self._stop(found, AttemptStatus.TIMED_OUT)
+        attempt = request.attempt = ServerAttempt(request.server_request, on_end, on_first_token)
+        request.attempt_timer = simulation.queue.schedule_after(
+            timeout_us, Rank.TIMER, lambda: self._close_attempt(request, AttemptStatus.TIMED_OUT)
         )
-        if world.cut(self.hall, target.spec.zone):
-            world.queue.after(
-                CUT_CONNECT_US,
+        if simulation.is_partitioned(self.hall, target.endpoint.zone):
+            simulation.queue.schedule_after(
+                CONNECT_TIMEOUT_US,
                 Rank.NETWORK,
-                lambda: self._ended(found, visit, attempt, AttemptStatus.UNREACHABLE, 0),
+                lambda: self._finish_attempt(
+                    request, attempt, attempt_index, AttemptStatus.UNREACHABLE, 0
+                ),
             )
             return
-        way_us = world.way_us(self.hall, target.spec.zone)
-        world.queue.after(way_us, Rank.NETWORK, lambda: world.arrive(target, visit))
+        one_way_delay_us = simulation.one_way_delay_us(self.hall, target.endpoint.zone)
+        simulation.queue.schedule_after(
+            one_way_delay_us, Rank.NETWORK, lambda: simulation.deliver_attempt(target, attempt)
+        )
 
-    def _first(self, found: Try, visit: Visit, attempt: int) -> None:
-        if found.visit is not visit or found.over:
+    def _commit(self, request: ClientRequest, attempt: ServerAttempt, attempt_index: int) -> None:
+        if request.attempt is not attempt or request.finished:
             return
-        found.committed = True
-        found.first_us = self.world.queue.now_us
-        for timer in (found.timer, found.guard):
-            if timer is not None:
-                timer.cancel()
-        elapsed_us = found.first_us - found.sent_us
-        self.tell(contract.StreamStarted(found.arrival.id, attempt, found.server, elapsed_us))
-
-    def _ended(
-        self, found: Try, visit: Visit, attempt: int, status: AttemptStatus, note: int
+        request.committed = True
+        request.first_token_us = self.simulation.queue.now_us
+        for attempt_timer in (request.attempt_timer, request.withdrawal_timer):
+            if attempt_timer is not None:
+                attempt_timer.cancel()
+        elapsed_us = request.first_token_us - request.sent_us
+        self.handle_event(
+            contract.StreamStarted(request.arrival.id, attempt_index, request.server, elapsed_us)
+        )
+
+    def _finish_attempt(
+        self,
+        request: ClientRequest,
+        attempt: ServerAttempt,
+        attempt_index: int,
+        status: AttemptStatus,
+        note: int,
     ) -> None:
-        if found.visit is not visit:
+        if request.attempt is not attempt:
             return
-        found.visit = None
-        if found.timer is not None:
-            found.timer.cancel()
-        if found.committed and not found.over:
-            self.world.answered(
-                self, found, "served" if status is AttemptStatus.COMPLETED else "failed", 0
+        request.attempt = None
+        if request.attempt_timer is not None:
+            request.attempt_timer.cancel()
+        if request.committed and not request.finished:
+            self.simulation.record_answer(
+                self, request, "served" if status is AttemptStatus.COMPLETED else "failed", 0
             )
-        self.tell(
+        self.handle_event(
             contract.AttemptOutcome(
-                found.arrival.id,
-                attempt,
-                found.server,
+                request.arrival.id,
+                attempt_index,
+                request.server,
                 status,
-                self.world.queue.now_us - found.sent_us,
-                found.over,
+                self.simulation.queue.now_us - request.sent_us,
+                request.finished,
                 note,
             )
         )
 
-    def _stop(self, found: Try, status: AttemptStatus) -> None:
+    def _close_attempt(self, request: ClientRequest, status: AttemptStatus) -> None:
         """Close the attempt; its end is told after that."""
-        visit = found.visit
-        if visit is None:
+        attempt = request.attempt
+        if attempt is None:
             return
-        target, attempt = self.world.servers[found.server], found.attempts - 1
-        way_us = self.world.way_us(self.hall, target.spec.zone)
-        self.world.queue.after(way_us, Rank.NETWORK, lambda: self.world.closed(target, visit))
-        self._ended(found, visit, attempt, status, 0)
+        target, attempt_index = self.simulation.servers[request.server], request.attempts - 1
+        one_way_delay_us = self.simulation.one_way_delay_us(self.hall, target.endpoint.zone)
+        self.simulation.queue.schedule_after(
+            one_way_delay_us, Rank.NETWORK, lambda: self.simulation.close_attempt(target, attempt)
+        )
+        self._finish_attempt(request, attempt, attempt_index, status, 0)
 
-    def withdraw(self, found: Try) -> None:
+    def withdraw(self, request: ClientRequest) -> None:
         """The client has gone."""
-        if found.over or found.committed:
+        if request.finished or request.committed:
             return
-        found.over = True
-        self.world.left(self, found)
-        self.tell(contract.RequestWithdrawn(found.arrival.id))
-        if found.visit is not None:
-            self._stop(found, AttemptStatus.CANCELLED)
+        request.finished = True
+        self.simulation.record_client_left(self, request)
+        self.handle_event(contract.RequestWithdrawn(request.arrival.id))
+        if request.attempt is not None:
+            self._close_attempt(request, AttemptStatus.CANCELLED)
 
 
-class World:
+class Simulation:
     """``make``: the policy of each dispatcher; None for full knowledge."""
 
-    def __init__(self, site: Site, make: Maker | None, seed: int, traced: bool = True) -> None:
+    def __init__(
+        self, site: Site, policy_factory: PolicyFactory | None, seed: int, traced: bool = True
+    ) -> None:
         self.site, self.seed, self.traced = site, seed, traced
-        self.queue = Queue()
+        self.queue = EventQueue()
         self.tally = Tally()
         self.trace = Trace(clock=lambda: self.queue.now_us / 1e6)
-        self.chance = random.Random(f"{seed}|world")
-        states: dict[str, State] = {}
+        self.generator = random.Random(f"{seed}|world")
+        states: dict[str, PrefillState] = {}
         self.states = states
-        rows = site.servers()
-        links = {spec.cell: Shared(self.queue, lambda n: site.far_rate / n) for _, spec in rows}
-        self.servers = {s.id: Server(self.queue, site, kind, s, states, links) for kind, s in rows}
-        self.lag_us = round(site.list_lag_s * 1e6)
-        self.cuts: set[str] = set()
-        self.version = 1
-        self.turns = draw(site, seed)
-        self.numbers = 0
+        placements = site.servers()
+        links = {
+            endpoint.cell: SharedCapacity(self.queue, lambda n: site.cell_link_rate / n)
+            for _, endpoint in placements
+        }
+        self.servers = {
+            s.id: Server(self.queue, site, kind, s, states, links) for kind, s in placements
+        }
+        self.list_lag_us = round(site.list_lag_s * 1e6)
+        self.partitioned_halls: set[str] = set()
+        self.list_version = 1
+        self.turns = draw_turns(site, seed)
+        self.last_request_id = 0
         self.dispatchers = []
         for ordinal in range(site.dispatchers):
             settings = site.settings(ordinal)
             policy: Policy
-            if make is None:
-                policy = FullKnowledge(settings, seed + ordinal, self.true_wait)
+            if policy_factory is None:
+                policy = FullKnowledge(settings, seed + ordinal, self.load_score)
             else:
-                policy = make(settings, seed + ordinal)
+                policy = policy_factory(settings, seed + ordinal)
             self.dispatchers.append(Dispatcher(self, ordinal, policy))
 
     def run(self) -> Tally:
         """The whole day, and on till all is answered. PolicyFault where a policy fails."""
-        specs = tuple(server.spec for server in self.servers.values())
+        endpoints = tuple(server.endpoint for server in self.servers.values())
         for dispatcher in self.dispatchers:
-            dispatcher.tell(contract.EndpointUpdate(contract.EndpointUpdateForm.COMPLETE, specs, 1))
-        for trouble in self.site.troubles:
-            self._plan(trouble)
+            dispatcher.handle_event(
+                contract.EndpointUpdate(contract.EndpointUpdateForm.COMPLETE, endpoints, 1)
+            )
+        for fault in self.site.faults:
+            self._schedule_fault(fault)
         for turn in self.turns:
-            self.queue.at(turn.at_us, Rank.CLIENT, lambda turn=turn: self._ask(turn, True))  # type: ignore[misc]
+            self.queue.schedule_at(
+                turn.at_us,
+                Rank.CLIENT,
+                lambda turn=turn: self._send_request(turn, True),  # type: ignore[misc]
+            )
         end_us = round((self.site.seconds + 40) * 1e6)
         self.queue.run(end_us)
         return self.tally
 
     # The network
 
-    def way_us(self, here: str, there: str) -> int:
+    def one_way_delay_us(self, here: str, there: str) -> int:
         return self.site.one_way_us if here != there else self.site.one_way_us // 4
 
-    def cut(self, here: str, there: str) -> bool:
-        return here != there and (here in self.cuts or there in self.cuts)
+    def is_partitioned(self, here: str, there: str) -> bool:
+        return here != there and (here in self.partitioned_halls or there in self.partitioned_halls)
 
-    def arrive(self, server: Server, visit: Visit) -> None:
-        if visit.off:
+    def deliver_attempt(self, server: Server, attempt: ServerAttempt) -> None:
+        if attempt.closed:
             return
         if self.traced:
-            self.trace.put(What.RECEIVED, visit.ask.key, server.spec.id, server.kind.role.value)
-        server.take(visit)
+            self.trace.put(
+                What.RECEIVED, attempt.request.key, server.endpoint.id, server.kind.role.value
+            )
+        server.receive(attempt)
 
-    def closed(self, server: Server, visit: Visit) -> None:
+    def close_attempt(self, server: Server, attempt: ServerAttempt) -> None:
         """A dispatcher has given the attempt up."""
-        if not visit.off:
-            self.over_there(server, visit)
-        server.cancel(visit)
+        if not attempt.closed:
+            self.record_closed(server, attempt)
+        server.cancel(attempt)
 
-    def over_there(self, server: Server, visit: Visit) -> None:
+    def record_closed(self, server: Server, attempt: ServerAttempt) -> None:
         if self.traced:
-            self.trace.put(What.CLOSED, visit.ask.key, server.spec.id)
+            self.trace.put(What.CLOSED, attempt.request.key, server.endpoint.id)
 
-    def began(self, server: Server, visit: Visit) -> None:
+    def record_running(self, server: Server, attempt: ServerAttempt) -> None:
         if self.traced:
-            self.trace.put(What.RAN, visit.ask.key, server.spec.id, server.kind.role.value)
+            self.trace.put(
+                What.RAN, attempt.request.key, server.endpoint.id, server.kind.role.value
+            )
 
-    def back(self, server: Server, call: Callable[[], None], dispatcher: Dispatcher) -> None:
+    def deliver_reply(
+        self, server: Server, call: Callable[[], None], dispatcher: Dispatcher
+    ) -> None:
         """A word from a server to a dispatcher; what crosses a cut is lost."""
-        if self.cut(dispatcher.hall, server.spec.zone):
+        if self.is_partitioned(dispatcher.hall, server.endpoint.zone):
             return
-        way_us = self.way_us(dispatcher.hall, server.spec.zone)
-        self.queue.after(way_us, Rank.NETWORK, call)
+        one_way_delay_us = self.one_way_delay_us(dispatcher.hall, server.endpoint.zone)
+        self.queue.schedule_after(one_way_delay_us, Rank.NETWORK, call)
 
-    def release(self, key: str) -> None:
+    def release_state(self, key: str) -> None:
         if (state := self.states.get(key)) is not None:
-            state.reader.let_go(key)
+            state.reader.release_state(key)
 
     # Clients
 
-    def _ask(self, turn: Turn, first: bool) -> None:
-        dispatcher = self.dispatchers[turn.front]
-        self.numbers += 1
-        number, now_us = self.numbers, self.queue.now_us
-        traffic_class = self.site.classes[turn.traffic_class].traffic
-        per_k_us = traffic_class.latency_objective_us_per_1k_tokens * turn.prompt / 1000
+    def _send_request(self, turn: Turn, is_first: bool) -> None:
+        dispatcher = self.dispatchers[turn.dispatcher_ordinal]
+        self.last_request_id += 1
+        request_id, now_us = self.last_request_id, self.queue.now_us
+        traffic_class = self.site.classes[turn.class_index].traffic_class
+        per_k_us = traffic_class.latency_objective_us_per_1k_tokens * turn.prompt_tokens / 1000
         wait_us = round((traffic_class.deadline_us + 2 * per_k_us) * turn.patience)
-        key = f"{dispatcher.ordinal}-{number}"
-        ask = Ask(
+        key = f"{dispatcher.ordinal}-{request_id}"
+        ask = ServerRequest(
             key,
             turn.session,
             turn.prefix,
-            turn.prompt,
+            turn.prompt_tokens,
             turn.prefix_tokens,
-            turn.out,
+            turn.output_tokens,
             traffic_class.name,
         )
         arrival = contract.Arrival(
-            id=number,
+            id=request_id,
             traffic_class=traffic_class.name,
             session=turn.session,
             deadline_us=now_us + wait_us - 20_000,
-            prompt_tokens=turn.prompt,
-            max_tokens=2 * turn.out,
+            prompt_tokens=turn.prompt_tokens,
+            max_tokens=2 * turn.output_tokens,
             prefix=turn.prefix,
             prefix_tokens=turn.prefix_tokens,
             tenant=turn.tenant,
-            is_retry=not first,
+            is_retry=not is_first,
         )
-        found = Try(turn, ask, arrival, first, now_us)
-        if first:
+        request = ClientRequest(turn, ask, arrival, is_first, now_us)
+        if is_first:
             self.tally.asked += 1
             worth = self._worth(turn)
             self.tally.worth_asked += worth
@@ -344,60 +392,68 @@
         if self.traced:
             self.trace.classes[key] = traffic_class.name
             self.trace.put(What.ASKED, key)
-        dispatcher.open[number] = found
-        found.guard = self.queue.after(wait_us, Rank.CLIENT, lambda: dispatcher.withdraw(found))
-        dispatcher.tell(arrival)
+        dispatcher.open_requests[request_id] = request
+        request.withdrawal_timer = self.queue.schedule_after(
+            wait_us, Rank.CLIENT, lambda: dispatcher.withdraw(request)
+        )
+        dispatcher.handle_event(arrival)
 
     def _worth(self, turn: Turn) -> float:
         """Of one request: its class's value for each unit of its work."""
-        traffic_class = self.site.classes[turn.traffic_class].traffic
-        return traffic_class.priority_weight * (turn.prompt / 16_000 + turn.out * 0.002)
+        traffic_class = self.site.classes[turn.class_index].traffic_class
+        return traffic_class.priority_weight * (
+            turn.prompt_tokens / 16_000 + turn.output_tokens * 0.002
+        )
 
-    def answered(self, dispatcher: Dispatcher, found: Try, end: str, wait_us: int) -> None:
+    def record_answer(
+        self, dispatcher: Dispatcher, request: ClientRequest, end: str, wait_us: int
+    ) -> None:
         """A final answer."""
-        if found.over:
-            raise PolicyFault(
-                f"dispatcher {dispatcher.ordinal}: a second answer to {found.arrival.id}"
+        if request.finished:
+            raise PolicyError(
+                f"dispatcher {dispatcher.ordinal}: a second answer to {request.arrival.id}"
             )
-        self._over(dispatcher, found, end)
+        self._finish_request(dispatcher, request, end)
         if end == "served":
             self.tally.served += 1
-            self._earn(found)
+            self._add_worth(request)
         elif end == "refused":
             self.tally.refused += 1
             # half of them come again
-            if found.first and self.site.retries and not found.turn.number % 2:
-                later_us = max(wait_us, round(RETRY_S * 1e6))
-                self.queue.after(later_us, Rank.CLIENT, lambda: self._ask(found.turn, False))
+            if request.is_first and self.site.retries and not request.turn.sequence % 2:
+                retry_delay_us = max(wait_us, round(DEFAULT_RETRY_S * 1e6))
+                self.queue.schedule_after(
+                    retry_delay_us, Rank.CLIENT, lambda: self._send_request(request.turn, False)
+                )
         else:
             self.tally.failed += 1
 
-    def left(self, dispatcher: Dispatcher, found: Try) -> None:
+    def record_client_left(self, dispatcher: Dispatcher, request: ClientRequest) -> None:
         self.tally.gone += 1
-        self._over(dispatcher, found, "failed")
+        self._finish_request(dispatcher, request, "failed")
 
-    def _over(self, dispatcher: Dispatcher, found: Try, end: str) -> None:
-        found.over = True
-        if found.guard is not None:
-            found.guard.cancel()
-        dispatcher.open.pop(found.arrival.id, None)
+    def _finish_request(self, dispatcher: Dispatcher, request: ClientRequest, end: str) -> None:
+        request.finished = True
+        if request.withdrawal_timer is not None:
+            request.withdrawal_timer.cancel()
+        dispatcher.open_requests.pop(request.arrival.id, None)
         if self.traced:
-            self.trace.put(What.ANSWERED, found.ask.key, detail=end)
+            self.trace.put(What.ANSWERED, request.server_request.key, detail=end)
 
-    def _earn(self, found: Try) -> None:
+    def _add_worth(self, request: ClientRequest) -> None:
         """Full worth in the wanted time and pace, part of it later; counted from the first try."""
-        turn = found.turn
-        traffic_class = self.site.classes[turn.traffic_class].traffic
+        turn = request.turn
+        traffic_class = self.site.classes[turn.class_index].traffic_class
         latency_objective_us = (
             traffic_class.latency_objective_us
-            + traffic_class.latency_objective_us_per_1k_tokens * turn.prompt / 1000
+            + traffic_class.latency_objective_us_per_1k_tokens * turn.prompt_tokens / 1000
         )
-        stream_us = self.queue.now_us - found.first_us
-        self.tally.waits_us.append(found.first_us - turn.at_us)
-        self.tally.paces_us.append(stream_us / max(1, turn.out))
+        stream_us = self.queue.now_us - request.first_token_us
+        self.tally.waits_us.append(request.first_token_us - turn.at_us)
+        self.tally.paces_us.append(stream_us / max(1, turn.output_tokens))
         in_time = (
-            found.first_us - turn.at_us <= latency_objective_us
-            and stream_us <= traffic_class.token_objective_us * max(1, turn.out)
+            request.first_token_us - turn.at_us <= latency_objective_us
+            and stream_us <= traffic_class.token_objective_us * max(1, turn.output_tokens)
         )
         worth = self._worth(turn) * (1.0 if in_time else traffic_class.late_weight)
         self.tally.late += not in_time
@@ -406,82 +462,100 @@
 
     # The list, and what goes wrong
 
-    def list_changed(self, server: Server, condition: contract.EndpointCondition) -> None:
+    def announce_condition(self, server: Server, condition: contract.EndpointCondition) -> None:
         """Discovery knows of it at once, and dispatchers hear of it later."""
-        self.version += 1
-        spec = replace(server.spec, condition=condition, started_us=server.born_us)
-        update = contract.EndpointUpdate(contract.EndpointUpdateForm.DELTA, (spec,), self.version)
+        self.list_version += 1
+        endpoint = replace(server.endpoint, condition=condition, started_us=server.started_us)
+        update = contract.EndpointUpdate(
+            contract.EndpointUpdateForm.DELTA, (endpoint,), self.list_version
+        )
         for dispatcher in self.dispatchers:
-            self.queue.after(self.lag_us, Rank.NETWORK, lambda d=dispatcher: d.tell(update))  # type: ignore[misc]
+            self.queue.schedule_after(
+                self.list_lag_us,
+                Rank.NETWORK,
+                lambda d=dispatcher: d.handle_event(update),  # type: ignore[misc]
+            )
 
-    def _plan(self, trouble: Trouble) -> None:
-        start, end = (round(s * 1e6) for s in (trouble.at_s, trouble.at_s + trouble.for_s))
-        put = self.queue.at
-        match trouble.what:
+    def _schedule_fault(self, fault: InjectedFault) -> None:
+        start, end = (round(s * 1e6) for s in (fault.at_s, fault.at_s + fault.for_s))
+        schedule = self.queue.schedule_at
+        match fault.what:
             case "lag":
-                more = round(trouble.size * 1e6)
-                put(start, Rank.TROUBLE, lambda: self._lag(more))
-                put(end, Rank.TROUBLE, lambda: self._lag(-more))
+                more = round(fault.size * 1e6)
+                schedule(start, Rank.FAULT, lambda: self._add_list_lag(more))
+                schedule(end, Rank.FAULT, lambda: self._add_list_lag(-more))
             case "flush":
-                put(start, Rank.TROUBLE, lambda: self._flush(trouble.size))
+                schedule(start, Rank.FAULT, lambda: self._clear_prefix_caches(fault.size))
             case "cut" | "flap":
-                times = 2 if trouble.what == "flap" else 1
-                part = (end - start) // (2 * times - 1)
-                for n in range(times):
-                    put(start + 2 * n * part, Rank.TROUBLE, lambda: self.cuts.add(trouble.hall))
-                    put(
-                        start + (2 * n + 1) * part,
-                        Rank.TROUBLE,
-                        lambda: self.cuts.discard(trouble.hall),
+                repeats = 2 if fault.what == "flap" else 1
+                phase_us = (end - start) // (2 * repeats - 1)
+                for n in range(repeats):
+                    schedule(
+                        start + 2 * n * phase_us,
+                        Rank.FAULT,
+                        lambda: self.partitioned_halls.add(fault.hall),
+                    )
+                    schedule(
+                        start + (2 * n + 1) * phase_us,
+                        Rank.FAULT,
+                        lambda: self.partitioned_halls.discard(fault.hall),
                     )
             case "crash":
-                put(start, Rank.TROUBLE, lambda: self._crash(trouble.server))
-                if trouble.for_s:
-                    put(end, Rank.TROUBLE, lambda: self._start(trouble.server))
+                schedule(start, Rank.FAULT, lambda: self._crash_server(fault.server))
+                if fault.for_s:
+                    schedule(end, Rank.FAULT, lambda: self._start_server(fault.server))
             case "slow":
-                put(start, Rank.TROUBLE, lambda: self._slow(trouble.server, trouble.size))
-                put(end, Rank.TROUBLE, lambda: self._slow(trouble.server, 1.0))
+                schedule(start, Rank.FAULT, lambda: self._set_slowdown(fault.server, fault.size))
+                schedule(end, Rank.FAULT, lambda: self._set_slowdown(fault.server, 1.0))
             case "hot":
                 pass  # it is in the traffic
             case _:
-                raise ValueError(f"no trouble {trouble.what!r}")
+                raise ValueError(f"no trouble {fault.what!r}")
 
-    def _lag(self, more_us: int) -> None:
-        self.lag_us += more_us
+    def _add_list_lag(self, added_us: int) -> None:
+        self.list_lag_us += added_us
 
-    def _flush(self, share: float) -> None:
+    def _clear_prefix_caches(self, share: float) -> None:
         for name in sorted(self.servers):
-            if self.chance.random() < share:
-                self.servers[name].kept.clear()
+            if self.generator.random() < share:
+                self.servers[name].prefix_cache.clear()
 
-    def _crash(self, name: str) -> None:
+    def _crash_server(self, name: str) -> None:
         self.servers[name].crash()
-        self.list_changed(self.servers[name], contract.EndpointCondition.REMOVED)
+        self.announce_condition(self.servers[name], contract.EndpointCondition.REMOVED)
 
-    def _start(self, name: str) -> None:
+    def _start_server(self, name: str) -> None:
         self.servers[name].start()
-        self.list_changed(self.servers[name], contract.EndpointCondition.UP)
+        self.announce_condition(self.servers[name], contract.EndpointCondition.UP)
 
-    def _slow(self, name: str, times: float) -> None:
-        self.servers[name].slow = times
+    def _set_slowdown(self, name: str, slowdown: float) -> None:
+        self.servers[name].slowdown = slowdown
 
     # For the bound from full knowledge
 
-    def true_wait(self, name: str, job: Job) -> float:
+    def load_score(self, name: str, request: PolicyRequest) -> float:
         server = self.servers[name]
         if not server.up:
             return 1e12
-        if job.reader:
-            crowd = (len(server.asked) + len(server.open) + len(server.coming)) / server.kind.slots
-            full = server._used() / server.kind.memory
-            near = self.servers[job.reader].spec
-            far = (near.cell != server.spec.cell) + (near.zone != server.spec.zone)
-            return (crowd + full + 0.1 * far) / server.capacity()
-        ask = job.ask
-        probe = Ask(
+        if request.reader:
+            slot_load = (
+                len(server.decode_queue) + len(server.decoding) + len(server.preparing)
+            ) / server.kind.slots
+            memory_load = server._used_tokens() / server.kind.memory_tokens
+            reader_endpoint = self.servers[request.reader].endpoint
+            distance = (reader_endpoint.cell != server.endpoint.cell) + (
+                reader_endpoint.zone != server.endpoint.zone
+            )
+            return (slot_load + memory_load + 0.1 * distance) / server.speed_factor()
+        ask = request.arrival
+        unproduced = ServerRequest(
             "", ask.session, ask.prefix, ask.prompt_tokens, ask.prefix_tokens, 0, ask.traffic_class
         )
-        todo = [*server.waiting, *([server.reading] if server.reading else [])]
-        tokens = sum(v.ask.prompt - server.kept.found(v.ask) for v in todo if not v.off)
-        tokens += ask.prompt_tokens - server.kept.found(probe)
-        return tokens / server.kind.read_rate / server.capacity()
+        pending = [*server.prefill_queue, *([server.prefilling] if server.prefilling else [])]
+        tokens = sum(
+            v.request.prompt_tokens - server.prefix_cache.cached_tokens(v.request)
+            for v in pending
+            if not v.closed
+        )
+        tokens += ask.prompt_tokens - server.prefix_cache.cached_tokens(unproduced)
+        return tokens / server.kind.prefill_rate / server.speed_factor()
--- a/onyxpass/emulator/topology.py
+++ b/onyxpass/emulator/topology.py
@@ -7,75 +7,85 @@
 
 from onyxpass.scheduling import contract
 
-S = 1_000_000
+SECOND_US = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class ServerProfile:
     """One kind of server. Times in microseconds, rates a second, memory in tokens."""
 
     name: str
     role: contract.Role
     slots: int
-    queue: int
-    memory: int
-    read_rate: float = 16_000.0
+    queue_limit: int
+    memory_tokens: int
+    prefill_rate: float = 16_000.0
     step_us: float = 14_000.0
-    each_us: float = 150.0  # of a step, for each answer in it
-    context_us: float = 40.0  # of a step, for each 1,000 tokens of all contexts in it
+    step_us_per_answer: float = 150.0  # of a step, for each answer in it
+    step_us_per_1k_context: float = 40.0  # of a step, for each 1,000 tokens of all contexts in it
 
 
-READER = Kind("reader", contract.Role.PREFILL, 6, 40, 240_000, 18_000.0)
-WRITER = Kind("writer", contract.Role.DECODE, 90, 24, 150_000, 7_000.0)
-MIXED = Kind("mixed", contract.Role.MIXED, 60, 30, 230_000, 12_000.0)
+READER = ServerProfile("reader", contract.Role.PREFILL, 6, 40, 240_000, 18_000.0)
+WRITER = ServerProfile("writer", contract.Role.DECODE, 90, 24, 150_000, 7_000.0)
+MIXED = ServerProfile("mixed", contract.Role.MIXED, 60, 30, 230_000, 12_000.0)
 
 
 @dataclass(frozen=True, slots=True)
-class Class:
+class ClassProfile:
     """One class of requests. ``share``: of all requests; lengths are means."""
 
-    traffic: contract.TrafficClass
+    traffic_class: contract.TrafficClass
     share: float
-    turns: float
-    new_tokens: float
-    out_tokens: float
-    shared_part: float  # of sessions that begin with a shared text
-    shared_tokens: float
+    mean_turns: float
+    mean_new_tokens: float
+    mean_output_tokens: float
+    shared_prefix_share: float  # of sessions that begin with a shared text
+    mean_shared_tokens: float
 
 
-def _class(
+def _traffic_class(
     name: str,
-    aim_s: float,
-    give_up_s: float,
-    value: float,
-    late: float,
-    repeat: contract.Idempotency,
-    pace_us: int,
+    latency_objective_s: float,
+    deadline_s: float,
+    priority_weight: float,
+    late_weight: float,
+    idempotency: contract.Idempotency,
+    token_objective_us: int,
 ) -> contract.TrafficClass:
     return contract.TrafficClass(
         name,
-        round(aim_s * S),
-        round(give_up_s * S),
-        value,
-        late,
-        repeat,
+        round(latency_objective_s * SECOND_US),
+        round(deadline_s * SECOND_US),
+        priority_weight,
+        late_weight,
+        idempotency,
         latency_objective_us_per_1k_tokens=40_000,
-        token_objective_us=pace_us,
+        token_objective_us=token_objective_us,
     )
 
 
 SAFE, UNSAFE = contract.Idempotency.IDEMPOTENT, contract.Idempotency.NONE
 CLASSES = (
-    Class(_class("part-lookup", 1.2, 6, 3, 0.2, SAFE, 60_000), 0.47, 2.7, 420, 170, 0.84, 2600),
-    Class(_class("shift-summary", 3, 15, 3, 0.2, SAFE, 80_000), 0.31, 5.7, 460, 100, 0.8, 5200),
-    Class(
-        _class("stock-booking", 1.5, 7.5, 2, 0.1, UNSAFE, 70_000), 0.22, 1.9, 370, 230, 0.77, 1300
+    ClassProfile(
+        _traffic_class("part-lookup", 1.2, 6, 3, 0.2, SAFE, 60_000), 0.47, 2.7, 420, 170, 0.84, 2600
+    ),
+    ClassProfile(
+        _traffic_class("shift-summary", 3, 15, 3, 0.2, SAFE, 80_000), 0.31, 5.7, 460, 100, 0.8, 5200
+    ),
+    ClassProfile(
+        _traffic_class("stock-booking", 1.5, 7.5, 2, 0.1, UNSAFE, 70_000),
+        0.22,
+        1.9,
+        370,
+        230,
+        0.77,
+        1300,
     ),
 )
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
+class InjectedFault:
     """One thing that goes wrong. ``what``: lag (seconds), flush and hot (a share), cut, flap,
     crash, slow.
     """
@@ -99,55 +109,55 @@
     mixed: int = 2
     dispatchers: int = 4
     halls: tuple[str, ...] = ("boa-vista", "santo-amaro", "derby")
-    kinds: tuple[Kind, ...] = (READER, WRITER, MIXED)
-    classes: tuple[Class, ...] = CLASSES
+    kinds: tuple[ServerProfile, ...] = (READER, WRITER, MIXED)
+    classes: tuple[ClassProfile, ...] = CLASSES
     rate: float = 25.0  # first tries a second
     seconds: float = 60.0
     think_s: float = 5.0
     tenants: int = 0  # customers, drawn by Zipf's law as well
     prefixes: int = 40  # shared texts, drawn by Zipf's law
-    zipf: float = 0.9
-    near_rate: float = 300_000.0
-    far_rate: float = 900_000.0  # of a cell's link, which all its readers share
-    hall_slower: float = 2.2  # a token to another hall takes so many times as long
+    zipf_exponent: float = 0.9
+    port_rate: float = 300_000.0
+    cell_link_rate: float = 900_000.0  # of a cell's link, which all its readers share
+    cross_hall_factor: float = 2.2  # a token to another hall takes so many times as long
     one_way_us: int = 600
     list_lag_s: float = 2.0
     tick_us: int = 1_000
     retries: int = 1
-    cold_from: float = 0.3
-    cold_us: int = 13 * S
-    fall_multiple: float = 2.5
-    fall_us: int = 1 * S
-    troubles: tuple[Trouble, ...] = ()
+    cold_speed_factor: float = 0.3
+    warmup_us: int = 13 * SECOND_US
+    overload_multiple: float = 2.5
+    overload_window_us: int = 1 * SECOND_US
+    faults: tuple[InjectedFault, ...] = ()
     extra: Mapping[str, object] = field(default_factory=dict)
 
     def settings(self, ordinal: int) -> contract.Settings:
         """What a dispatcher is told."""
         return contract.Settings(
-            classes=tuple(c.traffic for c in self.classes),
-            kinds=tuple(contract.ServerKind(k.name, k.role, k.memory) for k in self.kinds),
+            classes=tuple(c.traffic_class for c in self.classes),
+            kinds=tuple(contract.ServerKind(k.name, k.role, k.memory_tokens) for k in self.kinds),
             zone=self.halls[ordinal % len(self.halls)],
             ordinal=ordinal,
             routers=self.dispatchers,
             retry_after_supported=True,
-            slow_start_initial_factor=self.cold_from,
-            slow_start_duration_us=self.cold_us,
-            overload_multiple=self.fall_multiple,
-            overload_window_us=self.fall_us,
+            slow_start_initial_factor=self.cold_speed_factor,
+            slow_start_duration_us=self.warmup_us,
+            overload_multiple=self.overload_multiple,
+            overload_window_us=self.overload_window_us,
             tick_us=self.tick_us,
         )
 
-    def servers(self) -> list[tuple[Kind, contract.Endpoint]]:
+    def servers(self) -> list[tuple[ServerProfile, contract.Endpoint]]:
         """All servers, spread over halls and cells alike."""
         counts = {
             contract.Role.PREFILL: self.readers,
             contract.Role.DECODE: self.writers,
             contract.Role.MIXED: self.mixed,
         }
-        found = []
+        placed = []
         for kind in self.kinds:
             for n in range(counts[kind.role]):
                 hall = self.halls[n % len(self.halls)]
                 cell = n % len(self.halls) + len(self.halls) * (n // 16)
-                found.append((kind, contract.Endpoint(f"{kind.name}-{n}", kind.name, hall, cell)))
-        return found
+                placed.append((kind, contract.Endpoint(f"{kind.name}-{n}", kind.name, hall, cell)))
+        return placed
--- a/onyxpass/emulator/traffic.py
+++ b/onyxpass/emulator/traffic.py
@@ -9,9 +9,9 @@
 
 import numpy as np
 
-from onyxpass.emulator.topology import Class, Site
+from onyxpass.emulator.topology import ClassProfile, Site
 
-SIGMA = 0.7  # of the lengths, which are lognormal
+LENGTH_SIGMA = 0.7  # of the lengths, which are lognormal
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,19 +19,19 @@
     """One first try. ``at_us``: drawn ahead; it does not wait for the turn before it to end."""
 
     at_us: int
-    number: int
-    traffic_class: int
+    sequence: int
+    class_index: int
     session: str
     prefix: str | None
     prefix_tokens: int
-    prompt: int
-    out: int
-    front: int  # the dispatcher that its client goes to
+    prompt_tokens: int
+    output_tokens: int
+    dispatcher_ordinal: int  # the dispatcher that its client goes to
     patience: float  # of its class's give-up time
     tenant: str | None = None
 
 
-class Streams:
+class RandomStreams:
     """A generator for each concern, all from one seed."""
 
     def __init__(self, seed: int) -> None:
@@ -41,68 +41,73 @@
         return np.random.default_rng([self.seed, *concern.encode()])
 
 
-def lengths(chance: np.random.Generator, mean: float, count: int) -> list[int]:
-    drawn = chance.lognormal(math.log(mean) - SIGMA**2 / 2, SIGMA, count)
-    return [max(1, int(value)) for value in drawn]
+def draw_lengths(generator: np.random.Generator, mean: float, count: int) -> list[int]:
+    samples = generator.lognormal(math.log(mean) - LENGTH_SIGMA**2 / 2, LENGTH_SIGMA, count)
+    return [max(1, int(value)) for value in samples]
 
 
-def draw(site: Site, seed: int) -> list[Turn]:
+def draw_turns(site: Site, seed: int) -> list[Turn]:
     """All first tries of a day, by time."""
-    streams = Streams(seed)
+    streams = RandomStreams(seed)
     arrivals, kinds, sizes = streams.of("arrivals"), streams.of("classes"), streams.of("lengths")
     texts, think, fronts = streams.of("texts"), streams.of("think"), streams.of("fronts")
-    mean_turns = sum(c.share for c in site.classes)
-    weights = np.array([c.share / c.turns for c in site.classes])
-    sessions_a_s = site.rate * float(weights.sum()) / mean_turns
-    ranks = np.arange(1, site.prefixes + 1) ** -site.zipf
-    tenants, sizes_of = streams.of("tenants"), np.arange(1, site.tenants + 1) ** -site.zipf
-    found: list[tuple[float, int, Turn]] = []
-    at_s, session, order = 0.0, 0, 0
+    total_share = sum(c.share for c in site.classes)
+    weights = np.array([c.share / c.mean_turns for c in site.classes])
+    sessions_per_s = site.rate * float(weights.sum()) / total_share
+    prefix_weights = np.arange(1, site.prefixes + 1) ** -site.zipf_exponent
+    tenants, tenant_weights = (
+        streams.of("tenants"),
+        np.arange(1, site.tenants + 1) ** -site.zipf_exponent,
+    )
+    drawn: list[tuple[float, int, Turn]] = []
+    at_s, session, sequence = 0.0, 0, 0
     while True:
-        at_s += float(arrivals.exponential(1 / sessions_a_s))
+        at_s += float(arrivals.exponential(1 / sessions_per_s))
         if at_s >= site.seconds:
             break
         session += 1
-        number = int(kinds.choice(len(site.classes), p=weights / weights.sum()))
-        traffic_class: Class = site.classes[number]
-        turns = int(kinds.geometric(1 / max(1.0, traffic_class.turns)))
+        class_index = int(kinds.choice(len(site.classes), p=weights / weights.sum()))
+        profile: ClassProfile = site.classes[class_index]
+        turns = int(kinds.geometric(1 / max(1.0, profile.mean_turns)))
         prefix, prefix_tokens = None, 0
-        if texts.random() < traffic_class.shared_part:
-            rank = int(texts.choice(site.prefixes, p=ranks / ranks.sum()))
-            prefix = f"{traffic_class.traffic.name}-{rank}"
-            prefix_tokens = int(traffic_class.shared_tokens * (0.5 + (rank * 7919 % 100) / 100))
-        hot = hot_at(site, at_s)
-        if hot > 0 and texts.random() < hot:
+        if texts.random() < profile.shared_prefix_share:
+            rank = int(texts.choice(site.prefixes, p=prefix_weights / prefix_weights.sum()))
+            prefix = f"{profile.traffic_class.name}-{rank}"
+            prefix_tokens = int(profile.mean_shared_tokens * (0.5 + (rank * 7919 % 100) / 100))
+        hot_fraction = hot_share(site, at_s)
+        if hot_fraction > 0 and texts.random() < hot_fraction:
             prefix, prefix_tokens = (
-                f"hot-{traffic_class.traffic.name}",
-                int(traffic_class.shared_tokens * 1.5),
+                f"hot-{profile.traffic_class.name}",
+                int(profile.mean_shared_tokens * 1.5),
             )
         tenant = None
         if site.tenants:
-            tenant = f"t{int(tenants.choice(site.tenants, p=sizes_of / sizes_of.sum()))}"
-        context, front = prefix_tokens, int(fronts.integers(site.dispatchers))
+            tenant = (
+                f"t{int(tenants.choice(site.tenants, p=tenant_weights / tenant_weights.sum()))}"
+            )
+        context_tokens, dispatcher_ordinal = prefix_tokens, int(fronts.integers(site.dispatchers))
         when_s = at_s
-        new, out = (
-            lengths(sizes, traffic_class.new_tokens, turns),
-            lengths(sizes, traffic_class.out_tokens, turns),
+        new_tokens, output_tokens = (
+            draw_lengths(sizes, profile.mean_new_tokens, turns),
+            draw_lengths(sizes, profile.mean_output_tokens, turns),
         )
         for turn in range(turns):
-            context += new[turn]
+            context_tokens += new_tokens[turn]
             if when_s < site.seconds:
-                order += 1
+                sequence += 1
                 patience = 0.5 + 0.5 * float(fronts.random())
-                made = Turn(
-                    round(when_s * 1e6), order, number, f"s{session}", prefix, prefix_tokens, context,
-                    out[turn], front, patience, tenant,
+                request_turn = Turn(
+                    round(when_s * 1e6), sequence, class_index, f"s{session}", prefix, prefix_tokens, context_tokens,
+                    output_tokens[turn], dispatcher_ordinal, patience, tenant,
                 )  # fmt: skip
-                found.append((when_s, order, made))
-            context += out[turn]
+                drawn.append((when_s, sequence, request_turn))
+            context_tokens += output_tokens[turn]
             when_s += float(think.exponential(site.think_s)) + 0.5
-    found.sort(key=lambda row: (row[0], row[1]))
-    return [turn for _, _, turn in found]
+    drawn.sort(key=lambda row: (row[0], row[1]))
+    return [turn for _, _, turn in drawn]
 
 
-def hot_at(site: Site, at_s: float) -> float:
+def hot_share(site: Site, at_s: float) -> float:
     """Share of new sessions that begin with a text that nobody has seen before."""
-    parts = [t.size for t in site.troubles if t.what == "hot" and t.at_s <= at_s < t.at_s + t.for_s]
-    return max(parts, default=0.0)
+    shares = [t.size for t in site.faults if t.what == "hot" and t.at_s <= at_s < t.at_s + t.for_s]
+    return max(shares, default=0.0)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -12,47 +12,49 @@
 import pytest
 
 from onyxpass.emulator import capacity, full_scale
-from onyxpass.emulator.servers import Reach, reach
-from onyxpass.emulator.slopes import Point, fit
+from onyxpass.emulator.linear_fit import Point, fit
+from onyxpass.emulator.servers import TransferDistance, transfer_distance
 from onyxpass.scheduling import contract
 
 ROOT = Path(__file__).parent.parent
-BENCH = ROOT / "benchmarks" / "capacity.py"
+BENCHMARK = ROOT / "benchmarks" / "capacity.py"
 
 
 def test_the_page_is_made_from_the_committed_data() -> None:
-    assert (ROOT / capacity.PAGE).read_text() == capacity.page(ROOT)
+    assert (ROOT / capacity.PAGE).read_text() == capacity.render_page(ROOT)
 
 
 def test_each_line_has_four_sizes_and_says_where_it_is_drawn_too_far() -> None:
-    data = capacity.Data.read(ROOT)
-    for lines in capacity.roles(data).values():
-        for line in lines:
-            assert len(set(line.sizes)) >= 4
-            assert (line.size <= 2 * max(line.sizes)) == (line.reach == "")
-    assert {run["breaches"] for run in data.rows("configuration by hosts")} == {0}
+    data = capacity.CapacityData.read(ROOT)
+    for measures in capacity.role_measures(data).values():
+        for measure in measures:
+            assert len(set(measure.sizes)) >= 4
+            assert (measure.size <= 2 * max(measure.sizes)) == (measure.range_note == "")
+    assert {run["breaches"] for run in data.runs_named("configuration by hosts")} == {0}
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_a_line_finds_the_slope_that_was_drawn(seed: int) -> None:
-    chance = random.Random(seed)
-    constant, each = chance.uniform(0, 100), chance.uniform(0.1, 5)
-    points = [Point(size, constant + each * size) for size in (75, 150, 300, 600)]
+    generator = random.Random(seed)
+    intercept, slope = generator.uniform(0, 100), generator.uniform(0.1, 5)
+    points = [Point(size, intercept + slope * size) for size in (75, 150, 300, 600)]
     found = fit(points)
-    assert math.isclose(found.constant, constant, abs_tol=1e-6) and math.isclose(found.each, each)
-    assert found.residual < 1e-9 and found.reaches(1_200) and not found.reaches(1_201)
-    bent = fit([Point(size, size**2) for size in (75, 150, 300, 600)])
-    assert bent.residual > 0.1, "a curve is no line, and the residual says so"
+    assert math.isclose(found.intercept, intercept, abs_tol=1e-6) and math.isclose(
+        found.slope, slope
+    )
+    assert found.residual < 1e-9 and found.covers(1_200) and not found.covers(1_201)
+    curved = fit([Point(size, size**2) for size in (75, 150, 300, 600)])
+    assert curved.residual > 0.1, "a curve is no line, and the residual says so"
     with pytest.raises(ValueError, match="sizes are needed"):
         fit(points[:3])
 
 
 def test_a_size_that_does_not_fit_is_refused_before_it_starts() -> None:
-    site = full_scale.site_of(1.0, 1.0)
-    with pytest.raises(full_scale.TooLarge, match=r"0\.\d\d of the size"):
-        full_scale.play(site, 1, most_mb=full_scale.MB_BASE + 1)
-    with pytest.raises(full_scale.TooLarge, match="3 would fit"):
-        full_scale.check_processes(4, most_mb=3.5 * full_scale.MB_A_PROCESS)
+    site = full_scale.scaled_site(1.0, 1.0)
+    with pytest.raises(full_scale.MemoryLimitError, match=r"0\.\d\d of the size"):
+        full_scale.run_site(site, 1, max_mb=full_scale.MB_BASE + 1)
+    with pytest.raises(full_scale.MemoryLimitError, match="3 would fit"):
+        full_scale.check_processes(4, max_mb=3.5 * full_scale.MB_PER_PROCESS)
     assert (
         full_scale.estimate_mb(site) < full_scale.half_of_memory_mb()
         or full_scale.half_of_memory_mb() < 4_000
@@ -60,15 +62,15 @@
 
 
 def test_reach_is_the_widest_boundary_that_is_crossed() -> None:
-    here = contract.Endpoint("w", "writer", "north/a", 1)
-    for there, wanted in (
-        (here, Reach.NONE),
-        (contract.Endpoint("r", "reader", "north/a", 1), Reach.CELL),
-        (contract.Endpoint("r", "reader", "north/a", 2), Reach.ZONE),
-        (contract.Endpoint("r", "reader", "north/b", 1), Reach.REGION),
-        (contract.Endpoint("r", "reader", "south/a", 1), Reach.FAR),
+    destination = contract.Endpoint("w", "writer", "north/a", 1)
+    for source, expected in (
+        (destination, TransferDistance.SAME_SERVER),
+        (contract.Endpoint("r", "reader", "north/a", 1), TransferDistance.SAME_CELL),
+        (contract.Endpoint("r", "reader", "north/a", 2), TransferDistance.OTHER_CELL),
+        (contract.Endpoint("r", "reader", "north/b", 1), TransferDistance.OTHER_ZONE),
+        (contract.Endpoint("r", "reader", "south/a", 1), TransferDistance.OTHER_REGION),
     ):
-        assert reach(there, here) is wanted
+        assert transfer_distance(source, destination) is expected
 
 
 SMALL = [
@@ -86,7 +88,7 @@
 @pytest.mark.parametrize(("name", "size"), SMALL)
 def test_each_scale_test_plays_in_a_small_form(name: str, size: float) -> None:
     run = subprocess.run(
-        [sys.executable, str(BENCH), "small", name, str(size)],
+        [sys.executable, str(BENCHMARK), "small", name, str(size)],
         stdout=subprocess.PIPE,
         text=True,
         check=True,
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -13,15 +13,15 @@
 
 from onyxpass.config import toml_config
 from onyxpass.emulator.cli import lab_app
-from onyxpass.emulator.compare import compared, interval, problems
-from onyxpass.emulator.events import Queue, Rank
-from onyxpass.emulator.experiment import ExperimentFile, Rows, carry_out, runs_of
-from onyxpass.emulator.policies import POLICIES, Random
-from onyxpass.emulator.processor_sharing import Shared
-from onyxpass.emulator.servers import Ask, Server, State, Visit
-from onyxpass.emulator.simulation import PolicyFault, World
-from onyxpass.emulator.topology import READER, WRITER, Site, Trouble
-from onyxpass.emulator.traffic import Streams, draw
+from onyxpass.emulator.compare import bootstrap_interval, compare_policies, failed_runs
+from onyxpass.emulator.events import EventQueue, Rank
+from onyxpass.emulator.experiment import ExperimentFile, ResultStore, execute_runs, expand_runs
+from onyxpass.emulator.policies import POLICIES, RandomPolicy
+from onyxpass.emulator.processor_sharing import SharedCapacity
+from onyxpass.emulator.servers import PrefillState, Server, ServerAttempt, ServerRequest
+from onyxpass.emulator.simulation import PolicyError, Simulation
+from onyxpass.emulator.topology import READER, WRITER, InjectedFault, Site
+from onyxpass.emulator.traffic import RandomStreams, draw_turns
 from onyxpass.history_checkers.trace import breaches
 from onyxpass.scheduling import contract
 from onyxpass.scheduling.contract import AttemptStatus
@@ -29,48 +29,50 @@
 SMALL = Site(rate=20.0, seconds=12.0)
 
 
-class Bench:
+class ServerFixture:
     """One server of a kind, and what became of its visits."""
 
     def __init__(self, **kind: object) -> None:
-        self.queue = Queue()
-        self.states: dict[str, State] = {}
+        self.queue = EventQueue()
+        self.states: dict[str, PrefillState] = {}
         base = kind.pop("base", READER)
         self.kind = replace(base, **kind)  # type: ignore[type-var,arg-type]
         spec = contract.Endpoint("x", "x", "derby", 0)
-        links = {0: Shared(self.queue, lambda n: 1e9)}
+        links = {0: SharedCapacity(self.queue, lambda n: 1e9)}
         self.server = Server(self.queue, SMALL, self.kind, spec, self.states, links)  # type: ignore[arg-type]
         self.ends: dict[str, tuple[AttemptStatus, int]] = {}
-        self.firsts: dict[str, int] = {}
-
-    def visit(self, key: str, prompt: int = 1000, out: int = 100) -> Visit:
-        ask = Ask(key, key, None, prompt, 0, out, "c")
-        return Visit(
-            ask,
+        self.first_token_us: dict[str, int] = {}
+
+    def attempt(
+        self, key: str, prompt_tokens: int = 1000, output_tokens: int = 100
+    ) -> ServerAttempt:
+        request = ServerRequest(key, key, None, prompt_tokens, 0, output_tokens, "c")
+        return ServerAttempt(
+            request,
             lambda status, _: self.ends.setdefault(key, (status, self.queue.now_us)) and None,
-            lambda: self.firsts.setdefault(key, self.queue.now_us) and None,
+            lambda: self.first_token_us.setdefault(key, self.queue.now_us) and None,
         )
 
 
 def test_events_of_one_instant_come_by_rank_and_then_as_they_were_put() -> None:
-    queue, seen = Queue(), list[str]()
+    queue, seen = EventQueue(), list[str]()
     for rank, name in (
         (Rank.CLIENT, "d"),
         (Rank.SERVER, "b"),
-        (Rank.TROUBLE, "a"),
+        (Rank.FAULT, "a"),
         (Rank.SERVER, "c"),
     ):
-        queue.at(5, rank, lambda name=name: seen.append(name))  # type: ignore[misc]
-    queue.at(5, Rank.TIMER, lambda: seen.append("never")).cancel()
+        queue.schedule_at(5, rank, lambda name=name: seen.append(name))  # type: ignore[misc]
+    queue.schedule_at(5, Rank.TIMER, lambda: seen.append("never")).cancel()
     queue.run(5)
-    assert seen == ["a", "b", "c", "d"] and queue.count == 4
+    assert seen == ["a", "b", "c", "d"] and queue.executed_count == 4
 
 
 def test_what_is_shared_is_shared_evenly() -> None:
-    queue, ends = Queue(), dict[str, int]()
-    link = Shared(queue, lambda n: 1000.0 / n)
+    queue, ends = EventQueue(), dict[str, int]()
+    link = SharedCapacity(queue, lambda n: 1000.0 / n)
     link.add(1000, lambda: ends.setdefault("a", queue.now_us) and None)
-    queue.at(
+    queue.schedule_at(
         500_000,
         Rank.CLIENT,
         lambda: link.add(250, lambda: ends.setdefault("b", queue.now_us)) and None,
@@ -80,100 +82,119 @@
     assert ends["a"] == pytest.approx(1_250_000, abs=2), (
         "500 alone, 250 at half the rate, 250 alone"
     )
-    fast = Shared(queue, lambda n: 3e5 / n)  # rests below a microsecond must not turn for ever
+    # A remainder below one microsecond must not make the queue loop forever.
+    fast = SharedCapacity(queue, lambda n: 3e5 / n)
     for size in (0.1, 0.11, 7.3):
         fast.add(size, lambda: None)
     queue.run(20_000_000)
-    assert fast.count == 0
+    assert fast.open_count == 0
 
 
 def test_a_reader_with_known_service_waits_as_theory_says() -> None:
     """Poisson arrivals at one server with constant service: the mean wait is rho s / (2 (1 -
     rho)).
     """
-    bench = Bench(slots=10**6, step_us=0.0, read_rate=10_000.0, memory=10**12)
-    chance, now_us, starts, count = Streams(5).of("theory"), 0.0, dict[str, float](), 40_000
+    fixture = ServerFixture(slots=10**6, step_us=0.0, prefill_rate=10_000.0, memory_tokens=10**12)
+    generator, now_us, starts, count = (
+        RandomStreams(5).of("theory"),
+        0.0,
+        dict[str, float](),
+        40_000,
+    )
     service_us, rho = 100_000.0, 0.7
     for n in range(count):
-        now_us += float(chance.exponential(service_us / rho))
+        now_us += float(generator.exponential(service_us / rho))
         starts[f"q{n}"] = now_us
-        bench.queue.at(
-            round(now_us), Rank.CLIENT, lambda n=n: bench.server.take(bench.visit(f"q{n}"))
+        fixture.queue.schedule_at(
+            round(now_us), Rank.CLIENT, lambda n=n: fixture.server.receive(fixture.attempt(f"q{n}"))
         )  # type: ignore[misc]
-    bench.queue.run(round(now_us) + 10**9)
-    waits = [bench.ends[key][1] - start - service_us for key, start in starts.items()]
+    fixture.queue.run(round(now_us) + 10**9)
+    waits = [fixture.ends[key][1] - start - service_us for key, start in starts.items()]
     assert sum(waits) / count == pytest.approx(rho * service_us / (2 * (1 - rho)), rel=0.06)
-    assert {status for status, _ in bench.ends.values()} == {AttemptStatus.PREFILLED}
+    assert {status for status, _ in fixture.ends.values()} == {AttemptStatus.PREFILLED}
 
 
 def test_a_writer_that_runs_out_of_memory_reads_its_newest_answer_anew() -> None:
-    bench = Bench(
-        base=WRITER, memory=2_300, each_us=0.0, context_us=0.0, step_us=10_000.0, read_rate=1e6
+    fixture = ServerFixture(
+        base=WRITER,
+        memory_tokens=2_300,
+        step_us_per_answer=0.0,
+        step_us_per_1k_context=0.0,
+        step_us=10_000.0,
+        prefill_rate=1e6,
     )
-    reader = Bench().server
-    reader.port = Shared(bench.queue, lambda n: 1e6 / n)
+    reader = ServerFixture().server
+    reader.port = SharedCapacity(fixture.queue, lambda n: 1e6 / n)
     for key in ("a", "b"):
-        bench.states[key] = State(reader, 1000)
-        reader.held += 1000
-        bench.server.take(bench.visit(key, 1000, 400))
-    bench.queue.run(60_000_000)
-    assert bench.server.rereads >= 1 and bench.server.tokens == 800
-    assert {status for status, _ in bench.ends.values()} == {AttemptStatus.COMPLETED}
-    assert bench.ends["a"][1] < bench.ends["b"][1] and not bench.server.open
-    assert bench.server._used() == pytest.approx(0, abs=1), "all of its memory is free again"
+        fixture.states[key] = PrefillState(reader, 1000)
+        reader.state_tokens += 1000
+        fixture.server.receive(fixture.attempt(key, 1000, 400))
+    fixture.queue.run(60_000_000)
+    assert fixture.server.repeated_prefill_count >= 1 and fixture.server.decoded_tokens == 800
+    assert {status for status, _ in fixture.ends.values()} == {AttemptStatus.COMPLETED}
+    assert fixture.ends["a"][1] < fixture.ends["b"][1] and not fixture.server.decoding
+    assert fixture.server._used_tokens() == pytest.approx(0, abs=1), (
+        "all of its memory is free again"
+    )
 
 
 def test_a_state_whose_reader_dies_on_the_way_is_gone_and_a_call_off_frees_all() -> None:
-    bench, reader = Bench(base=WRITER), Bench().server
-    reader.port = Shared(bench.queue, lambda n: 100.0 / n)
-    bench.states["a"] = State(reader, 1000)
-    reader.states = bench.states
-    bench.server.take(bench.visit("a"))
-    bench.queue.run(1_000_000)
+    fixture, reader = ServerFixture(base=WRITER), ServerFixture().server
+    reader.port = SharedCapacity(fixture.queue, lambda n: 100.0 / n)
+    fixture.states["a"] = PrefillState(reader, 1000)
+    reader.states = fixture.states
+    fixture.server.receive(fixture.attempt("a"))
+    fixture.queue.run(1_000_000)
     reader.crash()
-    bench.queue.run(30_000_000)
-    assert bench.ends["a"][0] is AttemptStatus.OVERLOADED and not bench.server.coming
-    bench.states["b"] = State(bench.server, 10)
-    called_off = bench.visit("b", out=10_000)
-    bench.server.take(called_off)
-    bench.queue.run(31_000_000)
-    bench.server.cancel(called_off)
-    bench.queue.run(60_000_000)
-    assert "b" not in bench.ends and not bench.server.open and bench.server.answers.count == 0
-
-
-TROUBLES = (
-    Trouble("flush", 3.0, size=0.8),
-    Trouble("cut", 4.0, 2.0, hall="derby"),
-    Trouble("crash", 5.0, 2.0, server="writer-1"),
-    Trouble("crash", 5.5, 2.0, server="reader-0"),
-    Trouble("slow", 6.0, 3.0, 5.0, server="writer-2"),
-    Trouble("lag", 2.0, 6.0, 4.0),
-    Trouble("hot", 1.0, 5.0, 0.2),
-    Trouble("flap", 8.0, 3.0, hall="santo-amaro"),
+    fixture.queue.run(30_000_000)
+    assert fixture.ends["a"][0] is AttemptStatus.OVERLOADED and not fixture.server.preparing
+    fixture.states["b"] = PrefillState(fixture.server, 10)
+    cancelled_attempt = fixture.attempt("b", output_tokens=10_000)
+    fixture.server.receive(cancelled_attempt)
+    fixture.queue.run(31_000_000)
+    fixture.server.cancel(cancelled_attempt)
+    fixture.queue.run(60_000_000)
+    assert (
+        "b" not in fixture.ends
+        and not fixture.server.decoding
+        and fixture.server.decode_capacity.open_count == 0
+    )
+
+
+FAULTS = (
+    InjectedFault("flush", 3.0, size=0.8),
+    InjectedFault("cut", 4.0, 2.0, hall="derby"),
+    InjectedFault("crash", 5.0, 2.0, server="writer-1"),
+    InjectedFault("crash", 5.5, 2.0, server="reader-0"),
+    InjectedFault("slow", 6.0, 3.0, 5.0, server="writer-2"),
+    InjectedFault("lag", 2.0, 6.0, 4.0),
+    InjectedFault("hot", 1.0, 5.0, 0.2),
+    InjectedFault("flap", 8.0, 3.0, hall="santo-amaro"),
 )
 
 
 @pytest.mark.parametrize("name", ["module", "least-in-flight", "prefix-hash"])
 def test_each_request_ends_once_and_the_rules_hold_through_all_troubles(name: str) -> None:
-    world = World(replace(SMALL, rate=40.0, troubles=TROUBLES), POLICIES[name], 4)
-    tally = world.run()
-    assert tally.asked == len(world.turns) > 200
+    simulation = Simulation(replace(SMALL, rate=40.0, faults=FAULTS), POLICIES[name], 4)
+    tally = simulation.run()
+    assert tally.asked == len(simulation.turns) > 200
     assert tally.served + tally.refused + tally.failed + tally.gone == tally.asked + tally.retried
-    assert not any(dispatcher.open for dispatcher in world.dispatchers)
-    rules = [breach for breach in breaches(world.trace) if not breach.startswith("held")]
+    assert not any(dispatcher.open_requests for dispatcher in simulation.dispatchers)
+    rules = [breach for breach in breaches(simulation.trace) if not breach.startswith("held")]
     assert not rules, rules[:5]
     assert 0 < tally.worth <= tally.worth_asked
-    for server in world.servers.values():
-        assert not server.open and not server.coming and server.answers.count == 0
-        assert server._used() == pytest.approx(0, abs=2)
+    for server in simulation.servers.values():
+        assert (
+            not server.decoding and not server.preparing and server.decode_capacity.open_count == 0
+        )
+        assert server._used_tokens() == pytest.approx(0, abs=2)
 
 
 def test_the_same_seed_is_the_same_day_in_any_process() -> None:
     code = (
         "import hashlib; from onyxpass.emulator.policies import POLICIES; from onyxpass.emulator.topology import Site\n"
-        "from onyxpass.emulator.simulation import World\n"
-        "w = World(Site(rate=20.0, seconds=6.0), POLICIES['module'], 3); t = w.run()\n"
+        "from onyxpass.emulator.simulation import Simulation\n"
+        "w = Simulation(Site(rate=20.0, seconds=6.0), POLICIES['module'], 3); t = w.run()\n"
         "print(hashlib.sha256(repr((t, w.trace.events)).encode()).hexdigest())"
     )
     runs = [
@@ -187,32 +208,32 @@
         for salt in ("1", "2")
     ]
     assert runs[0] == runs[1] and len(runs[0].strip()) == hashlib.sha256().digest_size * 2
-    assert draw(SMALL, 1) == draw(SMALL, 1) != draw(SMALL, 2)
+    assert draw_turns(SMALL, 1) == draw_turns(SMALL, 1) != draw_turns(SMALL, 2)
 
 
 def test_a_policy_that_raises_or_asks_for_nonsense_ends_its_own_run_only() -> None:
-    class Raises(Random):
-        def reader(self, job: object, among: object) -> str:
+    class Raises(RandomPolicy):
+        def choose_reader(self, job: object, among: object) -> str:
             raise KeyError("x")
 
-    class Lost(Random):
-        def reader(self, job: object, among: object) -> str:
+    class Lost(RandomPolicy):
+        def choose_reader(self, job: object, among: object) -> str:
             return "nobody"
 
-    class Twice(Random):
+    class Twice(RandomPolicy):
         def handle(self, now_us: int, event: contract.Event) -> list[contract.Action]:
             return [action for action in super().handle(now_us, event) for _ in range(2)]
 
     for policy, why in ((Raises, "KeyError"), (Lost, "nobody"), (Twice, "may not go out")):
-        with pytest.raises(PolicyFault, match=why):
-            World(SMALL, policy, 1).run()
-    assert World(SMALL, Random, 1).run().served > 0
+        with pytest.raises(PolicyError, match=why):
+            Simulation(SMALL, policy, 1).run()
+    assert Simulation(SMALL, RandomPolicy, 1).run().served > 0
 
 
 def test_under_load_the_module_beats_chance_and_knowledge_bounds_both() -> None:
     site = replace(SMALL, rate=110.0, seconds=20.0)
     g = {
-        name: World(site, POLICIES.get(name), 2, traced=False).run().g
+        name: Simulation(site, POLICIES.get(name), 2, traced=False).run().g
         for name in ("module", "random", "")
     }
     assert g[""] >= g["module"] - 0.02 and g["module"] > g["random"] + 0.1, g
@@ -252,20 +273,20 @@
     path = tmp_path / "x.toml"
     path.write_text(EXPERIMENT)
     file = toml_config.read(ExperimentFile, path)
-    runs = runs_of(file)
+    runs = expand_runs(file)
     assert len(runs) == 12 and len({run.key for run in runs}) == 12
-    first = Rows(tmp_path / "one.db")
-    assert carry_out(runs[:5], first, 1) == 5  # killed here
-    assert carry_out(runs, first, 1) == 7 and carry_out(runs, first, 1) == 0
-    second = Rows(tmp_path / "two.db")
-    assert carry_out(runs, second, 2) == 12
+    first = ResultStore(tmp_path / "one.db")
+    assert execute_runs(runs[:5], first, 1) == 5  # killed here
+    assert execute_runs(runs, first, 1) == 7 and execute_runs(runs, first, 1) == 0
+    second = ResultStore(tmp_path / "two.db")
+    assert execute_runs(runs, second, 2) == 12
 
-    def measures(rows: Rows) -> list[dict[str, float]]:
+    def measures(rows: ResultStore) -> list[dict[str, float]]:
         return [{k: v for k, v in (rows.get(run) or {}).items() if k != "seconds"} for run in runs]
 
     assert measures(first) == measures(second)
-    found = compared(file, first)
-    assert [row.pairs for row in found] == [3, 3] and problems(runs, first) == []
+    found = compare_policies(file, first)
+    assert [row.pairs for row in found] == [3, 3] and failed_runs(runs, first) == []
     page = tmp_path / "x.html"
     made = ["report", str(path), "--rows", str(tmp_path / "one.db"), "--out", str(page)]
     assert CliRunner().invoke(lab_app, made).exit_code == 0
@@ -277,11 +298,11 @@
 
 
 def test_a_difference_is_called_noise_unless_the_interval_leaves_nothing_out() -> None:
-    low, high = interval([0.1, 0.12, 0.09, 0.11, 0.1])
+    low, high = bootstrap_interval([0.1, 0.12, 0.09, 0.11, 0.1])
     assert 0.08 < low < high < 0.13
-    low, high = interval([0.3, -0.3, 0.2, -0.1])
+    low, high = bootstrap_interval([0.3, -0.3, 0.2, -0.1])
     assert low < 0 < high
-    assert interval([1.0]) == (float("-inf"), float("inf"))
+    assert bootstrap_interval([1.0]) == (float("-inf"), float("inf"))
 
 
 @pytest.mark.parametrize(
