--- a/onyxpass/emulator/__init__.py
+++ b/onyxpass/emulator/__init__.py
@@ -1,3 +1,4 @@
-"""The proving ground: an emulator of what is balanced, in simulated time. The dispatcher never
-imports it.
+"""An emulator of servers, network and clients in simulated time, for comparing dispatch policies.
+
+The dispatcher never imports this package.
 """
--- a/onyxpass/emulator/capacity.py
+++ b/onyxpass/emulator/capacity.py
@@ -1,5 +1,6 @@
-"""The page on capacity, made from measured data: lines through sizes, drawn out, against the
-budgets.
+"""The capacity page, generated from measured data: fitted lines, extrapolated to the planned size.
+
+Each extrapolated value is compared with its budget where there is one.
 """
 
 import json
@@ -18,24 +19,20 @@
 
 REGIONS = 2
 CHANGES_PER_DAY, CHANGE_DEADLINE_S = 840, 12.0
-CPU_MS_PER_S, MEMORY_MB, BYTES_PER_S = 26.0, 32.0, 3_000.0  # of a dispatcher, for control
+CPU_MS_PER_S, MEMORY_MB, BYTES_PER_S = 26.0, 32.0, 3_000.0  # a dispatcher's budget for control
 TRANSFER_GB_PER_S = 2_900.0
 FAILED_PER_DAY, REPLACED_PER_DAY = 17, 58
-LIST_CHANGES_PER_DAY = 2 * (
-    FAILED_PER_DAY + REPLACED_PER_DAY
-)  # each leaves the list and comes back
+LIST_CHANGES_PER_DAY = 2 * (FAILED_PER_DAY + REPLACED_PER_DAY)  # each leaves the list and returns
 DAY_S = 86_400
-IDLE_CONNECTION_S = (
-    15.0  # for which replicas keep an idle connection in the trials' settings, assumed
-)
+IDLE_CONNECTION_S = 15.0  # for which replicas keep an idle connection: the trials' setting, assumed
 DISPATCHERS_PER_HOST = 6  # assumed
-REPLICAS_PER_RACK, ZONE_COUNT = 8, 6  # replicas that one rack's failure takes, assumed
-DISCOVERY_CALL_S = 0.2  # of a shared discovery, for one call: ``net/pacing.py``
+REPLICAS_PER_RACK, ZONE_COUNT = 8, 6  # replicas that one rack's failure removes: assumed
+DISCOVERY_CALL_S = 0.2  # time of one call at a shared discovery server: ``net/pacing.py``
 
 
 @dataclass(frozen=True, slots=True)
 class FittedMeasure:
-    """One row of a role's table."""
+    """One row of a role's table: a line fitted to a measure, evaluated at ``size``."""
 
     what: str
     grows_by: str
@@ -59,7 +56,7 @@
 
 
 class CapacityData:
-    """The committed runs."""
+    """The committed measurements."""
 
     def __init__(self, document: dict[str, Any]) -> None:
         self.machine: str = document["machine"]
@@ -92,7 +89,7 @@
 
 
 def role_measures(data: CapacityData) -> dict[str, list[FittedMeasure]]:
-    """The lines of each role's table."""
+    """Return the rows of each role's table."""
     servers, dispatchers = full_scale.REPLICAS, full_scale.DISPATCHERS
     dispatcher = [
         data.fitted(
@@ -237,7 +234,7 @@
 
 
 def markdown_table(measures: list[FittedMeasure]) -> str:
-    """Rows of Markdown."""
+    """Format fitted measures as a Markdown table."""
     rows = [
         "| what | grows by | measured at | constant | each | residual | at the size | budget | ratio |",
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- |",
@@ -255,7 +252,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlEvent:
-    """What one thing that happens costs one dispatcher on its watch."""
+    """What one event costs a dispatcher that watches the list."""
 
     what: str
     messages: int
@@ -263,7 +260,7 @@
 
 
 def events(change_bytes: float, restart_kb: float) -> list[ControlEvent]:
-    """Each replica that leaves or comes is one change of the list."""
+    """Return the events of the page; each replica that leaves or returns is one change of the list."""
     zone = full_scale.REPLICAS // ZONE_COUNT
     changes = (
         ("a replica's machine fails, and comes back", 2),
@@ -276,7 +273,7 @@
 
 
 def page_figures(data: CapacityData) -> dict[str, Any]:
-    """What the page's sentences need besides the tables."""
+    """Return the template's values other than the tables."""
     servers, dispatchers = full_scale.REPLICAS, full_scale.DISPATCHERS
     lists = data.run_at("list by dispatchers", dispatchers)
     configured = [
@@ -323,7 +320,11 @@
 
 
 def connections(servers: int, dispatchers: int) -> dict[str, float]:
-    """Of the data path: each request is two attempts, spread evenly over all pairs, by chance."""
+    """Estimate the connections of the data path.
+
+    Each request is two attempts, spread evenly and at random over all pairs of dispatcher and
+    replica.
+    """
     rate = full_scale.RATE / dispatchers
     gap_s = servers / (2 * rate)
     attempts = 2 * full_scale.RATE / servers
@@ -339,7 +340,7 @@
 
 
 def render_page(root: Path) -> str:
-    """The whole page; it depends on the committed data and nothing else."""
+    """Return the whole page, which depends on nothing but the committed data."""
     import jinja2
 
     data = CapacityData.read(root)
--- a/onyxpass/emulator/cli.py
+++ b/onyxpass/emulator/cli.py
@@ -1,4 +1,4 @@
-"""``onyxpass lab``: emulated days, one policy against others on the same traffic."""
+"""``onyxpass lab``: emulated runs that compare policies on the same traffic."""
 
 import json
 import os
@@ -26,14 +26,14 @@
 from onyxpass.emulator.topology import InjectedFault, Site
 from onyxpass.history_checkers.trace import breaches
 
-lab_app = typer.Typer(
-    no_args_is_help=True, help="Emulated days, to hold designs against each other."
-)
+lab_app = typer.Typer(no_args_is_help=True, help="Emulated runs to compare policies.")
 
 
 def parse_faults(texts: list[str]) -> tuple[InjectedFault, ...]:
-    """``cut:derby@20+10`` or ``flush:0.5@30``: what, hall, server or size, seconds from the
-    start, length.
+    """Parse faults such as ``cut:derby@20+10`` and ``flush:0.5@30``.
+
+    The parts are the kind; the hall, server or size; the start and the duration in seconds. Exits
+    with code 2 on a malformed one.
     """
     found = []
     for text in texts:
@@ -62,8 +62,12 @@
 
 @lab_app.command("day")
 def day(
-    policies: Annotated[list[str] | None, typer.Argument(help="None: all.")] = None,
-    rate: Annotated[float, typer.Option(min=0.1, max=100_000, help="First tries a second.")] = 60.0,
+    policies: Annotated[
+        list[str] | None, typer.Argument(help="Policies to run; all if none is named.")
+    ] = None,
+    rate: Annotated[
+        float, typer.Option(min=0.1, max=100_000, help="Requests per second, without retries.")
+    ] = 60.0,
     seconds: Annotated[float, typer.Option(min=1, max=86_400)] = 60.0,
     seed: int = 1,
     readers: Annotated[int, typer.Option(min=1, max=100_000)] = 6,
@@ -71,15 +75,20 @@
     mixed: Annotated[int, typer.Option(min=0, max=100_000)] = 2,
     dispatchers: Annotated[int, typer.Option(min=1, max=10_000)] = 4,
     trouble: Annotated[
-        list[str] | None, typer.Option(help="As cut:derby@20+10 or flush:0.5@30.")
+        list[str] | None,
+        typer.Option(help="Fault to inject, such as cut:derby@20+10 or flush:0.5@30."),
     ] = None,
-    as_json: Annotated[bool, typer.Option("--json", help="For programs.")] = False,
+    as_json: Annotated[
+        bool, typer.Option("--json", help="Print one JSON object per policy.")
+    ] = False,
 ) -> None:
-    """One day for each policy, on the same traffic: worth answered, ends, rules broken, pace."""
+    """Run each policy once on the same traffic; print worth answered, ends, violations and speed."""
     known = [*POLICIES, FULL_KNOWLEDGE]
     names = policies or known
     if unknown := [name for name in names if name not in known]:
-        typer.echo(f"onyxpass: no policy {unknown[0]!r}; there are {', '.join(known)}", err=True)
+        typer.echo(
+            f"onyxpass: no policy {unknown[0]!r}; known policies: {', '.join(known)}", err=True
+        )
         raise typer.Exit(2)
     faults = parse_faults(trouble or [])
     site = Site(readers, writers, mixed, dispatchers, rate=rate, seconds=seconds, faults=faults)
@@ -89,7 +98,8 @@
             found.hall and found.hall not in site.halls
         ):
             typer.echo(
-                f"onyxpass: trouble {found.what}: no {found.server or found.hall!r} here", err=True
+                f"onyxpass: trouble {found.what}: no {found.server or found.hall!r} on this site",
+                err=True,
             )
             raise typer.Exit(2)
     worst = 0
@@ -99,7 +109,7 @@
             simulation = Simulation(site, POLICIES.get(name), seed)
             tally = simulation.run()
         except PolicyError as problem:
-            typer.echo(f"{name}: its run ended: {problem}", err=True)
+            typer.echo(f"{name}: run ended with an error: {problem}", err=True)
             worst = 1
             continue
         elapsed_s = time.perf_counter() - began_s
@@ -119,13 +129,14 @@
             f"{fields[key]} {key}" for key in ("served", "refused", "failed", "gone", "late")
         )
         pace = f"{seconds / elapsed_s:.0f}x real time"
-        typer.echo(f"{name:16} G {tally.g:.3f}  {ends}, {len(broken)} rules broken; {pace}")
+        typer.echo(f"{name:16} G {tally.g:.3f}  {ends}, {len(broken)} violations; {pace}")
     raise typer.Exit(worst)
 
 
 ExperimentPath = Annotated[Path, typer.Argument(help="The experiment's TOML file.")]
 RowsPath = Annotated[
-    Path | None, typer.Option("--rows", help="The SQLite file of results; else beside it.")
+    Path | None,
+    typer.Option("--rows", help="SQLite file of the results; by default next to the experiment."),
 ]
 
 
@@ -143,16 +154,16 @@
     rows: RowsPath = None,
     workers: Annotated[int, typer.Option(min=1, max=256, help="Processes.")] = os.cpu_count() or 1,
 ) -> None:
-    """Play all days of an experiment that have not been played; killed, it goes on where it was."""
+    """Run what has no stored result; an interrupted experiment resumes."""
     found = read_experiment(file)
     runs, results = expand_runs(found), ResultStore(rows or file.with_suffix(".db"))
     with Progress(transient=True) as progress:
         bar = progress.add_task(found.name, total=len(runs))
         played = execute_runs(runs, results, workers, lambda _: progress.advance(bar))
-    typer.echo(f"{found.name}: {len(runs)} runs, {played} of them played now")
+    typer.echo(f"{found.name}: {len(runs)} runs, {played} of them run now")
     failed = failed_runs(runs, results)
     for text in failed:
-        typer.echo(f"ended by its policy: {text}", err=True)
+        typer.echo(f"run ended with an error: {text}", err=True)
     raise typer.Exit(1 if failed else 0)
 
 
@@ -162,12 +173,15 @@
     rows: RowsPath = None,
     measure: Annotated[str, typer.Option(help=f"One of {', '.join(MEASURES)}.")] = "g",
 ) -> None:
-    """Each policy against the baseline: the mean difference on the same days, its interval, or
-    noise.
+    """Compare each policy with the baseline: mean difference over the same seeds and its interval.
+
+    A difference is called noise where the interval contains zero or there are too few pairs.
     """
     found = read_experiment(file)
     if measure not in MEASURES:
-        typer.echo(f"onyxpass: no measure {measure!r}; there are {', '.join(MEASURES)}", err=True)
+        typer.echo(
+            f"onyxpass: no measure {measure!r}; known measures: {', '.join(MEASURES)}", err=True
+        )
         raise typer.Exit(2)
     for row in compare_policies(found, ResultStore(rows or file.with_suffix(".db")), measure):
         where = ", ".join(f"{key} {value:g}" for key, value in row.point) or "base"
@@ -183,10 +197,11 @@
     file: ExperimentPath,
     rows: RowsPath = None,
     out: Annotated[
-        Path | None, typer.Option("--out", help="The page; else beside the experiment.")
+        Path | None,
+        typer.Option("--out", help="HTML file to write; by default next to the experiment."),
     ] = None,
 ) -> None:
-    """One self-contained HTML page of what has been played."""
+    """Write the stored results as one self-contained HTML page."""
     from onyxpass.emulator.report import write_report
 
     found, path = read_experiment(file), out or file.with_suffix(".html")
@@ -196,12 +211,10 @@
 
 @lab_app.command("logs")
 def logs(
-    folder: Annotated[Path, typer.Argument(help="Holds one *.log file for each dispatcher.")],
-    step: Annotated[float, typer.Option(min=0.1, max=86_400, help="Seconds a column.")] = 5.0,
+    folder: Annotated[Path, typer.Argument(help="Folder with one *.log file per dispatcher.")],
+    step: Annotated[float, typer.Option(min=0.1, max=86_400, help="Seconds per column.")] = 5.0,
 ) -> None:
-    """Count what all dispatchers of a fleet logged, together, by reason and time; and reads by
-    reader.
-    """
+    """Count the log lines of all dispatchers together by reason and time, and prefills by reader."""
     from onyxpass.emulator.log_summary import summarize_logs
 
     tables = summarize_logs(folder, step)
@@ -210,4 +223,4 @@
         raise typer.Exit(2)
     for row in tables.rows():
         typer.echo(row)
-    typer.echo(f"{tables.files} files, {tables.skipped} lines that are no log lines")
+    typer.echo(f"{tables.files} files, {tables.skipped} lines that are not log lines")
--- a/onyxpass/emulator/compare.py
+++ b/onyxpass/emulator/compare.py
@@ -1,6 +1,4 @@
-"""Policies held against a baseline on the same days: paired differences, and what of them is
-noise.
-"""
+"""Comparison of policies with a baseline: paired differences over runs with the same seeds."""
 
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
@@ -16,8 +14,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PairedDifference:
-    """Of one measure at one point: the policy's less the baseline's, over the seeds that both
-    have played.
+    """The difference of one measure between a policy and the baseline, at one point of the axes.
+
+    It is taken over the seeds for which both have results. ``low`` and ``high`` bound the mean.
     """
 
     policy: str
@@ -31,12 +30,15 @@
 
     @property
     def noise(self) -> bool:
-        """Whether no difference at all lies within the interval, or there is too little to say."""
+        """Whether the interval contains zero or there are fewer than three pairs."""
         return self.pairs < 3 or self.low <= 0.0 <= self.high
 
 
 def bootstrap_interval(values: Sequence[float], seed: int = 1) -> tuple[float, float]:
-    """A bootstrap interval of the mean; the same for the same values."""
+    """Return a bootstrap interval of the mean; it is the same for the same values and seed.
+
+    Fewer than two values give an infinite interval.
+    """
     if len(values) < 2:
         return float("-inf"), float("inf")
     generator = np.random.default_rng(seed)
@@ -86,7 +88,7 @@
 
 
 def failed_runs(runs: Iterable[ExperimentRun], results: ResultStore) -> list[str]:
-    """Runs that a policy's fault has ended."""
+    """Describe the runs that ended with a policy error."""
     descriptions = []
     for run in runs:
         row = results.get(run)
--- a/onyxpass/emulator/decision_cost.py
+++ b/onyxpass/emulator/decision_cost.py
@@ -1,5 +1,6 @@
-"""What choosing costs: one real module before a fleet whose servers answer at once, on an
-emulated clock.
+"""Measurement of the processor time of a decision.
+
+One real router runs on an emulated clock; its servers answer after fixed durations.
 """
 
 import gc
@@ -17,12 +18,12 @@
     200_000,
     60_000,
     4_000_000,
-)  # of a request, on an unloaded server
+)  # durations on an unloaded server
 
 
 @dataclass(frozen=True, slots=True)
 class DecisionCost:
-    """``us_a_request``: processor time of the module for one request, from arrival to its end."""
+    """``us_a_request``: processor time per request in microseconds, the load generator included."""
 
     servers: int
     routers: int
@@ -33,7 +34,7 @@
 def measure_decision_cost(
     servers: int, routers: int, rate: float, seconds: float, seed: int
 ) -> DecisionCost:
-    """``rate``: requests a second that this one module gets. Two in five servers read."""
+    """Measure one router that receives ``rate`` requests per second; 40% of the servers are readers."""
     readers = round(0.4 * servers)
     site = Site(readers, servers - readers, 0, dispatchers=routers)
     load = _DecisionLoad(Router(site.settings(0), seed), random.Random(seed), site)
@@ -49,7 +50,7 @@
 
 
 class _DecisionLoad:
-    """Feeds the module; no work of its own but a queue of events."""
+    """Generates requests and attempt outcomes for the router, in simulated time."""
 
     def __init__(self, router: Router, generator: random.Random, site: Site) -> None:
         self.router, self.generator, self.site = router, generator, site
--- a/onyxpass/emulator/events.py
+++ b/onyxpass/emulator/events.py
@@ -1,7 +1,8 @@
-"""Simulated time: a queue of events with one stated order.
+"""Simulated time: an event queue with a deterministic order.
 
-At one instant, events happen by their rank, and those of one rank in the order in which they were
-put. So a run is the same on any machine and in any number of processes.
+Events with the same time run in the order of their rank, and events with the same time and rank in
+the order in which they were scheduled. A run is therefore the same on any machine and in any number
+of processes.
 """
 
 import heapq
@@ -10,17 +11,17 @@
 
 
 class Rank(IntEnum):
-    """What comes first at one instant."""
+    """Order of events with the same time; the lowest value runs first."""
 
-    FAULT = 0  # the world changes before anybody acts in it
-    SERVER = 1  # work ends
-    NETWORK = 2  # messages arrive
+    FAULT = 0  # injected faults apply before anything else happens
+    SERVER = 1  # a server finishes work
+    NETWORK = 2  # a message arrives
     TIMER = 3
-    CLIENT = 4  # new work comes last
+    CLIENT = 4  # a client sends or withdraws a request
 
 
 class ScheduledEvent:
-    """One event that may be called off."""
+    """A scheduled callback that can be cancelled."""
 
     __slots__ = ("callback", "cancelled")
 
@@ -32,11 +33,15 @@
 
 
 class EventQueue:
-    """``now_us``: whole microseconds. Nothing is ever put before it."""
+    """Runs callbacks in simulated time.
+
+    ``now_us`` is the current time in whole microseconds. An event that is scheduled for an earlier
+    time runs at ``now_us``.
+    """
 
     def __init__(self) -> None:
         self.now_us = 0
-        self.executed_count = 0  # events that have happened
+        self.executed_count = 0  # events run, cancelled ones not counted
         self._order = 0
         self._heap: list[tuple[int, int, int, ScheduledEvent]] = []
 
@@ -52,7 +57,7 @@
         return self.schedule_at(self.now_us + max(0, round(delay_us)), rank, callback)
 
     def run(self, until_us: int) -> None:
-        """Let all happen up to and with ``until_us``."""
+        """Run all events up to and including ``until_us``, and advance ``now_us`` to it."""
         while self._heap and self._heap[0][0] <= until_us:
             self.now_us, _, _, event = heapq.heappop(self._heap)
             if not event.cancelled:
--- a/onyxpass/emulator/experiment.py
+++ b/onyxpass/emulator/experiment.py
@@ -1,8 +1,8 @@
-"""Experiments from a file: a base, axes that vary, seeds and policies; each run once, whatever
-is killed.
+"""Experiments from a file: base values, axes that vary, seeds and policies.
 
-Rows go into an SQLite file, one transaction a run, under the digest of all that the run depends on.
-So an experiment that was cut off goes on where it was, and a row that is there is a whole one.
+Results are stored in an SQLite file, one transaction per run, under a digest of the run's
+parameters. An interrupted experiment therefore resumes with the missing runs, and each stored
+result is complete.
 """
 
 import hashlib
@@ -54,7 +54,7 @@
 class ExperimentFile(toml_config.Model):
     name: str
     policies: Annotated[list[str], Field(min_length=1)]
-    baseline: str  # the policy that the others are held against
+    baseline: str  # the policy that the others are compared with
     seeds: Annotated[list[int], Field(min_length=1)]
     base: dict[str, PositiveNumber] = Field(default_factory=dict)
     axes: dict[str, Annotated[list[PositiveNumber], Field(min_length=1)]] = Field(
@@ -71,7 +71,7 @@
                     f"no policy {name!r}{toml_config.suggestion(name, known)}",
                 )
         if self.baseline not in self.policies:
-            yield ("baseline",), f"baseline {self.baseline!r} is none of the policies"
+            yield ("baseline",), f"baseline {self.baseline!r} is not one of the policies"
         for table, keys in (("base", self.base), ("axes", self.axes)):
             for key in keys:
                 if key not in AXES:
@@ -80,16 +80,16 @@
             if fault.what not in ("lag", "flush", "hot", "cut", "flap", "crash", "slow"):
                 yield ("troubles", number, "what"), f"no trouble {fault.what!r}"
         if len(set(self.seeds)) < len(self.seeds):
-            yield ("seeds",), "a seed stands there twice"
+            yield ("seeds",), "a seed is listed twice"
 
 
 @dataclass(frozen=True, slots=True)
 class ExperimentRun:
-    """One day of one policy."""
+    """One run of one policy with one seed."""
 
     policy: str
     seed: int
-    point: tuple[tuple[str, float], ...]  # of the axes
+    point: tuple[tuple[str, float], ...]  # values of the axes
     base: tuple[tuple[str, float], ...]
     troubles: tuple[InjectedFault, ...]
 
@@ -107,7 +107,7 @@
 
 
 def expand_runs(file: ExperimentFile) -> list[ExperimentRun]:
-    """All of them, in a fixed order."""
+    """Return all runs of an experiment in a fixed order."""
     names = sorted(file.axes)
     troubles = tuple(InjectedFault(**table.model_dump()) for table in file.troubles)
     runs = []
@@ -121,7 +121,7 @@
 
 
 def execute_run(run: ExperimentRun) -> dict[str, float | str]:
-    """A run's measures. One whose policy fails has its reason in place of them."""
+    """Return the measures of a run, or only ``problem`` with the reason where the policy failed."""
     began_s = time.perf_counter()
     try:
         simulation = Simulation(run.site(), POLICIES.get(run.policy), run.seed)
@@ -145,7 +145,7 @@
 
 
 class ResultStore:
-    """The results of experiments, by run."""
+    """The stored results, by run."""
 
     def __init__(self, path: Path) -> None:
         self.db = sqlite3.connect(str(path), isolation_level=None)
@@ -179,7 +179,10 @@
     workers: int,
     done: Callable[[ExperimentRun], None] = lambda _: None,
 ) -> int:
-    """Play what has no row yet; how many that were."""
+    """Run what has no stored result; return the number of these runs.
+
+    ``done`` is called for each run, stored before or now.
+    """
     missing = []
     for run in runs:
         if results.get(run) is None:
--- a/onyxpass/emulator/full_scale.py
+++ b/onyxpass/emulator/full_scale.py
@@ -1,4 +1,4 @@
-"""The size that is coming, or a part of it, as a site to emulate; and what a run of it tells."""
+"""The planned full-size site, or a fraction of it, for the emulator; and the results of a run."""
 
 import resource
 import time
@@ -11,23 +11,23 @@
 from onyxpass.emulator.topology import CLASSES, MIXED, READER, WRITER, InjectedFault, Site
 
 REPLICAS, DISPATCHERS, RATE = 600, 370, 3_000.0
-READER_SHARE = 0.4  # of the replicas
+READER_SHARE = 0.4  # share of the replicas that are readers
 TENANTS = 4_000
-FIRST_TOKEN_US, TOKEN_US = 1_100_000, 25_000  # the aims, for 95 in 100
+FIRST_TOKEN_US, TOKEN_US = 1_100_000, 25_000  # objectives for 95% of the requests
 ZONES = tuple(f"{region}/{zone}" for region in ("north", "south") for zone in ("a", "b", "c"))
-# for each pair of dispatcher and server; half of it was measured at the whole size
+# per pair of dispatcher and server; half of it was measured at full size
 MB_PER_PAIR = 0.002
 MB_BASE = 120.0
-MB_PER_PROCESS = 50.0  # the largest of ours, a node or an agent, measured
+MB_PER_PROCESS = 50.0  # of a node or an agent, whichever is larger
 
 
 class MemoryLimitError(ValueError):
-    """A run that would not fit into the memory that it may take."""
+    """A run would need more memory than it may use."""
 
 
 @dataclass(frozen=True, slots=True)
 class ScaleResult:
-    """``moved``: share of the hand-over's tokens by how far they went."""
+    """Results of a run. ``moved``: share of the transferred state tokens by distance."""
 
     replicas: int
     dispatchers: int
@@ -45,7 +45,7 @@
 
 
 def scaled_site(fraction: float, seconds: float, faults: tuple[InjectedFault, ...] = ()) -> Site:
-    """A part of the whole size: servers, dispatchers and requests shrink alike."""
+    """Return a site with this fraction of the full size's servers, dispatchers and requests."""
     replicas = max(8, round(REPLICAS * fraction))
     readers = round(READER_SHARE * replicas)
     classes = tuple(
@@ -77,41 +77,47 @@
 
 
 def estimate_mb(site: Site) -> float:
-    """What a run takes: mostly each dispatcher's view of each server."""
+    """Estimate the memory of a run: mostly each dispatcher's view of each server."""
     servers = site.readers + site.writers + site.mixed
     return MB_BASE + MB_PER_PAIR * servers * site.dispatchers
 
 
 def check_memory(site: Site, max_mb: float) -> None:
-    """TooLarge, with what would fit, before anything is made."""
+    """Raise MemoryLimitError, with the fraction that would fit, where a run needs too much memory."""
     if (needed_mb := estimate_mb(site)) <= max_mb:
         return
     fraction = max(0.0, (max_mb - MB_BASE) / (needed_mb - MB_BASE)) ** 0.5
     raise MemoryLimitError(
-        f"{site.dispatchers} dispatchers and {site.readers + site.writers} servers need some {needed_mb:.0f} MB, "
+        f"{site.dispatchers} dispatchers and {site.readers + site.writers} servers need about {needed_mb:.0f} MB, "
         f"{max_mb:.0f} may be used; {fraction:.2f} of the size on each side would fit"
     )
 
 
 def check_processes(count: int, max_mb: float | None = None) -> None:
-    """TooLarge, with what would fit, where so many processes of ours are too many."""
+    """Raise MemoryLimitError, with the number that would fit, for too many processes.
+
+    The limit is half of the machine's memory where ``max_mb`` is None.
+    """
     max_mb = half_of_memory_mb() if max_mb is None else max_mb
     if count * MB_PER_PROCESS > max_mb:
         process_limit = int(max_mb // MB_PER_PROCESS)
         raise MemoryLimitError(
-            f"{count} processes need some {count * MB_PER_PROCESS:.0f} MB; {process_limit} would fit"
+            f"{count} processes need about {count * MB_PER_PROCESS:.0f} MB; {process_limit} would fit"
         )
 
 
 def half_of_memory_mb() -> float:
-    """Half of this machine's memory."""
+    """Return half of this machine's memory in MB."""
     with open("/proc/meminfo", encoding="ascii") as lines:
         total_kb = next(int(line.split()[1]) for line in lines if line.startswith("MemTotal:"))
     return total_kb / 1024 / 2
 
 
 def run_site(site: Site, seed: int, max_mb: float | None = None) -> ScaleResult:
-    """Run it; TooLarge before it starts where it does not fit."""
+    """Run a site with the router; raise MemoryLimitError before the start where it does not fit.
+
+    The limit is half of the machine's memory where ``max_mb`` is None.
+    """
     check_memory(site, half_of_memory_mb() if max_mb is None else max_mb)
     began_s = time.perf_counter()
     simulation = Simulation(site, POLICIES["module"], seed, traced=False)
--- a/onyxpass/emulator/linear_fit.py
+++ b/onyxpass/emulator/linear_fit.py
@@ -1,16 +1,16 @@
-"""Straight lines through measured sizes, and how far they may be drawn out."""
+"""Least-squares lines through measurements at several sizes, and their range of validity."""
 
 import math
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-MAX_EXTRAPOLATION = 2.0  # times the largest measured size that a line may be drawn out
+MAX_EXTRAPOLATION = 2.0  # multiple of the largest measured size up to which a line may be used
 MIN_SIZES = 4
 
 
 @dataclass(frozen=True, slots=True)
 class Point:
-    """One run: a size and what was measured at it."""
+    """One measurement at one size."""
 
     size: float
     value: float
@@ -18,8 +18,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LinearFit:
-    """``constant + each * size``. ``residual``: root mean square of what the line misses, over
-    the mean.
+    """The line ``intercept + slope * size``.
+
+    ``residual``: root mean square error divided by the absolute mean of the values.
     """
 
     intercept: float
@@ -31,14 +32,16 @@
         return self.intercept + self.slope * size
 
     def covers(self, size: float) -> bool:
-        """Whether the measured sizes allow a word on this one."""
+        """Return whether the size is at most twice the largest measured size."""
         return size <= MAX_EXTRAPOLATION * self.largest
 
 
 def fit(points: Sequence[Point]) -> LinearFit:
-    """Least squares; ValueError with fewer than four sizes."""
+    """Fit a line by least squares; raise ValueError with fewer than four different sizes."""
     if len({point.size for point in points}) < MIN_SIZES:
-        raise ValueError(f"{MIN_SIZES} sizes are needed, there are {len({p.size for p in points})}")
+        raise ValueError(
+            f"{MIN_SIZES} different sizes are needed, got {len({p.size for p in points})}"
+        )
     count = len(points)
     mean_size = sum(point.size for point in points) / count
     mean = sum(point.value for point in points) / count
--- a/onyxpass/emulator/log_summary.py
+++ b/onyxpass/emulator/log_summary.py
@@ -1,6 +1,4 @@
-"""What all dispatchers of a fleet logged, counted together by reason and time: no log is looked
-at alone.
-"""
+"""Counts of the log lines of all dispatchers of a fleet together, by reason and time."""
 
 import json
 import re
@@ -15,19 +13,19 @@
 FINAL_EVENTS = ("served", "refused", "failed", "client_gone", "overdue")
 VARIABLE_PARTS = re.compile(
     r"\(kept for \d+ ms\)|\('[^']*', \d+\)|\b\d+ ms\b"
-)  # parts of a reason that tell no reason
+)  # parts of a reason that differ from line to line
 
 
 @dataclass(slots=True)
 class LogSummary:
-    """``counts``: table, then reason, then the step's beginning in seconds."""
+    """``counts``: by table, by reason, by the start of the time step in seconds."""
 
     step_s: float
     counts: dict[str, dict[str, Counter[float]]] = field(default_factory=dict)
-    # ms, by reader
+    # Prefill durations in milliseconds, by reader.
     prefills_ms: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
     files: int = 0
-    skipped: int = 0  # lines that are no log lines
+    skipped: int = 0  # lines that are not log lines
 
     def add(self, at_s: float, fields: dict[str, Any]) -> None:
         step = at_s // self.step_s * self.step_s
@@ -74,8 +72,9 @@
 
 
 def parse_line(text: str) -> tuple[float | None, datetime | None, dict[str, Any]] | None:
-    """A line's time, by a number before it or else by its own clock, and what it tells; None: no
-    log line.
+    """Return the seconds or the timestamp of a line, and its fields; None if it is not a log line.
+
+    A number before the JSON object is its time in seconds; without one its ``timestamp`` is used.
     """
     before, brace, rest = text.partition("{")
     try:
@@ -88,8 +87,9 @@
 
 
 def summarize_logs(folder: Path, step_s: float = 5.0) -> LogSummary:
-    """Count all ``*.log`` files of a folder; times without a number before them count from the
-    earliest.
+    """Count the lines of all ``*.log`` files of a folder.
+
+    Lines with only a timestamp are placed by their distance to the earliest timestamp.
     """
     summary, by_clock = LogSummary(step_s), list[tuple[datetime, dict[str, Any]]]()
     for path in sorted(folder.glob("*.log")):
--- a/onyxpass/emulator/policies.py
+++ b/onyxpass/emulator/policies.py
@@ -1,8 +1,8 @@
-"""Plain policies behind the contract of the decision module, to hold it against.
+"""Simple policies with the router's interface, for comparison with the router.
 
-Each decides only who reads and who writes. What they have in common is as plain: a further attempt
-elsewhere while there is time, never of what may have run and must not run twice, and a refusal
-where nobody is left.
+Each policy only chooses the reader and the writer. The rest is common to all: a failed attempt is
+repeated, on another server if there is one, unless the request may have run and is not idempotent.
+A request is refused when no server is up or its attempts or its time are used up.
 """
 
 import random
@@ -18,7 +18,7 @@
 
 
 class Policy(Protocol):
-    """What an emulated dispatcher asks, as it asks the module."""
+    """The interface between an emulated dispatcher and a policy; ``Router`` has it too."""
 
     def handle(self, now_us: int, event: contract.Event) -> list[contract.Action]: ...
 
@@ -32,7 +32,10 @@
 
 
 class BaselinePolicy:
-    """``reader`` and ``writer`` choose among servers that are up, sorted by id."""
+    """The common part of the simple policies.
+
+    ``choose_reader`` and ``choose_writer`` choose among servers that are up, sorted by id.
+    """
 
     def __init__(self, settings: contract.Settings, seed: int) -> None:
         self.settings, self.generator = settings, random.Random(seed)
@@ -166,7 +169,7 @@
 
 
 class LeastInFlight(BaselinePolicy):
-    """By this dispatcher's own sends; ties by chance."""
+    """Chooses the server with the fewest attempts of this dispatcher; ties are broken at random."""
 
     def choose_reader(self, request: PolicyRequest, candidates: Sequence[str]) -> str:
         lowest = min(self.in_flight.get(name, 0) for name in candidates)
@@ -178,8 +181,9 @@
 
 
 class PrefixHash(LeastInFlight):
-    """Reads by a consistent hash of the shared text, or of the session; writes to the least in
-    flight.
+    """Chooses the reader by rendezvous hashing of the prefix, or of the session without one.
+
+    The writer is the one with the fewest attempts in flight.
     """
 
     class HashCandidate:
@@ -201,10 +205,9 @@
 
 
 class FullKnowledge(BaselinePolicy):
-    """Sees the true state of all servers: whom it takes is done first. No real dispatcher can
-    know that.
+    """Chooses by the true state of all servers, which no real dispatcher can know.
 
-    ``waits``: microseconds till a server would have read this, or begun to answer it.
+    ``load_score`` returns how loaded a server is for a request; the lowest score is chosen.
     """
 
     def __init__(
--- a/onyxpass/emulator/processor_sharing.py
+++ b/onyxpass/emulator/processor_sharing.py
@@ -1,8 +1,8 @@
-"""Capacity that is shared evenly, by virtual time: a change costs O(log n), and no job is touched.
+"""Processor sharing by virtual time: a change costs O(log n) and updates no other job.
 
-While ``n`` jobs are open each is served at ``rate(n)`` units a second. Virtual time counts the
-units that every job has been served since the start; a job that joins at ``v`` with ``size`` is
-done at ``v + size``.
+While ``n`` jobs are open, each is served ``rate(n)`` units per second. Virtual time counts the units
+that a job open since the start would have been served; a job of ``size`` units that is added at
+virtual time ``v`` is done at ``v + size``.
 """
 
 import heapq
@@ -20,7 +20,11 @@
 
 
 class SharedCapacity:
-    """``rate``: units a second for each of ``n`` jobs. It is asked again after each change."""
+    """Capacity that the open jobs share evenly.
+
+    ``rate(n)`` returns the units per second for each of ``n`` jobs; it is called again after each
+    change.
+    """
 
     def __init__(self, queue: EventQueue, rate: Callable[[int], float]) -> None:
         self.queue, self.rate = queue, rate
@@ -46,7 +50,7 @@
         return job
 
     def remove(self, job: ServiceJob) -> float:
-        """Take a job out; units that it had been served."""
+        """Remove a job; return the units it was served, 0 where it had ended or been removed before."""
         if job.removed:
             return 0.0
         self._advance()
@@ -57,12 +61,12 @@
         return served
 
     def served(self, job: ServiceJob) -> float:
-        """Units that an open job has been served."""
+        """Return the units that an open job has been served."""
         self._advance()
         return min(self.virtual_time, job.end) - job.start
 
     def update_rate(self) -> None:
-        """The rate may be another now."""
+        """Apply the current rate and reschedule the end of the next job."""
         self._advance()
         if self._next_event is not None:
             self._next_event.cancel()
@@ -72,8 +76,8 @@
         self._current_rate = self.rate(self.open_count) if self.open_count else 0.0
         if self._heap and self._current_rate > 0:
             remaining = max(0.0, self._heap[0][0] - self.virtual_time)
-            # Upwards: guards against an event that is due at once, finds a rest, and is due at once
-            # again.
+            # Rounding down could leave a remainder at the event's time, so that the next event is due
+            # at the same time, without end.
             self._next_event = self.queue.schedule_after(
                 math.ceil(remaining / self._current_rate * 1e6), Rank.SERVER, self._finish_due_jobs
             )
--- a/onyxpass/emulator/report.py
+++ b/onyxpass/emulator/report.py
@@ -1,4 +1,4 @@
-"""One page of an experiment: plots and tables in a single HTML file that needs nothing else."""
+"""The report of an experiment: plots and tables in one self-contained HTML file."""
 
 import base64
 import io
@@ -22,8 +22,8 @@
 
 PLOTTED = ("g", "worst_10s", "late", "refused")
 TITLES = {
-    "g": "G: worth answered in time, of the worth asked for",
-    "worst_10s": "G of the worst ten seconds",
+    "g": "G: worth answered, as a share of the worth asked for",
+    "worst_10s": "G in the worst ten seconds",
     "late": "requests served late",
     "refused": "requests refused",
 }
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cell:
-    """One policy at one point: the mean over seeds, and its interval."""
+    """The mean of a measure over runs, and its interval."""
 
     mean: float
     low: float
@@ -59,8 +59,9 @@
 
 
 def plot(file: ExperimentFile, results: ResultStore, axis: str, measure: str) -> Plot:
-    """One line a policy over an axis; all other axes and seeds are averaged, the band is the
-    interval.
+    """Plot a measure over an axis, one line per policy, averaged over other axes and seeds.
+
+    The band is the interval of the mean.
     """
     figure, axes = plt.subplots(figsize=(7.0, 3.6), dpi=110)
     for policy in file.policies:
@@ -95,7 +96,7 @@
 
 
 def write_report(file: ExperimentFile, results: ResultStore, path: Path) -> None:
-    """The whole page. An experiment without axes has tables only."""
+    """Write the report to ``path``; without axes it has tables only."""
     runs = expand_runs(file)
     plots = [
         plot(file, results, axis, measure) for axis in sorted(file.axes) for measure in PLOTTED
--- a/onyxpass/emulator/servers.py
+++ b/onyxpass/emulator/servers.py
@@ -1,9 +1,10 @@
-"""Emulated servers: readers that read first come first served, writers that answer many at once.
+"""Emulated servers: readers prefill prompts, writers decode answers.
 
-A reader's prompt is read from where the text that it has kept ends. A writer works in steps, and in
-each step every open answer gets a token; a step takes longer the more answers run in it and the
-longer their contexts are. A state moves from reader to writer over the reader's port or its cell's
-link, shared evenly.
+A reader prefills one prompt at a time, first come first served, and skips the prefix that is in its
+cache. A writer works in steps: each step produces one token of every open answer, and takes longer
+the more answers are open and the longer their contexts are. A prefill state is transferred from the
+reader to the writer over the reader's port or, out of the cell, over the cell's link; concurrent
+transfers share the bandwidth evenly.
 """
 
 import math
@@ -23,7 +24,7 @@
 
 
 class TransferDistance(Enum):
-    """How far a state moves: the widest boundary that it crosses."""
+    """The widest boundary that a state transfer crosses; the values are names in the results."""
 
     SAME_SERVER = "same server"
     SAME_CELL = "same cell"
@@ -33,7 +34,7 @@
 
 
 def region_of(zone: str) -> str:
-    """A zone is named ``region/zone`` where there are several regions."""
+    """Return the region of a zone named ``region/zone``; empty for a zone without a region."""
     return zone.partition("/")[0] if "/" in zone else ""
 
 
@@ -55,55 +56,54 @@
 
 @dataclass(eq=False, slots=True)
 class ServerRequest:
-    """One request as servers see it. ``id`` names it at its dispatcher only; ``key`` is the
-    whole world's.
-    """
+    """One request as servers see it; ``key`` is unique in the whole simulation."""
 
     key: str
     session: str
     prefix: str | None
     prompt_tokens: int
     prefix_tokens: int
-    output_tokens: int  # tokens of its answer, which nobody is told
+    output_tokens: int  # length of the answer, which is known to the emulator only
     traffic_class: str
 
 
 @dataclass(eq=False, slots=True)
 class ServerAttempt:
-    """One attempt at one server. ``ended`` is told once; ``first`` when the first token leaves."""
+    """One attempt at one server.
+
+    ``on_end`` is called once at most; ``on_first_token`` when the first token is sent.
+    """
 
     request: ServerRequest
     on_end: Callable[[AttemptStatus, int], None]
     on_first_token: Callable[[], None]
     closed: bool = False
-    streaming: bool = False  # its answer streams
+    streaming: bool = False  # the answer has begun to stream
     decode_job: ServiceJob | None = None
     transfer_job: ServiceJob | None = None
     link: SharedCapacity | None = None
     timer: ScheduledEvent | None = None
-    produced_tokens: int = 0  # tokens of its answer, when it went back into the queue
+    produced_tokens: int = 0  # tokens decoded before it was evicted
     context_tokens: int = 0
 
 
 @dataclass(eq=False, slots=True)
 class PrefillState:
-    """What a read has left: in its reader's memory till a writer has fetched it, or it is let
-    go.
-    """
+    """A prefill result, in its reader's memory until a writer has fetched it or it is released."""
 
     reader: "Server"
     tokens: int
 
 
 class PrefixCache:
-    """Texts that a reader has kept, the least recently used go first."""
+    """Cached prompt prefixes of a server; the least recently used are evicted first."""
 
     def __init__(self, max_tokens: int) -> None:
         self.max_tokens, self.total_tokens = max_tokens, 0
         self.entries: OrderedDict[str, int] = OrderedDict()
 
     def cached_tokens(self, request: ServerRequest) -> int:
-        """Tokens from the prompt's beginning on that need not be read."""
+        """Return how many tokens at the start of the prompt are cached; at least one is not."""
         best = 0
         for key, limit in (
             ("s" + request.session, request.prompt_tokens),
@@ -126,7 +126,11 @@
 
 
 class Server:
-    """``states``: of the whole world, by request. ``links``: of each cell, for moves out of it."""
+    """An emulated reader, writer or mixed server.
+
+    ``states``: prefill states of all servers, by request key. ``links``: by cell, the link for
+    transfers out of the cell.
+    """
 
     def __init__(
         self,
@@ -140,38 +144,32 @@
         self.queue, self.site, self.kind, self.endpoint = queue, site, kind, endpoint
         self.states, self.links = states, links
         self.up, self.overloaded = True, False
-        self.slowdown = 1.0  # how many times as long everything takes
+        self.slowdown = 1.0  # factor on the duration of all work
         self.started_us: int | None = None
-        self.recent_work_s, self.work_updated_us = (
-            0.0,
-            0,
-        )  # sent lately, for the rule on cold servers
+        # Decaying sum of the work received while cold, in seconds at full speed.
+        self.recent_work_s, self.work_updated_us = 0.0, 0
         self.prefix_cache = PrefixCache(kind.memory_tokens)
-        self.state_tokens = 0  # tokens of states that wait here
+        self.state_tokens = 0  # tokens of prefill states in its memory
         self.prefill_queue: deque[ServerAttempt] = deque()
         self.prefilling: ServerAttempt | None = None
         self.port = SharedCapacity(queue, lambda n: site.port_rate / n)
         self.decode_capacity = SharedCapacity(queue, self._token_rate)
-        self.decoding: dict[ServerAttempt, None] = {}  # in the order in which they began
-        self.context_tokens = (
-            0.0  # tokens of all contexts, less those that are still to be produced
-        )
-        self.preparing: dict[
-            ServerAttempt, None
-        ] = {}  # their state is on its way, or they are read anew
+        self.decoding: dict[ServerAttempt, None] = {}  # in order of their start
+        # Sum over the open answers of the context length at the start of decoding minus the virtual
+        # time at that moment; ``_used_tokens`` adds the present virtual time of each.
+        self.context_tokens = 0.0
+        # Attempts whose state is being transferred or whose prefill is repeated.
+        self.preparing: dict[ServerAttempt, None] = {}
         self.overflow_event: ScheduledEvent | None = None
         self.prefill_count = self.repeated_prefill_count = self.decoded_tokens = 0
-        self.transferred_tokens = Counter[
-            TransferDistance
-        ]()  # tokens of states fetched, by how far they came
-        self.decode_queue: deque[ServerAttempt] = (
-            deque()
-        )  # at a writer: waiting for a slot and memory
+        self.transferred_tokens = Counter[TransferDistance]()
+        # Attempts that wait for a decode slot and for memory.
+        self.decode_queue: deque[ServerAttempt] = deque()
 
     # Speed
 
     def speed_factor(self) -> float:
-        """Of its full speed, now: a cold one is slow."""
+        """Return the present speed as a share of full speed; it rises linearly during warm-up."""
         if self.started_us is None:
             return 1.0 / self.slowdown
         age = (self.queue.now_us - self.started_us) / self.site.warmup_us
@@ -181,7 +179,7 @@
         return warmth / self.slowdown
 
     def _token_rate(self, n: int) -> float:
-        """Tokens a second for each of ``n`` answers."""
+        """Return the tokens per second of each of ``n`` open answers."""
         context_tokens = self.context_tokens + n * self.decode_capacity.virtual_time
         step_us = (
             self.kind.step_us
@@ -190,10 +188,10 @@
         )
         return 1e6 / step_us * self.speed_factor()
 
-    # What dispatchers send
+    # Attempts from dispatchers
 
     def receive(self, attempt: ServerAttempt) -> None:
-        """The last byte of an attempt has come."""
+        """Accept an attempt whose last byte has arrived, or end it at once."""
         if not self.up or self.overloaded:
             attempt.on_end(AttemptStatus.UNREACHABLE, 0)
             return
@@ -206,8 +204,9 @@
             self._enqueue_prefill(attempt)
 
     def _check_cold_overload(self, attempt: ServerAttempt) -> None:
-        """A cold server falls over at more than a multiple of its present speed, as the rule
-        says.
+        """Crash a cold server that receives more work than a multiple of its present speed.
+
+        It stays unreachable until it is started again.
         """
         if self.started_us is None or self.queue.now_us - self.started_us >= self.site.warmup_us:
             return
@@ -254,7 +253,7 @@
                 self.state_tokens + request.prompt_tokens > self.kind.memory_tokens
                 and self.state_tokens
             ):
-                self.prefill_queue.appendleft(attempt)  # till some state has been fetched or let go
+                self.prefill_queue.appendleft(attempt)  # until a state is fetched or released
                 return
             self.prefilling = attempt
             cached_tokens = self.prefix_cache.cached_tokens(request)
@@ -275,7 +274,7 @@
         self.prefix_cache.store("s" + request.session, request.prompt_tokens)
         self.state_tokens += request.prompt_tokens
         self.states[request.key] = PrefillState(self, request.prompt_tokens)
-        if self.kind.role is contract.Role.MIXED:  # it answers what it has read
+        if self.kind.role is contract.Role.MIXED:  # a mixed server decodes what it has prefilled
             self._enqueue_decode(attempt)
         else:
             attempt.closed = True
@@ -283,12 +282,12 @@
         self._start_next_prefill()
 
     def release_state(self, key: str) -> None:
-        """Release what this server holds for a request."""
+        """Release the prefill state of a request."""
         if (state := self.states.pop(key, None)) is not None:
             state.reader.state_tokens -= state.tokens
             state.reader._start_next_prefill()
 
-    # Answers
+    # Decode
 
     def _enqueue_decode(self, attempt: ServerAttempt) -> None:
         if attempt.request.key not in self.states:
@@ -323,7 +322,7 @@
                 return
             self.decode_queue.popleft()
             state = self.states.get(attempt.request.key)
-            if attempt.streaming:  # it ran out of memory before, and is read anew here
+            if attempt.streaming:  # it was evicted when memory ran out
                 self.preparing[attempt] = None
                 duration_us = needed_tokens / self.kind.prefill_rate * 1e6 / self.speed_factor()
                 self.repeated_prefill_count += 1
@@ -340,8 +339,10 @@
                 self._fetch_state(attempt, state)
 
     def _fetch_state(self, attempt: ServerAttempt, state: PrefillState) -> None:
-        """Move the state here. A move out of the cell takes the cell's link, and longer to
-        another hall.
+        """Start the transfer of a state to this server.
+
+        A transfer within the cell uses the reader's port and one out of the cell the link of the
+        reader's cell; a transfer to another hall takes longer for each token.
         """
         reader, size = state.reader, float(state.tokens)
         self.transferred_tokens[transfer_distance(reader.endpoint, self.endpoint)] += state.tokens
@@ -357,7 +358,9 @@
 
     def _finish_fetch(self, attempt: ServerAttempt) -> None:
         attempt.transfer_job = None
-        if attempt.request.key not in self.states:  # its reader died meanwhile
+        if (
+            attempt.request.key not in self.states
+        ):  # its reader crashed during the transfer, or it was released
             del self.preparing[attempt]
             attempt.closed = True
             attempt.on_end(AttemptStatus.OVERLOADED, contract.STATE_LOST)
@@ -387,7 +390,7 @@
         self._start_next_decodes()
 
     def _end_decode(self, attempt: ServerAttempt, served: float) -> None:
-        """Its context and what it has produced are free again."""
+        """Free the memory of the attempt's context and of its decoded tokens."""
         del self.decoding[attempt]
         self.context_tokens -= attempt.context_tokens + served - self.decode_capacity.virtual_time
         self.decoded_tokens += round(served)
@@ -395,7 +398,7 @@
         self._schedule_overflow()
 
     def _schedule_overflow(self) -> None:
-        """When memory runs out, if nothing changes before."""
+        """Schedule the moment at which memory runs out if nothing changes, up to 30 s ahead."""
         if self.overflow_event is not None:
             self.overflow_event.cancel()
             self.overflow_event = None
@@ -410,7 +413,7 @@
             )
 
     def _evict_newest_decode(self) -> None:
-        """The newest answer goes back into the queue, and is read anew here."""
+        """Return the newest answer to the queue; its prefill is repeated on this server."""
         self.overflow_event = None
         self.decode_capacity._advance()
         if (
@@ -435,7 +438,7 @@
         self._start_next_decodes()
 
     def cancel(self, attempt: ServerAttempt) -> None:
-        """The dispatcher has closed the attempt: its work stops here."""
+        """Stop the work on an attempt that its dispatcher has closed."""
         if attempt.closed:
             return
         attempt.closed = True
@@ -456,10 +459,10 @@
             del self.preparing[attempt]
             self._start_next_decodes()
 
-    # Troubles
+    # Faults
 
     def crash(self) -> None:
-        """The process dies: what is here is lost, and connections are reset."""
+        """Stop the process: attempts, states and cache are lost, and connections are reset."""
         self.up = False
         attempts = (
             self.prefilling,
@@ -479,6 +482,6 @@
         self.prefix_cache.clear()
 
     def start(self) -> None:
-        """Up again, empty and cold."""
+        """Start the process again, empty and cold."""
         self.up, self.overloaded, self.recent_work_s = True, False, 0.0
         self.started_us = self.queue.now_us
--- a/onyxpass/emulator/simulation.py
+++ b/onyxpass/emulator/simulation.py
@@ -1,4 +1,4 @@
-"""One emulated day: dispatchers with a policy each, servers, clients, a late list, and troubles."""
+"""One emulated run: clients, dispatchers with a policy each, servers, endpoint list and faults."""
 
 import random
 from collections.abc import Callable
@@ -14,18 +14,18 @@
 from onyxpass.scheduling import contract
 from onyxpass.scheduling.contract import AttemptStatus
 
-DEFAULT_RETRY_S = 1.0  # a client that was refused with no advice comes again after so long
-STREAM_STALL_TIMEOUT_US = 4_600_000  # a stream that is silent for so long is given up
-CONNECT_TIMEOUT_US = 250_000  # for a connection that never comes up to be given up
+DEFAULT_RETRY_S = 1.0  # minimum delay before a client retries a refused request
+STREAM_STALL_TIMEOUT_US = 4_600_000  # silence after which a dispatcher gives up a stream
+CONNECT_TIMEOUT_US = 250_000  # after which a dispatcher gives up a connection attempt
 
 
 class PolicyError(RuntimeError):
-    """The policy raised, or asked for what makes no sense: its own run ends, and nobody else's."""
+    """A policy raised an exception or returned an invalid action; only its own run ends."""
 
 
 @dataclass(eq=False, slots=True)
 class ClientRequest:
-    """One try of a client. ``worth`` belongs to the first one."""
+    """One request of a client, first or retry, at its dispatcher."""
 
     turn: Turn
     server_request: ServerRequest
@@ -45,31 +45,37 @@
 
 @dataclass(slots=True)
 class Tally:
-    """Of a day; requests are first tries, and each ends once."""
+    """Results of a run. ``asked`` and ``worth_asked`` count requests without their retries."""
 
     asked: int = 0
     served: int = 0
     refused: int = 0
     failed: int = 0
-    gone: int = 0  # the client left unanswered
+    gone: int = 0  # the client left before an answer began
     late: int = 0
     retried: int = 0
     worth: float = 0.0
     worth_asked: float = 0.0
     attempts: int = 0
     decisions: int = 0
-    waits_us: list[int] = field(default_factory=list)  # of served first tries, till the first token
-    paces_us: list[float] = field(default_factory=list)  # of the same, a token
-    by_second: dict[int, list[float]] = field(default_factory=dict)  # worth answered and asked
+    # Of each served request: time from its first sending to the first token, and time per token.
+    waits_us: list[int] = field(default_factory=list)
+    paces_us: list[float] = field(default_factory=list)
+    # Worth answered and worth asked for, by the second in which the request was first sent.
+    by_second: dict[int, list[float]] = field(default_factory=dict)
 
     @property
     def g(self) -> float:
-        """The worth answered in the wanted time over the worth asked for."""
+        """Return the worth answered, late answers in part, as a share of the worth asked for."""
         return self.worth / self.worth_asked if self.worth_asked else 0.0
 
 
 class Dispatcher:
-    """Carries out what its policy asks for, under the same invariants as the program's core."""
+    """Performs the actions of its policy; raises PolicyError on an invalid action.
+
+    Invalid are an unknown server, a send while an attempt is open or after the answer has begun, a
+    fifth attempt and a second answer.
+    """
 
     def __init__(self, simulation: "Simulation", ordinal: int, policy: Policy) -> None:
         self.simulation, self.ordinal, self.policy = simulation, ordinal, policy
@@ -85,10 +91,10 @@
                 self._perform(action)
         except PolicyError:
             raise
-        except Exception as problem:
+        except Exception as error:
             raise PolicyError(
-                f"dispatcher {self.ordinal} at {simulation.queue.now_us} us: {problem!r}"
-            ) from problem
+                f"dispatcher {self.ordinal} at {simulation.queue.now_us} us: {error!r}"
+            ) from error
 
     def _perform(self, action: contract.Action) -> None:
         simulation = self.simulation
@@ -126,28 +132,26 @@
             ):
                 pass
             case _:
-                raise PolicyError(f"dispatcher {self.ordinal}: a malformed action: {action!r}")
+                raise PolicyError(f"dispatcher {self.ordinal}: unknown action {action!r}")
 
     def _send(self, request_id: int, server: str, timeout_us: int) -> None:
         simulation, request = self.simulation, self.open_requests.get(request_id)
         if server not in simulation.servers:
-            raise PolicyError(
-                f"dispatcher {self.ordinal}: a send to {server!r}, which nobody named"
-            )
+            raise PolicyError(f"dispatcher {self.ordinal}: send to unknown server {server!r}")
         if request is None or request.attempt is not None or request.committed or request.finished:
             raise PolicyError(
-                f"dispatcher {self.ordinal}: a send for {request_id}, which may not go out"
+                f"dispatcher {self.ordinal}: send for request {request_id}, which has an open attempt or an answer"
             )
         attempt_index, request.attempts = request.attempts, request.attempts + 1
         if request.attempts > 4:
-            raise PolicyError(f"dispatcher {self.ordinal}: a fifth attempt for {request_id}")
+            raise PolicyError(f"dispatcher {self.ordinal}: fifth attempt for request {request_id}")
         simulation.tally.attempts += 1
         request.server, request.sent_us = server, simulation.queue.now_us
         target = simulation.servers[server]
 
         def on_end(status: AttemptStatus, note: int) -> None:
             simulation.record_closed(target, attempt)
-            # nothing is heard of it: a begun stream has stopped
+            # The end does not arrive through a partition: the dispatcher sees a stalled stream.
             if simulation.is_partitioned(self.hall, target.endpoint.zone):
                 stalled = lambda: self._finish_attempt(  # noqa: E731
                     request, attempt, attempt_index, AttemptStatus.RESET, 0
@@ -189,9 +193,9 @@
             return
         request.committed = True
         request.first_token_us = self.simulation.queue.now_us
-        for attempt_timer in (request.attempt_timer, request.withdrawal_timer):
-            if attempt_timer is not None:
-                attempt_timer.cancel()
+        for timer in (request.attempt_timer, request.withdrawal_timer):
+            if timer is not None:
+                timer.cancel()
         elapsed_us = request.first_token_us - request.sent_us
         self.handle_event(
             contract.StreamStarted(request.arrival.id, attempt_index, request.server, elapsed_us)
@@ -227,7 +231,7 @@
         )
 
     def _close_attempt(self, request: ClientRequest, status: AttemptStatus) -> None:
-        """Close the attempt; its end is told after that."""
+        """Close the open attempt, if any, and report its end to the policy at once."""
         attempt = request.attempt
         if attempt is None:
             return
@@ -239,7 +243,7 @@
         self._finish_attempt(request, attempt, attempt_index, status, 0)
 
     def withdraw(self, request: ClientRequest) -> None:
-        """The client has gone."""
+        """End a request that its client has left before an answer began."""
         if request.finished or request.committed:
             return
         request.finished = True
@@ -250,7 +254,10 @@
 
 
 class Simulation:
-    """``make``: the policy of each dispatcher; None for full knowledge."""
+    """A run of one policy on one site.
+
+    ``policy_factory`` makes the policy of each dispatcher; None stands for FullKnowledge.
+    """
 
     def __init__(
         self, site: Site, policy_factory: PolicyFactory | None, seed: int, traced: bool = True
@@ -286,7 +293,7 @@
             self.dispatchers.append(Dispatcher(self, ordinal, policy))
 
     def run(self) -> Tally:
-        """The whole day, and on till all is answered. PolicyFault where a policy fails."""
+        """Run the site's duration and 40 s more; raise PolicyError where a policy fails."""
         endpoints = tuple(server.endpoint for server in self.servers.values())
         for dispatcher in self.dispatchers:
             dispatcher.handle_event(
@@ -304,7 +311,7 @@
         self.queue.run(end_us)
         return self.tally
 
-    # The network
+    # Network
 
     def one_way_delay_us(self, here: str, there: str) -> int:
         return self.site.one_way_us if here != there else self.site.one_way_us // 4
@@ -322,7 +329,7 @@
         server.receive(attempt)
 
     def close_attempt(self, server: Server, attempt: ServerAttempt) -> None:
-        """A dispatcher has given the attempt up."""
+        """Stop an attempt that its dispatcher has given up."""
         if not attempt.closed:
             self.record_closed(server, attempt)
         server.cancel(attempt)
@@ -340,7 +347,7 @@
     def deliver_reply(
         self, server: Server, call: Callable[[], None], dispatcher: Dispatcher
     ) -> None:
-        """A word from a server to a dispatcher; what crosses a cut is lost."""
+        """Call ``call`` when the reply arrives at the dispatcher; a partition loses the reply."""
         if self.is_partitioned(dispatcher.hall, server.endpoint.zone):
             return
         one_way_delay_us = self.one_way_delay_us(dispatcher.hall, server.endpoint.zone)
@@ -360,7 +367,7 @@
         per_k_us = traffic_class.latency_objective_us_per_1k_tokens * turn.prompt_tokens / 1000
         wait_us = round((traffic_class.deadline_us + 2 * per_k_us) * turn.patience)
         key = f"{dispatcher.ordinal}-{request_id}"
-        ask = ServerRequest(
+        server_request = ServerRequest(
             key,
             turn.session,
             turn.prefix,
@@ -381,7 +388,7 @@
             tenant=turn.tenant,
             is_retry=not is_first,
         )
-        request = ClientRequest(turn, ask, arrival, is_first, now_us)
+        request = ClientRequest(turn, server_request, arrival, is_first, now_us)
         if is_first:
             self.tally.asked += 1
             worth = self._worth(turn)
@@ -399,7 +406,7 @@
         dispatcher.handle_event(arrival)
 
     def _worth(self, turn: Turn) -> float:
-        """Of one request: its class's value for each unit of its work."""
+        """Return the worth of a request: the weight of its class times its work."""
         traffic_class = self.site.classes[turn.class_index].traffic_class
         return traffic_class.priority_weight * (
             turn.prompt_tokens / 16_000 + turn.output_tokens * 0.002
@@ -408,7 +415,7 @@
     def record_answer(
         self, dispatcher: Dispatcher, request: ClientRequest, end: str, wait_us: int
     ) -> None:
-        """A final answer."""
+        """Record a final answer; a client may retry a refused request."""
         if request.finished:
             raise PolicyError(
                 f"dispatcher {dispatcher.ordinal}: a second answer to {request.arrival.id}"
@@ -419,7 +426,7 @@
             self._add_worth(request)
         elif end == "refused":
             self.tally.refused += 1
-            # half of them come again
+            # Half of the refused requests are retried once.
             if request.is_first and self.site.retries and not request.turn.sequence % 2:
                 retry_delay_us = max(wait_us, round(DEFAULT_RETRY_S * 1e6))
                 self.queue.schedule_after(
@@ -441,7 +448,10 @@
             self.trace.put(What.ANSWERED, request.server_request.key, detail=end)
 
     def _add_worth(self, request: ClientRequest) -> None:
-        """Full worth in the wanted time and pace, part of it later; counted from the first try."""
+        """Add the worth of a served request: all of it on time, else the class's share for late ones.
+
+        The time to the first token counts from the first sending, retries included.
+        """
         turn = request.turn
         traffic_class = self.site.classes[turn.class_index].traffic_class
         latency_objective_us = (
@@ -460,10 +470,10 @@
         self.tally.worth += worth
         self.tally.by_second.setdefault(turn.at_us // 1_000_000, [0.0, 0.0])[0] += worth
 
-    # The list, and what goes wrong
+    # Endpoint list and faults
 
     def announce_condition(self, server: Server, condition: contract.EndpointCondition) -> None:
-        """Discovery knows of it at once, and dispatchers hear of it later."""
+        """Send a changed condition to all dispatchers; it arrives after the list's lag."""
         self.list_version += 1
         endpoint = replace(server.endpoint, condition=condition, started_us=server.started_us)
         update = contract.EndpointUpdate(
@@ -477,38 +487,38 @@
             )
 
     def _schedule_fault(self, fault: InjectedFault) -> None:
-        start, end = (round(s * 1e6) for s in (fault.at_s, fault.at_s + fault.for_s))
+        start_us, end_us = (round(s * 1e6) for s in (fault.at_s, fault.at_s + fault.for_s))
         schedule = self.queue.schedule_at
         match fault.what:
             case "lag":
-                more = round(fault.size * 1e6)
-                schedule(start, Rank.FAULT, lambda: self._add_list_lag(more))
-                schedule(end, Rank.FAULT, lambda: self._add_list_lag(-more))
+                added_us = round(fault.size * 1e6)
+                schedule(start_us, Rank.FAULT, lambda: self._add_list_lag(added_us))
+                schedule(end_us, Rank.FAULT, lambda: self._add_list_lag(-added_us))
             case "flush":
-                schedule(start, Rank.FAULT, lambda: self._clear_prefix_caches(fault.size))
+                schedule(start_us, Rank.FAULT, lambda: self._clear_prefix_caches(fault.size))
             case "cut" | "flap":
                 repeats = 2 if fault.what == "flap" else 1
-                phase_us = (end - start) // (2 * repeats - 1)
+                phase_us = (end_us - start_us) // (2 * repeats - 1)
                 for n in range(repeats):
                     schedule(
-                        start + 2 * n * phase_us,
+                        start_us + 2 * n * phase_us,
                         Rank.FAULT,
                         lambda: self.partitioned_halls.add(fault.hall),
                     )
                     schedule(
-                        start + (2 * n + 1) * phase_us,
+                        start_us + (2 * n + 1) * phase_us,
                         Rank.FAULT,
                         lambda: self.partitioned_halls.discard(fault.hall),
                     )
             case "crash":
-                schedule(start, Rank.FAULT, lambda: self._crash_server(fault.server))
+                schedule(start_us, Rank.FAULT, lambda: self._crash_server(fault.server))
                 if fault.for_s:
-                    schedule(end, Rank.FAULT, lambda: self._start_server(fault.server))
+                    schedule(end_us, Rank.FAULT, lambda: self._start_server(fault.server))
             case "slow":
-                schedule(start, Rank.FAULT, lambda: self._set_slowdown(fault.server, fault.size))
-                schedule(end, Rank.FAULT, lambda: self._set_slowdown(fault.server, 1.0))
+                schedule(start_us, Rank.FAULT, lambda: self._set_slowdown(fault.server, fault.size))
+                schedule(end_us, Rank.FAULT, lambda: self._set_slowdown(fault.server, 1.0))
             case "hot":
-                pass  # it is in the traffic
+                pass  # part of the traffic, see ``hot_share``
             case _:
                 raise ValueError(f"no trouble {fault.what!r}")
 
@@ -531,9 +541,14 @@
     def _set_slowdown(self, name: str, slowdown: float) -> None:
         self.servers[name].slowdown = slowdown
 
-    # For the bound from full knowledge
+    # For FullKnowledge
 
     def load_score(self, name: str, request: PolicyRequest) -> float:
+        """Return how loaded a server is for a request, from its true state; lower is better.
+
+        Before the prefill: seconds of queued prefill work, this request included. After it: used
+        slots and memory as shares, plus a charge for the distance to the reader.
+        """
         server = self.servers[name]
         if not server.up:
             return 1e12
@@ -547,15 +562,21 @@
                 reader_endpoint.zone != server.endpoint.zone
             )
             return (slot_load + memory_load + 0.1 * distance) / server.speed_factor()
-        ask = request.arrival
-        unproduced = ServerRequest(
-            "", ask.session, ask.prefix, ask.prompt_tokens, ask.prefix_tokens, 0, ask.traffic_class
+        arrival = request.arrival
+        probe_request = ServerRequest(
+            "",
+            arrival.session,
+            arrival.prefix,
+            arrival.prompt_tokens,
+            arrival.prefix_tokens,
+            0,
+            arrival.traffic_class,
         )
         pending = [*server.prefill_queue, *([server.prefilling] if server.prefilling else [])]
         tokens = sum(
-            v.request.prompt_tokens - server.prefix_cache.cached_tokens(v.request)
-            for v in pending
-            if not v.closed
+            attempt.request.prompt_tokens - server.prefix_cache.cached_tokens(attempt.request)
+            for attempt in pending
+            if not attempt.closed
         )
-        tokens += ask.prompt_tokens - server.prefix_cache.cached_tokens(unproduced)
+        tokens += arrival.prompt_tokens - server.prefix_cache.cached_tokens(probe_request)
         return tokens / server.kind.prefill_rate / server.speed_factor()
--- a/onyxpass/emulator/topology.py
+++ b/onyxpass/emulator/topology.py
@@ -1,5 +1,6 @@
-"""A site to emulate, as data: halls, servers, traffic, clients. The defaults are like the
-operators' own.
+"""The description of an emulated site: halls, servers, traffic and clients.
+
+The defaults resemble the operators' site.
 """
 
 from collections.abc import Mapping
@@ -12,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerProfile:
-    """One kind of server. Times in microseconds, rates a second, memory in tokens."""
+    """One kind of server. Times are in microseconds, rates in tokens per second, memory in tokens."""
 
     name: str
     role: contract.Role
@@ -21,8 +22,8 @@
     memory_tokens: int
     prefill_rate: float = 16_000.0
     step_us: float = 14_000.0
-    step_us_per_answer: float = 150.0  # of a step, for each answer in it
-    step_us_per_1k_context: float = 40.0  # of a step, for each 1,000 tokens of all contexts in it
+    step_us_per_answer: float = 150.0  # added to a decode step for each open answer
+    step_us_per_1k_context: float = 40.0  # added to a step per 1,000 tokens of all contexts
 
 
 READER = ServerProfile("reader", contract.Role.PREFILL, 6, 40, 240_000, 18_000.0)
@@ -32,14 +33,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassProfile:
-    """One class of requests. ``share``: of all requests; lengths are means."""
+    """One class of requests. ``share``: part of all requests; lengths are in tokens."""
 
     traffic_class: contract.TrafficClass
     share: float
     mean_turns: float
     mean_new_tokens: float
     mean_output_tokens: float
-    shared_prefix_share: float  # of sessions that begin with a shared text
+    shared_prefix_share: float  # part of the sessions that begin with a shared prefix
     mean_shared_tokens: float
 
 
@@ -86,8 +87,13 @@
 
 @dataclass(frozen=True, slots=True)
 class InjectedFault:
-    """One thing that goes wrong. ``what``: lag (seconds), flush and hot (a share), cut, flap,
-    crash, slow.
+    """One injected fault.
+
+    ``what`` is one of: lag (``size``: additional seconds until dispatchers see the list), flush
+    (``size``: share of the servers whose prefix cache is cleared), hot (``size``: share of new
+    sessions with one new prefix per class), cut and flap (``hall``: partitioned from
+    the others, once or twice), crash (``server``), slow
+    (``server``; ``size``: factor on the duration of its work).
     """
 
     what: str
@@ -100,9 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Site:
-    """``rate``: first tries a second. ``near_rate``: tokens a second of a state's move within
-    its cell.
-    """
+    """A site, its traffic and its injected faults."""
 
     readers: int = 6
     writers: int = 6
@@ -111,20 +115,20 @@
     halls: tuple[str, ...] = ("boa-vista", "santo-amaro", "derby")
     kinds: tuple[ServerProfile, ...] = (READER, WRITER, MIXED)
     classes: tuple[ClassProfile, ...] = CLASSES
-    rate: float = 25.0  # first tries a second
+    rate: float = 25.0  # requests per second, retries not counted
     seconds: float = 60.0
     think_s: float = 5.0
-    tenants: int = 0  # customers, drawn by Zipf's law as well
-    prefixes: int = 40  # shared texts, drawn by Zipf's law
+    tenants: int = 0  # number of tenants, drawn by Zipf's law
+    prefixes: int = 40  # number of shared prefixes per class, drawn by Zipf's law
     zipf_exponent: float = 0.9
-    port_rate: float = 300_000.0
-    cell_link_rate: float = 900_000.0  # of a cell's link, which all its readers share
-    cross_hall_factor: float = 2.2  # a token to another hall takes so many times as long
-    one_way_us: int = 600
+    port_rate: float = 300_000.0  # tokens per second of state transfers over one reader's port
+    cell_link_rate: float = 900_000.0  # tokens per second out of a cell, shared by all its readers
+    cross_hall_factor: float = 2.2  # time per token to another hall, relative to another cell
+    one_way_us: int = 600  # network delay between halls; a quarter of it within one
     list_lag_s: float = 2.0
     tick_us: int = 1_000
     retries: int = 1
-    cold_speed_factor: float = 0.3
+    cold_speed_factor: float = 0.3  # share of full speed of a server that has just started
     warmup_us: int = 13 * SECOND_US
     overload_multiple: float = 2.5
     overload_window_us: int = 1 * SECOND_US
@@ -132,7 +136,7 @@
     extra: Mapping[str, object] = field(default_factory=dict)
 
     def settings(self, ordinal: int) -> contract.Settings:
-        """What a dispatcher is told."""
+        """Return the settings of the dispatcher with this ordinal."""
         return contract.Settings(
             classes=tuple(c.traffic_class for c in self.classes),
             kinds=tuple(contract.ServerKind(k.name, k.role, k.memory_tokens) for k in self.kinds),
@@ -148,7 +152,7 @@
         )
 
     def servers(self) -> list[tuple[ServerProfile, contract.Endpoint]]:
-        """All servers, spread over halls and cells alike."""
+        """Return all servers, spread evenly over halls and cells."""
         counts = {
             contract.Role.PREFILL: self.readers,
             contract.Role.DECODE: self.writers,
--- a/onyxpass/emulator/traffic.py
+++ b/onyxpass/emulator/traffic.py
@@ -1,7 +1,8 @@
-"""Clients: sessions that arrive by chance, each with turns whose prompts hold all that went before.
+"""Client traffic: sessions arrive at random, and each turn's prompt holds all earlier turns.
 
-Every concern draws from a random stream of its own, by numpy, so that two policies on one seed meet
-the same sessions, lengths and times, whatever they do with them.
+Each concern (arrivals, lengths and others) draws from its own random generator, and all are drawn
+before the run. Two policies with the same seed therefore receive the same sessions, lengths and
+times, whatever the policies decide.
 """
 
 import math
@@ -11,12 +12,15 @@
 
 from onyxpass.emulator.topology import ClassProfile, Site
 
-LENGTH_SIGMA = 0.7  # of the lengths, which are lognormal
+LENGTH_SIGMA = 0.7  # standard deviation of the logarithm of the lognormal lengths
 
 
 @dataclass(frozen=True, slots=True)
 class Turn:
-    """One first try. ``at_us``: drawn ahead; it does not wait for the turn before it to end."""
+    """One request of a session, without its retries.
+
+    ``at_us`` is drawn in advance, so a turn does not wait for the end of the turn before it.
+    """
 
     at_us: int
     sequence: int
@@ -26,13 +30,13 @@
     prefix_tokens: int
     prompt_tokens: int
     output_tokens: int
-    dispatcher_ordinal: int  # the dispatcher that its client goes to
-    patience: float  # of its class's give-up time
+    dispatcher_ordinal: int  # the dispatcher that its client connects to
+    patience: float  # share of the class's deadline for which the client waits
     tenant: str | None = None
 
 
 class RandomStreams:
-    """A generator for each concern, all from one seed."""
+    """One random generator per concern, all derived from one seed."""
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
@@ -47,7 +51,7 @@
 
 
 def draw_turns(site: Site, seed: int) -> list[Turn]:
-    """All first tries of a day, by time."""
+    """Return all turns of a run, ordered by time."""
     streams = RandomStreams(seed)
     arrivals, kinds, sizes = streams.of("arrivals"), streams.of("classes"), streams.of("lengths")
     texts, think, fronts = streams.of("texts"), streams.of("think"), streams.of("fronts")
@@ -108,6 +112,6 @@
 
 
 def hot_share(site: Site, at_s: float) -> float:
-    """Share of new sessions that begin with a text that nobody has seen before."""
+    """Return the share of new sessions that begin with the prefix of a ``hot`` fault."""
     shares = [t.size for t in site.faults if t.what == "hot" and t.at_s <= at_s < t.at_s + t.for_s]
     return max(shares, default=0.0)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,6 +1,4 @@
-"""The page on capacity agrees with its data, its lines are sound, and each scale test has a
-small form.
-"""
+"""Tests of the capacity page and its fitted lines, and a small form of each capacity measurement."""
 
 import json
 import math
@@ -20,11 +18,11 @@
 BENCHMARK = ROOT / "benchmarks" / "capacity.py"
 
 
-def test_the_page_is_made_from_the_committed_data() -> None:
+def test_the_committed_page_matches_the_committed_data() -> None:
     assert (ROOT / capacity.PAGE).read_text() == capacity.render_page(ROOT)
 
 
-def test_each_line_has_four_sizes_and_says_where_it_is_drawn_too_far() -> None:
+def test_each_line_has_four_sizes_and_marks_too_wide_extrapolation() -> None:
     data = capacity.CapacityData.read(ROOT)
     for measures in capacity.role_measures(data).values():
         for measure in measures:
@@ -34,7 +32,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_line_finds_the_slope_that_was_drawn(seed: int) -> None:
+def test_fit_recovers_intercept_and_slope(seed: int) -> None:
     generator = random.Random(seed)
     intercept, slope = generator.uniform(0, 100), generator.uniform(0.1, 5)
     points = [Point(size, intercept + slope * size) for size in (75, 150, 300, 600)]
@@ -44,12 +42,12 @@
     )
     assert found.residual < 1e-9 and found.covers(1_200) and not found.covers(1_201)
     curved = fit([Point(size, size**2) for size in (75, 150, 300, 600)])
-    assert curved.residual > 0.1, "a curve is no line, and the residual says so"
+    assert curved.residual > 0.1, "the residual shows that a parabola is not a line"
     with pytest.raises(ValueError, match="sizes are needed"):
         fit(points[:3])
 
 
-def test_a_size_that_does_not_fit_is_refused_before_it_starts() -> None:
+def test_a_size_that_exceeds_memory_is_refused_before_the_run() -> None:
     site = full_scale.scaled_site(1.0, 1.0)
     with pytest.raises(full_scale.MemoryLimitError, match=r"0\.\d\d of the size"):
         full_scale.run_site(site, 1, max_mb=full_scale.MB_BASE + 1)
@@ -61,7 +59,7 @@
     )
 
 
-def test_reach_is_the_widest_boundary_that_is_crossed() -> None:
+def test_transfer_distance_is_the_widest_boundary_crossed() -> None:
     destination = contract.Endpoint("w", "writer", "north/a", 1)
     for source, expected in (
         (destination, TransferDistance.SAME_SERVER),
@@ -73,7 +71,7 @@
         assert transfer_distance(source, destination) is expected
 
 
-SMALL = [
+SMALL_RUNS = [
     ("choosing by servers", 20),
     ("dispatcher by servers", 20),
     ("list by dispatchers", 4),
@@ -85,8 +83,8 @@
 ]
 
 
-@pytest.mark.parametrize(("name", "size"), SMALL)
-def test_each_scale_test_plays_in_a_small_form(name: str, size: float) -> None:
+@pytest.mark.parametrize(("name", "size"), SMALL_RUNS)
+def test_each_capacity_measurement_runs_in_its_small_form(name: str, size: float) -> None:
     run = subprocess.run(
         [sys.executable, str(BENCHMARK), "small", name, str(size)],
         stdout=subprocess.PIPE,
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The emulator against theory, against itself, and with the real module in trouble."""
+"""Tests of the emulator: against queueing theory, for determinism, and with injected faults."""
 
 import hashlib
 import json
@@ -30,7 +30,7 @@
 
 
 class ServerFixture:
-    """One server of a kind, and what became of its visits."""
+    """One emulated server, and the ends and first tokens of its attempts."""
 
     def __init__(self, **kind: object) -> None:
         self.queue = EventQueue()
@@ -54,7 +54,7 @@
         )
 
 
-def test_events_of_one_instant_come_by_rank_and_then_as_they_were_put() -> None:
+def test_simultaneous_events_run_by_rank_and_then_in_scheduling_order() -> None:
     queue, seen = EventQueue(), list[str]()
     for rank, name in (
         (Rank.CLIENT, "d"),
@@ -68,7 +68,7 @@
     assert seen == ["a", "b", "c", "d"] and queue.executed_count == 4
 
 
-def test_what_is_shared_is_shared_evenly() -> None:
+def test_shared_capacity_is_divided_evenly_between_jobs() -> None:
     queue, ends = EventQueue(), dict[str, int]()
     link = SharedCapacity(queue, lambda n: 1000.0 / n)
     link.add(1000, lambda: ends.setdefault("a", queue.now_us) and None)
@@ -80,7 +80,7 @@
     queue.run(10_000_000)
     assert ends["b"] == pytest.approx(1_000_000, abs=2), "250 units at half the rate"
     assert ends["a"] == pytest.approx(1_250_000, abs=2), (
-        "500 alone, 250 at half the rate, 250 alone"
+        "500 units alone, 250 at half the rate, 250 alone"
     )
     # A remainder below one microsecond must not make the queue loop forever.
     fast = SharedCapacity(queue, lambda n: 3e5 / n)
@@ -90,10 +90,8 @@
     assert fast.open_count == 0
 
 
-def test_a_reader_with_known_service_waits_as_theory_says() -> None:
-    """Poisson arrivals at one server with constant service: the mean wait is rho s / (2 (1 -
-    rho)).
-    """
+def test_mean_wait_of_a_reader_with_constant_service_matches_queueing_theory() -> None:
+    """An M/D/1 queue with load rho and service time s has a mean wait of rho s / (2 (1 - rho))."""
     fixture = ServerFixture(slots=10**6, step_us=0.0, prefill_rate=10_000.0, memory_tokens=10**12)
     generator, now_us, starts, count = (
         RandomStreams(5).of("theory"),
@@ -114,7 +112,7 @@
     assert {status for status, _ in fixture.ends.values()} == {AttemptStatus.PREFILLED}
 
 
-def test_a_writer_that_runs_out_of_memory_reads_its_newest_answer_anew() -> None:
+def test_a_writer_out_of_memory_repeats_the_prefill_of_its_newest_answer() -> None:
     fixture = ServerFixture(
         base=WRITER,
         memory_tokens=2_300,
@@ -133,12 +131,10 @@
     assert fixture.server.repeated_prefill_count >= 1 and fixture.server.decoded_tokens == 800
     assert {status for status, _ in fixture.ends.values()} == {AttemptStatus.COMPLETED}
     assert fixture.ends["a"][1] < fixture.ends["b"][1] and not fixture.server.decoding
-    assert fixture.server._used_tokens() == pytest.approx(0, abs=1), (
-        "all of its memory is free again"
-    )
+    assert fixture.server._used_tokens() == pytest.approx(0, abs=1), "all memory is free again"
 
 
-def test_a_state_whose_reader_dies_on_the_way_is_gone_and_a_call_off_frees_all() -> None:
+def test_a_reader_crash_during_transfer_loses_the_state_and_a_cancel_frees_everything() -> None:
     fixture, reader = ServerFixture(base=WRITER), ServerFixture().server
     reader.port = SharedCapacity(fixture.queue, lambda n: 100.0 / n)
     fixture.states["a"] = PrefillState(reader, 1000)
@@ -174,7 +170,7 @@
 
 
 @pytest.mark.parametrize("name", ["module", "least-in-flight", "prefix-hash"])
-def test_each_request_ends_once_and_the_rules_hold_through_all_troubles(name: str) -> None:
+def test_each_request_ends_once_and_the_rules_hold_under_all_faults(name: str) -> None:
     simulation = Simulation(replace(SMALL, rate=40.0, faults=FAULTS), POLICIES[name], 4)
     tally = simulation.run()
     assert tally.asked == len(simulation.turns) > 200
@@ -190,7 +186,7 @@
         assert server._used_tokens() == pytest.approx(0, abs=2)
 
 
-def test_the_same_seed_is_the_same_day_in_any_process() -> None:
+def test_the_same_seed_gives_the_same_run_in_any_process() -> None:
     code = (
         "import hashlib; from onyxpass.emulator.policies import POLICIES; from onyxpass.emulator.topology import Site\n"
         "from onyxpass.emulator.simulation import Simulation\n"
@@ -211,26 +207,30 @@
     assert draw_turns(SMALL, 1) == draw_turns(SMALL, 1) != draw_turns(SMALL, 2)
 
 
-def test_a_policy_that_raises_or_asks_for_nonsense_ends_its_own_run_only() -> None:
+def test_a_policy_that_raises_or_acts_invalidly_ends_only_its_own_run() -> None:
     class Raises(RandomPolicy):
-        def choose_reader(self, job: object, among: object) -> str:
+        def choose_reader(self, request: object, candidates: object) -> str:
             raise KeyError("x")
 
-    class Lost(RandomPolicy):
-        def choose_reader(self, job: object, among: object) -> str:
+    class SendsToUnknownServer(RandomPolicy):
+        def choose_reader(self, request: object, candidates: object) -> str:
             return "nobody"
 
-    class Twice(RandomPolicy):
+    class RepeatsEachAction(RandomPolicy):
         def handle(self, now_us: int, event: contract.Event) -> list[contract.Action]:
             return [action for action in super().handle(now_us, event) for _ in range(2)]
 
-    for policy, why in ((Raises, "KeyError"), (Lost, "nobody"), (Twice, "may not go out")):
+    for policy, why in (
+        (Raises, "KeyError"),
+        (SendsToUnknownServer, "nobody"),
+        (RepeatsEachAction, "has an open attempt or an answer"),
+    ):
         with pytest.raises(PolicyError, match=why):
             Simulation(SMALL, policy, 1).run()
     assert Simulation(SMALL, RandomPolicy, 1).run().served > 0
 
 
-def test_under_load_the_module_beats_chance_and_knowledge_bounds_both() -> None:
+def test_under_load_the_router_beats_random_and_full_knowledge_bounds_both() -> None:
     site = replace(SMALL, rate=110.0, seconds=20.0)
     g = {
         name: Simulation(site, POLICIES.get(name), 2, traced=False).run().g
@@ -239,7 +239,7 @@
     assert g[""] >= g["module"] - 0.02 and g["module"] > g["random"] + 0.1, g
 
 
-def test_the_lab_command_plays_policies_on_one_day_and_names_bad_input() -> None:
+def test_lab_day_runs_each_policy_and_names_bad_arguments() -> None:
     run = CliRunner()
     good = run.invoke(
         lab_app, ["day", "module", "random", "--seconds", "4", "--rate", "10", "--json"]
@@ -248,7 +248,7 @@
     for words, why in (
         (("day", "clever"), "no policy 'clever'"),
         (("day", "random", "--trouble", "fire@3"), "no such trouble"),
-        (("day", "random", "--trouble", "cut:mars@3+1"), "no 'mars' here"),
+        (("day", "random", "--trouble", "cut:mars@3+1"), "no 'mars' on this site"),
         (("day", "random", "--trouble", "flush:x@3"), "trouble 'flush:x@3'"),
     ):
         found = run.invoke(lab_app, list(words))
@@ -267,7 +267,7 @@
 """
 
 
-def test_an_experiment_that_was_cut_off_goes_on_and_any_number_of_processes_gives_the_same(
+def test_an_interrupted_experiment_resumes_and_any_number_of_processes_gives_the_same_results(
     tmp_path: Path,
 ) -> None:
     path = tmp_path / "x.toml"
@@ -276,7 +276,7 @@
     runs = expand_runs(file)
     assert len(runs) == 12 and len({run.key for run in runs}) == 12
     first = ResultStore(tmp_path / "one.db")
-    assert execute_runs(runs[:5], first, 1) == 5  # killed here
+    assert execute_runs(runs[:5], first, 1) == 5  # interrupted here
     assert execute_runs(runs, first, 1) == 7 and execute_runs(runs, first, 1) == 0
     second = ResultStore(tmp_path / "two.db")
     assert execute_runs(runs, second, 2) == 12
@@ -292,12 +292,12 @@
     assert CliRunner().invoke(lab_app, made).exit_code == 0
     text = page.read_text()
     assert text.count("data:image/png;base64,") == 4 and "12 of 12 runs played" in text
-    assert "http" not in text, "it needs nothing else"
+    assert "http" not in text, "the page is self-contained"
     first.close()
     second.close()
 
 
-def test_a_difference_is_called_noise_unless_the_interval_leaves_nothing_out() -> None:
+def test_bootstrap_interval_contains_zero_for_values_of_both_signs() -> None:
     low, high = bootstrap_interval([0.1, 0.12, 0.09, 0.11, 0.1])
     assert 0.08 < low < high < 0.13
     low, high = bootstrap_interval([0.3, -0.3, 0.2, -0.1])
@@ -309,14 +309,14 @@
     ("old", "new", "line", "why"),
     [
         ('"random"]', '"randm"]', 2, "did you mean 'random'"),
-        ('baseline = "module"', 'baseline = "other"', 3, "none of the policies"),
+        ('baseline = "module"', 'baseline = "other"', 3, "not one of the policies"),
         ("[1, 2, 3]", "[1, 1]", 4, "twice"),
         ("rate = 20.0", "rat = 20.0", 7, "did you mean 'rate'"),
         ("rate = 20.0", "rate = -1", 7, "rate"),
         ("[2.0, 3.0]", "[]", 9, "writers"),
     ],
 )
-def test_experiments_are_checked_before_the_first_run(
+def test_an_invalid_experiment_file_is_rejected_before_the_first_run(
     tmp_path: Path, old: str, new: str, line: int, why: str
 ) -> None:
     path = tmp_path / "x.toml"
@@ -326,7 +326,9 @@
     assert not path.with_suffix(".db").exists()
 
 
-def test_logs_of_all_dispatchers_are_counted_together_by_reason_and_time(tmp_path: Path) -> None:
+def test_log_lines_of_all_dispatchers_are_counted_together_by_reason_and_time(
+    tmp_path: Path,
+) -> None:
     def line(at: str, event: str, clock: str = "07", **more: object) -> str:
         return (
             at
@@ -340,7 +342,7 @@
             (tmp_path / name / f"n{number}.log").write_text(text)
         shown = CliRunner().invoke(lab_app, ["logs", str(tmp_path / name), "--step", "5"])
         assert shown.exit_code == 0
-        assert f"{len(files)} files, 2 lines that are no log lines" in shown.stdout
+        assert f"{len(files)} files, 2 lines that are not log lines" in shown.stdout
         return {row[:60].strip(): row[60:].split() for row in shown.stdout.splitlines()}
 
     lost = line(
