--- a/benchmarks/bench_support.py
+++ b/benchmarks/bench_support.py
@@ -1,9 +1,8 @@
-"""What the measurements of capacity share: what the system tells of processes, and the list's
-server.
+"""Shared parts of the benchmarks: process metrics and a discovery server that serves the list.
 
-The server is a process of its own: `python benchmarks/parties.py SERVERS`. It prints its port; then
-each line that it reads is an order, a change or a restart, and it prints the list's version after
-it.
+The discovery server is a process of its own: `python benchmarks/bench_support.py SERVERS`. It prints
+its port. Then it reads one command per line, `change` or `restart`, and prints the list's version
+after each; an empty line or the end of its input stops it.
 """
 
 import asyncio
@@ -21,7 +20,7 @@
 Measurements = dict[str, float]
 
 
-# What the system tells
+# Metrics from /proc
 
 
 def cpu_s(pid: int) -> float:
@@ -30,7 +29,7 @@
 
 
 def memory_mb(pid: int, key: str = "VmRSS") -> float:
-    """One line of what the system tells of a process's memory."""
+    """Return one entry of a process's /proc/PID/status, given in kB, in MB."""
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     return next(int(line.split()[1]) for line in lines if line.startswith(key + ":")) / 1024
 
@@ -50,13 +49,16 @@
 
 
 async def measure_idle(pid: int, seconds: float) -> Measurements:
-    before, cpu = loopback_bytes(), cpu_s(pid)
+    bytes_before, cpu_before_s = loopback_bytes(), cpu_s(pid)
     await asyncio.sleep(seconds)
-    used = cpu_s(pid) - cpu
-    return {"bytes_a_s": (loopback_bytes() - before) / seconds, "cpu_ms_a_s": used / seconds * 1e3}
+    used_s = cpu_s(pid) - cpu_before_s
+    return {
+        "bytes_a_s": (loopback_bytes() - bytes_before) / seconds,
+        "cpu_ms_a_s": used_s / seconds * 1e3,
+    }
 
 
-async def list_server(servers: int) -> None:
+async def serve_list(servers: int) -> None:
     trace, states = Trace(), States()
     discovery = StandinDiscovery(trace)
     for number in range(servers):
@@ -81,7 +83,7 @@
 
 
 class ListServer:
-    """The process of ``list_server``."""
+    """Runs ``serve_list`` in a process of its own."""
 
     def __init__(self, servers: int) -> None:
         self.process = subprocess.Popen(
@@ -90,9 +92,9 @@
             stdout=subprocess.PIPE,
             text=True,
         )
-        self.port = self._line()
+        self.port = self._read_number()
 
-    def _line(self) -> int:
+    def _read_number(self) -> int:
         assert self.process.stdout is not None
         return int(self.process.stdout.readline())
 
@@ -100,7 +102,7 @@
         assert self.process.stdin is not None
         self.process.stdin.write(command + "\n")
         self.process.stdin.flush()
-        return self._line()
+        return self._read_number()
 
     def stop(self) -> None:
         assert self.process.stdin is not None
@@ -109,4 +111,4 @@
 
 
 if __name__ == "__main__":
-    asyncio.run(list_server(int(sys.argv[1])))
+    asyncio.run(serve_list(int(sys.argv[1])))
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,13 +1,13 @@
-"""Measures what each role costs by size: `make bench-capacity`; writes its data and
-docs/CAPACITY.md.
+"""Measures the cost of each role by size: `make bench-capacity`.
 
-Each run is a process of its own. Sizes that are not varied stay at those of BASE. Bytes are counted
-at the loopback device, headers and acknowledgements included; nothing else may use it meanwhile.
+Writes docs/measurements/capacity.json and docs/CAPACITY.md. Each run is a process of its own. Bytes
+are counted at the loopback device, headers and acknowledgements included, so nothing else may use
+the device during a run.
 
-    python benchmarks/capacity.py            # all runs, the data and the page; some minutes
-    python benchmarks/capacity.py page       # the page anew from the committed data
+    python benchmarks/capacity.py            # all runs, the data and the page; several minutes
+    python benchmarks/capacity.py page       # regenerates the page from the committed data
     python benchmarks/capacity.py run NAME SIZE     # one run, as JSON
-    python benchmarks/capacity.py small NAME SIZE   # the same with short rests and few changes
+    python benchmarks/capacity.py small NAME SIZE   # the same with short idle times and few changes
 """
 
 import asyncio
@@ -47,40 +47,44 @@
 ROOT = Path(__file__).parent.parent
 SERVERS, DISPATCHERS = 600, 370
 IDLE_S, CHANGES = 6.0, 20
-SETTLE_S = 5.0  # after starts, till first checks and pulls are over
-CHANGE_INTERVAL_S = 0.5  # between changes one by one
-OUTAGE_S = 12.0  # an hour that a region is cut off, shortened
-RATE = 8.0  # requests a second for a dispatcher
-SERVE_COMMAND = (sys.executable, "-m", "onyxpass", "serve")  # as the platform starts it
+SETTLE_S = 5.0  # after a start, until the first checks and pulls are over
+CHANGE_INTERVAL_S = 0.5  # between consecutive changes
+OUTAGE_S = 12.0  # of a region: stands for an hour
+RATE = 8.0  # requests per second of one dispatcher
+SERVE_COMMAND = (sys.executable, "-m", "onyxpass", "serve")  # the platform's command line
 
 
-# Hollow dispatchers on the list
+# Hollow dispatchers that watch the list
 
 
 async def measure_list(servers: int, dispatchers: int) -> Measurements:
-    """Hollow dispatchers in this process watch the list: start, rest, changes, a restart of its
-    server.
+    """Measure the list's server while hollow dispatchers of this process watch it.
+
+    The phases are start, idle, changes one by one and a restart of the server.
     """
     server = ListServer(servers)
     try:
         settings = platform_settings.read_settings({**SETTINGS, "peersTotal": dispatchers})
-        before = loopback_bytes()
+        bytes_before = loopback_bytes()
         fleet = HollowFleet(settings, Address("127.0.0.1", server.port), dispatchers)
         fleet.start()
         start_s = await wait_until(lambda: fleet.at_least(1) == dispatchers)
         await asyncio.sleep(0.5)
-        start_bytes = loopback_bytes() - before
+        start_bytes = loopback_bytes() - bytes_before
         rest = await measure_idle(server.process.pid, IDLE_S)
-        times, before, cpu = [], loopback_bytes(), cpu_s(server.process.pid)
+        times, bytes_before, cpu_before_s = [], loopback_bytes(), cpu_s(server.process.pid)
         for _ in range(CHANGES):
             version = server.request_change("change")
             times.append(await wait_until(lambda: fleet.at_least(version) == dispatchers))  # noqa: B023
-        changes_bytes, changes_cpu = loopback_bytes() - before, cpu_s(server.process.pid) - cpu
-        before = loopback_bytes()
+        changes_bytes, changes_cpu = (
+            loopback_bytes() - bytes_before,
+            cpu_s(server.process.pid) - cpu_before_s,
+        )
+        bytes_before = loopback_bytes()
         version = server.request_change("restart")
         restart_s = await wait_until(lambda: fleet.at_least(version) == dispatchers)
         await asyncio.sleep(0.5)
-        restart_bytes = loopback_bytes() - before
+        restart_bytes = loopback_bytes() - bytes_before
         fleet.stop()
         return {
             "start_s": start_s,
@@ -99,7 +103,7 @@
         server.stop()
 
 
-# A real dispatcher, and a real agent with real dispatchers
+# Real dispatchers and agents
 
 
 def dispatcher_file(folder: Path, name: str, discovery: str, tenants: int, listen: str) -> Path:
@@ -126,7 +130,7 @@
 
 
 async def measure_dispatcher(servers: int, tenants: int) -> Measurements:
-    """Start, rest, changes of the list, at one real process."""
+    """Measure one real dispatcher: start, idle, changes of the list."""
     server = ListServer(servers)
     with tempfile.TemporaryDirectory(prefix="onyxpass-capacity-") as folder:
         path = dispatcher_file(
@@ -150,11 +154,11 @@
             await asyncio.sleep(1.0)
             start_cpu_s = cpu_s(process.pid)
             rest = await measure_idle(process.pid, IDLE_S)
-            cpu = cpu_s(process.pid)
+            cpu_before_s = cpu_s(process.pid)
             for _ in range(CHANGES):
                 version = server.request_change("change")
                 await wait_until(lambda: versions[-1] >= version)  # noqa: B023
-            changes_cpu = cpu_s(process.pid) - cpu
+            changes_cpu = cpu_s(process.pid) - cpu_before_s
             found = {
                 "start_cpu_s": start_cpu_s,
                 "mb": memory_mb(process.pid),
@@ -172,7 +176,7 @@
 
 
 async def measure_agent(instances: int) -> Measurements:
-    """A real agent at rest over real dispatchers."""
+    """Measure an idle real agent that manages real dispatchers."""
     server = ListServer(SERVERS)
     with tempfile.TemporaryDirectory(prefix="onyxpass-capacity-") as name:
         folder = Path(name)
@@ -214,8 +218,9 @@
 
 
 async def measure_real_and_hollow(agents: int) -> Measurements:
-    """Real dispatchers, six under each real agent's place, beside hollow ones up to the whole
-    number.
+    """Measure six real dispatchers per agent, with hollow ones up to the full number.
+
+    The agents themselves are not started.
     """
     count = 6 * agents
     full_scale.check_processes(count)
@@ -273,61 +278,63 @@
 
 
 async def measure_configuration(hosts: int) -> Measurements:
-    """Real nodes, so many hosts in each of two regions and three control nodes: orders till in
-    force at all.
+    """Measure how long changes take until they are in force at all hosts.
 
-    Then a tenth of the hosts are down while there are changes, and one region is cut off for
-    OUTAGE_S.
+    Real nodes in two regions, each with three control nodes and this number of hosts. After changes
+    with all hosts up there is one change while a tenth of the hosts are down, and one change in each
+    region while the regions are partitioned for OUTAGE_S.
     """
     full_scale.check_processes(2 * (hosts + 4))
     with tempfile.TemporaryDirectory(prefix="onyxpass-capacity-") as name:
-        async with Trial(Path(name), controls=3, hosts=hosts) as t:
-            names = t.host_names
-            await t.order("north-c0", start=1)
-            await t.in_force(names, lambda values: values.get("start") == 1)
+        async with Trial(Path(name), controls=3, hosts=hosts) as trial:
+            names = trial.host_names
+            await trial.order("north-c0", start=1)
+            await trial.in_force(names, lambda values: values.get("start") == 1)
             await asyncio.sleep(SETTLE_S)
-            before, across = loopback_bytes(), t.bytes_across
+            bytes_before, cross_region_before = loopback_bytes(), trial.bytes_across
             await asyncio.sleep(IDLE_S)
-            rest = (loopback_bytes() - before) / IDLE_S
-            rest_across = (t.bytes_across - across) / IDLE_S
-            before, began_ns = loopback_bytes(), time.monotonic_ns()
+            rest = (loopback_bytes() - bytes_before) / IDLE_S
+            rest_across = (trial.bytes_across - cross_region_before) / IDLE_S
+            bytes_before, began_ns = loopback_bytes(), time.monotonic_ns()
             for number in range(CHANGES):
-                await t.order(f"{'north' if number % 2 else 'south'}-c{number % 3}", paced=number)
+                await trial.order(
+                    f"{'north' if number % 2 else 'south'}-c{number % 3}", paced=number
+                )
                 await asyncio.sleep(CHANGE_INTERVAL_S)
             spaced_duration_s, ended_ns = (
                 (time.monotonic_ns() - began_ns) / 1e9,
                 time.monotonic_ns(),
             )
-            spaced_bytes = loopback_bytes() - before - rest * spaced_duration_s
+            spaced_bytes = loopback_bytes() - bytes_before - rest * spaced_duration_s
             for number in range(CHANGES):
-                await t.order("north-c1", burst=number)
-            await t.in_force(names, lambda values: values.get("burst") == CHANGES - 1)
+                await trial.order("north-c1", burst=number)
+            await trial.in_force(names, lambda values: values.get("burst") == CHANGES - 1)
             stopped_hosts = names[:: max(1, len(names) // max(1, len(names) // 10))][
                 : max(1, len(names) // 10)
             ]
             for host in stopped_hosts:
-                await t.kill(host)
-            await t.order("south-c0", away=1)
-            await t.in_force(
+                await trial.kill(host)
+            await trial.order("south-c0", away=1)
+            await trial.in_force(
                 [n for n in names if n not in stopped_hosts], lambda values: values.get("away") == 1
             )
             began_s = time.monotonic()
             for host in stopped_hosts:
-                await t.start(host)
-            await t.in_force(names, lambda values: values.get("away") == 1)
+                await trial.start(host)
+            await trial.in_force(names, lambda values: values.get("away") == 1)
             catch_up_s = time.monotonic() - began_s
-            t.cut()
-            await t.order("north-c0", split=1)
-            await t.order("south-c0", other=1)
+            trial.cut()
+            await trial.order("north-c0", split=1)
+            await trial.order("south-c0", other=1)
             await asyncio.sleep(OUTAGE_S)
-            t.mend()
+            trial.mend()
             began_s = time.monotonic()
-            await t.in_force(
+            await trial.in_force(
                 names, lambda values: values.get("split") == 1 and values.get("other") == 1
             )
             heal_s = time.monotonic() - began_s
-            mb = memory_mb(t.process_of(names[0]))
-            records = t.words()
+            mb = memory_mb(trial.process_of(names[0]))
+            records = trial.words()
             times = sorted(latency_s(records, names))
             spaced_latencies = latency_s(
                 [record for record in records if began_ns <= record.at_ns <= ended_ns], names
@@ -345,7 +352,7 @@
                 "back_s": catch_up_s,
                 "mended_s": heal_s,
                 "node_mb": mb,
-                "breaches": len(t.breaches()),
+                "breaches": len(trial.breaches()),
             }
 
 
@@ -355,7 +362,7 @@
 
 
 def measure_reload(instances: int, silent: float) -> Measurements:
-    """One reload of all by the operators' tool, over stand-in agents."""
+    """Measure one reload of all instances by the fleet tool, with stand-in agents."""
     run = subprocess.run(
         [
             sys.executable,
@@ -380,7 +387,7 @@
     return asdict(full_scale.run_site(full_scale.scaled_site(fraction, seconds, faults), 1))
 
 
-# Which runs there are: a name, a size, and whether the small form has it
+# By name: the measurement, its sizes, and the sizes of its small form
 
 Run = Callable[[float], Measurements | dict[str, object] | Awaitable[Measurements]]
 RUNS: dict[str, tuple[Run, tuple[float, ...], tuple[float, ...]]] = {
@@ -418,7 +425,7 @@
 
 
 def use_small_settings() -> None:
-    """For tests: what is measured says little then, and all that is checked is checked."""
+    """Shorten the runs for tests: the figures mean little, but every check still runs."""
     global IDLE_S, CHANGES, OUTAGE_S, CHANGE_INTERVAL_S, SETTLE_S, SERVERS, DISPATCHERS
     SERVERS, DISPATCHERS = 60, 24
     IDLE_S, CHANGES, OUTAGE_S, CHANGE_INTERVAL_S, SETTLE_S = 0.3, 3, 0.5, 0.3, 0.3
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,8 +1,8 @@
 """Measures the fleet tool: `make bench-fleet`. Writes docs/measurements/fleet.md.
 
 `list` and `reload` over 6, 60 and 600 instances with 0, 10 and 50% of the agents silent, six
-instances an agent, agents as stand-ins in a process of their own. Then the planner against one
-instance at a time.
+instances per agent; the agents are stand-ins in a process of their own. Then the planner, compared
+with a rollout of one instance at a time.
 """
 
 import asyncio
@@ -36,7 +36,7 @@
 
 
 async def serve_agents(count: int, silent: float, key: str) -> None:
-    """The process of the stand-in agents: tells their ports, and stays till its input ends."""
+    """Run the stand-in agents: print their ports and names, and serve until the input ends."""
     stand_ins = []
     for number in range(-(-count // INSTANCES_PER_AGENT)):
         names = [
@@ -57,8 +57,9 @@
 def measure_in_subprocess(
     count: int, silent: float, command: str
 ) -> tuple[float, int, float, dict[str, int]]:
-    """Seconds, connections at once, peak memory in MB, and outcomes of one run in a process of
-    its own.
+    """Run a command in a process of its own.
+
+    Return its seconds, most connections open at once, peak memory in MB, and outcomes.
     """
     run = subprocess.run(
         [sys.executable, __file__, "run", str(count), str(silent), command],
@@ -120,7 +121,7 @@
 
 
 def measure_planner(count: int) -> tuple[float, int, int]:
-    """Seconds to plan, waves, and the fewest that any order needs."""
+    """Return the seconds to plan, the number of waves, and the least number that is possible."""
     instances = [
         PlannedInstance(f"i{n:05}", HALLS[n % 3], f"h{n % 3}-{n // 3 // INSTANCES_PER_AGENT}")
         for n in range(count)
@@ -143,9 +144,9 @@
         "",
         f"`make bench-fleet` on {platform.machine()}, {os.cpu_count()} cores, Python",
         f"{platform.python_version()}; medians of {REPEATS} runs, each in a process of its own. Six",
-        "instances an agent, so one agent at size 6, which none of these shares silences; deadline",
-        f"{DEADLINE_S:g} s. A reload ends with one more look at all, which gives a silent agent 3 s. The",
-        "ratio is to the same command with no agent silent.",
+        "instances per agent, so one agent at size 6, which none of these shares makes silent; deadline",
+        f"{DEADLINE_S:g} s. A reload ends with a survey of all agents, which waits 3 s for a silent one. The",
+        "ratio compares with the same command with no agent silent.",
         "",
         "| command | instances | silent agents | seconds | ratio | connections at once | MB | outcomes |",
         "| --- | --- | --- | --- | --- | --- | --- | --- |",
@@ -171,9 +172,9 @@
         "",
         "## The planner",
         "",
-        "At once a quarter of all, a ninth of all in a hall, one on a host; half of each hall kept; one",
-        "canary. The plain order takes one instance at a time, so it has as many waves as instances.",
-        "`fewest`: no order needs fewer waves, the canary's apart.",
+        "Limits at once: a quarter of all instances, a ninth of all in a hall, one on a host; half of each",
+        "hall is kept; one canary. One instance at a time needs as many waves as there are instances.",
+        "`fewest`: no plan needs fewer waves, the canary's wave not counted.",
         "",
         "| instances | seconds to plan | waves | fewest | one at a time | ratio of waves |",
         "| --- | --- | --- | --- | --- | --- |",
--- a/benchmarks/guard.py
+++ b/benchmarks/guard.py
@@ -1,7 +1,7 @@
-"""What the guard costs: `make bench-guard`; writes docs/measurements/guard.md.
+"""Measures the cost of the invariant checker: `make bench-guard`; writes docs/measurements/guard.md.
 
-The processor time of the guard's calls for one good request, beside that of a whole request at a
-real dispatcher before stand-in servers, in the same run.
+Compares the processor time of the checker's calls for one successful request with that of a whole
+request at a real dispatcher with stand-in servers, in the same run.
 
     python benchmarks/guard.py [REQUESTS]
 """
@@ -31,7 +31,10 @@
 
 
 def checker_us() -> float:
-    """Of one request: a read, a write, the first event, the answer."""
+    """Return the checker's processor time per request in microseconds.
+
+    The calls are those of a prefill, a decode, the first event and the answer.
+    """
     checker = InvariantChecker(read_settings(SETTINGS))
     checker.record_endpoints([contract.Endpoint(name, "reader") for name in ("r0", "w0")], True, 0)
     began = time.process_time()
@@ -50,7 +53,7 @@
 
 
 async def request_us(requests: int) -> float:
-    """Processor time of a real dispatcher for each request that it serves."""
+    """Return a real dispatcher's processor time per served request in microseconds."""
     fleet = await StandinFleet(2, 2).start()
     with tempfile.TemporaryDirectory() as folder:
         path, port = Path(folder) / "config.json", free_port()
@@ -92,14 +95,14 @@
     machine = f"{platform.machine()}, {os.cpu_count()} cores, Python {platform.python_version()}"
     text = f"""# What the guard costs
 
-`make bench-guard`. {machine}; {requests} requests at a real dispatcher, {MAX_CONCURRENT} at once, and {ROUNDS}
-rounds of the guard's calls for one good request (a read, a write, an event, the answer), in the same run.
+`make bench-guard`, for the invariant checker ("guard"). {machine}; {requests} requests at a real dispatcher, {MAX_CONCURRENT} at once, and {ROUNDS}
+rounds of the checker's calls for one successful request (a prefill, a decode, an event, the answer), in the same run.
 
 | | processor time in us |
 | --- | --- |
-| a whole request at the dispatcher, the guard's calls among it | {request_cpu_us:.0f} |
-| the guard's calls of one request | {checker_cpu_us:.1f} |
-| the second over the first | {checker_cpu_us / request_cpu_us:.4f} |
+| a whole request at the dispatcher, the checker's calls included | {request_cpu_us:.0f} |
+| the checker's calls for one request | {checker_cpu_us:.1f} |
+| the second divided by the first | {checker_cpu_us / request_cpu_us:.4f} |
 """
     (ROOT / "docs" / "measurements" / "guard.md").write_text(text)
     print(text)
--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -1,7 +1,7 @@
 """Measures the emulator: `make bench-lab`. Writes docs/measurements/lab.md.
 
-Emulated seconds a second, memory, and what one decision costs, with the module and with a plain
-policy; each run in a process of its own.
+Emulated seconds per second, memory and the cost of one decision, with the router ("module") and
+with a simple policy; each run is a process of its own.
 """
 
 import json
@@ -19,7 +19,7 @@
 from onyxpass.emulator.topology import Site
 
 ROOT = Path(__file__).parent.parent
-# servers, dispatchers, seconds
+# Servers, dispatchers, emulated seconds
 SIZES = ((14, 4, 20.0), (14, 40, 20.0), (100, 4, 5.0), (100, 40, 5.0), (1000, 4, 1.0))
 REPEATS = 3
 
@@ -35,7 +35,7 @@
     tally = simulation.run()
     elapsed_s = time.perf_counter() - began_s
     mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
-    emulated_s = seconds + 40  # ticks go on till the last second of the day's tail
+    emulated_s = seconds + 40  # the run continues for 40 s after the end of the traffic
     measures = {
         "pace": emulated_s / elapsed_s,
         "took": elapsed_s,
@@ -65,10 +65,10 @@
         "# The emulator, measured",
         "",
         f"`make bench-lab` on {platform.machine()}, {os.cpu_count()} cores, Python",
-        f"{platform.python_version()}; one core a run, medians of {REPEATS}. Load grows with the servers",
-        "(50 first tries a second for 14); the emulated time has a tail of 40 s, in which ticks go on.",
-        "`us`: of wall time for each event told to a policy, the emulator's own work included. The ratio is",
-        "the module's time to the plain policy's.",
+        f"{platform.python_version()}; one core per run, medians of {REPEATS}. Load grows with the servers",
+        "(50 requests per second for 14, without retries); each run continues for 40 s after the end of the traffic, with timers still running.",
+        "`us`: wall time per event handled by a policy, the emulator's own work included. The ratio is",
+        "the module's time divided by the simple policy's.",
         "",
         "| servers | dispatchers | requests | module: s/s | MB | us | prefix hash: s/s | us | ratio |",
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- |",
--- a/benchmarks/schedules.py
+++ b/benchmarks/schedules.py
@@ -1,10 +1,8 @@
-"""Plays many drawn schedules of faults: `make bench-schedules`; writes
-docs/measurements/schedules.md.
+"""Runs many random fault schedules: `make bench-schedules`; writes docs/measurements/schedules.md.
 
-Each is told by its seed; one that failed is played again by `python benchmarks/schedules.py 1
-SEED`.
+A seed determines its schedule; `python benchmarks/schedules.py 1 SEED` repeats a failed one.
 
-    python benchmarks/schedules.py [HOW MANY] [FIRST SEED] [BESIDE EACH OTHER]
+    python benchmarks/schedules.py [COUNT] [FIRST SEED] [CONCURRENCY]
 """
 
 import asyncio
@@ -57,15 +55,16 @@
     counts = ", ".join(
         f"{what} {seen[what]}" for what in ("held", "lost", "begin", "end", "refused")
     )
-    failures = f"; not kept: seeds {failed}" if failed else ""
-    duration = f"{concurrency} beside each other, {time.monotonic() - began_s:.0f} s"
-    return f"""# Schedules of faults, played
+    failures = f"; failed: seeds {failed}" if failed else ""
+    duration = f"{concurrency} at a time, {time.monotonic() - began_s:.0f} s"
+    return f"""# Schedules of faults, run
 
 `make bench-schedules`. {machine}. Seeds {first} to {first + count - 1}, {duration}.
-Two agents, four dispatchers, three tools in turn as processes; six strikes each within 6 s. After each
-schedule a last rollout has to change all, and the histories of all processes are checked.
+Two agents, four dispatchers and, one after another, three fleet tools, as processes; six faults within
+6 s in each schedule. After each one a last rollout must change all instances, and the histories of all
+processes are checked.
 
-{count - len(failed)} of {count} kept everything{failures}. Lines of history: {counts}.
+{count - len(failed)} of {count} held every rule{failures}. Lines of history: {counts}.
 
 | strike | times |
 | --- | --- |
--- a/benchmarks/sources.py
+++ b/benchmarks/sources.py
@@ -1,8 +1,8 @@
 """Measures watched files: `make bench-sources`. Writes docs/measurements/sources.md.
 
-From the rename of a file to its view in force, at 14, 1,000 and 10,000 servers; CPU while nothing
-changes and in a storm; memory over 10,000 versions; the index changed in place against the one
-built anew.
+The time from the rename of a file until its view is in force, at 14, 1,000 and 10,000 servers; the
+CPU load while nothing changes and while a file is replaced up to 1,000 times a second; the memory
+over 10,000 versions; and an index changed in place, compared with one rebuilt.
 """
 
 import asyncio
@@ -39,7 +39,7 @@
 
 
 class NullFleet:
-    """A fleet that nothing is sent to."""
+    """A fleet that ignores its members."""
 
     def member(self, server: contract.Endpoint, address: Address, left: bool) -> None:
         return
@@ -74,7 +74,7 @@
         self.source.on_view = lambda _: self.in_force.set()
 
     async def apply_version(self, number: int) -> float:
-        """Seconds from the rename to the view in force."""
+        """Replace the file and return the seconds until its view is in force."""
         text = await asyncio.to_thread(servers_toml, self.server_count, 1.0 + number % 5 / 10)
         self.in_force.clear()
         await asyncio.to_thread(replace_file, self.folder / "s.toml", text)
@@ -84,8 +84,8 @@
 
 
 async def measure_latency(server_count: int, versions: int) -> tuple[float, float, float, float]:
-    """p50 and p99 in force, the loop's longest stall, CPU in percent of a core while nothing
-    changes.
+    """Return p50 and p99 of the seconds until a version is in force, the event loop's longest stall
+    in seconds, and the CPU load in percent of a core while nothing changes.
     """
     with tempfile.TemporaryDirectory() as folder:
         fixture = Fixture(Path(folder), server_count)
@@ -122,8 +122,8 @@
 
 
 async def measure_replacement_load(seconds: float) -> tuple[float, int, int]:
-    """CPU in percent of a core while a file is replaced with itself; replacements, and views
-    made of them.
+    """Return the CPU load in percent of a core while a file is replaced with a copy of itself, the
+    number of replacements, and the number of views made of them.
     """
     with tempfile.TemporaryDirectory() as folder:
         fixture = Fixture(Path(folder), 14)
@@ -154,8 +154,9 @@
 
 
 async def measure_memory(versions: int) -> tuple[float, float]:
-    """MB in use after a tenth of the versions, and after all of them; judged one after the
-    other.
+    """Return the MB in use after a tenth of the versions and after all of them.
+
+    Each version is applied before the next one is written.
     """
     with tempfile.TemporaryDirectory() as folder:
         fixture = Fixture(Path(folder), 14)
@@ -184,7 +185,7 @@
 
 
 def measure_index(server_count: int, rounds: int = 7) -> tuple[float, float]:
-    """Seconds for one change of 5 servers: in place, and by building anew."""
+    """Return the seconds for a change of 5 servers, in place and by a rebuild, as medians."""
     generator = random.Random(3)
     current = make_entries(server_count)
     index = Index.built(ROLES, current.values())
@@ -216,10 +217,10 @@
         f"`make bench-sources` on {platform.machine()}, {os.cpu_count()} cores, Python",
         f"{platform.python_version()}. Settling time {SETTLE_S * 1000:g} ms, which is part of each time; one",
         "weight changes from version to version. `stall`: the longest time for which the event loop did not",
-        "run: full collections of garbage and the module's own lining up of all servers, each some 0.1 s at",
-        "10,000. The ratio is to 14 servers.",
+        "run: full garbage collections and the module's ordering of all servers, each about 0.1 s at",
+        "10,000. The ratio compares with 14 servers.",
         "",
-        "| servers | versions | p50 ms | p99 ms | ratio | stall ms | CPU at rest |",
+        "| servers | versions | p50 ms | p99 ms | ratio | stall ms | CPU when idle |",
         "| --- | --- | --- | --- | --- | --- | --- |",
     ]
     base = 0.0
@@ -235,14 +236,14 @@
     early_mb, final_mb = asyncio.run(measure_memory(10_000))
     lines += [
         "",
-        f"A file replaced with itself {replaced} times in 5 s: {cpu:.0f}% of a core, {views} new views.",
+        f"A file replaced with a copy of itself {replaced} times in 5 s: {cpu:.0f}% of a core, {views} new views.",
         f"Memory after 1,000 versions {early_mb:.1f} MB, after 10,000 {final_mb:.1f} MB ({final_mb / early_mb:.3f}).",
         "",
         "## The index",
         "",
         "One change of five servers, medians of 7.",
         "",
-        "| servers | in place, µs | built anew, µs | ratio |",
+        "| servers | in place, µs | rebuilt, µs | ratio |",
         "| --- | --- | --- | --- |",
     ]
     for server_count in SIZES:
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -1,9 +1,8 @@
-"""Measures what a dispatcher costs that serves nothing: `make bench-start`; writes
-docs/measurements/.
+"""Measures a dispatcher without traffic: `make bench-start`; writes docs/measurements/start.md.
 
-Two builds in turn, the present one and the one checked out in the folder that is given: the
-processor time and the memory of a start till its list is whole, and the processor time of a second
-in which nothing happens.
+Two builds run in turn: this one, and an earlier one that is checked out in the given folder. Measured
+are the time, processor time and memory of a start until the list is complete, and the processor time
+per idle second.
 
     python benchmarks/start.py EARLIER [RUNS]     # EARLIER: a checkout, for example by `git worktree add`
 """
@@ -38,7 +37,7 @@
 
 
 async def wait_until_ready(port: int) -> None:
-    """Returns once the dispatcher has its whole list."""
+    """Return once the dispatcher reports that it is ready."""
     while True:
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -111,7 +110,7 @@
         "",
         f"`make bench-start`, {runs} runs of each build in turn, medians. {os.cpu_count()} cores,",
         f"{platform.machine()}, Python {platform.python_version()}. {READERS} readers and {WRITERS} writers",
-        f"on the list, {PEERS} dispatchers told. Earlier build: `{earlier_commit.stdout.strip()}`.",
+        f"on the list, {PEERS} dispatchers configured. Earlier build: `{earlier_commit.stdout.strip()}`.",
         "",
         "| measure | earlier | now | ratio |",
         "| --- | --- | --- | --- |",
--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -1,9 +1,10 @@
-"""Measures how a lease goes from holder to holder while parts fail: `make bench-together`.
+"""Measures lease handovers while holders fail: `make bench-together`.
 
-A stand-in store as a process of its own; contenders in this one, each with its own connection. The
-holder is struck in turn: killed (it says no more), cut off (its connections are gone, and so is
-it), or gives it back. Baseline of the same run: a key set with NX and PX that everybody asks for at
-the same pace, without line or token. Writes docs/measurements/together.md.
+The store is a stand-in in a process of its own; the contenders run in this process, each with its
+own connection. Each holder in turn is killed (it sends nothing more), cut off (its connections are
+closed, and it sends nothing more) or gives the lease back. The baseline of the same run is a key set
+with NX and PX for which all contenders poll, without queue or token. Then a model checker searches
+the lease protocol. Writes docs/measurements/together.md.
 
     python benchmarks/together.py [HANDOVERS] [STATES]
 """
@@ -105,7 +106,7 @@
 async def measure_plain_key(
     url: str, contender_count: int, ttl_ms: int, wanted: int
 ) -> list[float]:
-    """The baseline: killed holders of a key with NX and PX."""
+    """Measure the baseline, a key with NX and PX whose holders are killed: milliseconds each."""
     clients = [Redis.from_url(url, protocol=2) for _ in range(contender_count)]
     durations_ms: list[float] = []
     holder, fault_s = -1, 0.0
@@ -114,7 +115,7 @@
             if i != holder and await redis_client.set("plain", str(i), nx=True, px=ttl_ms):
                 if holder >= 0:
                     durations_ms.append((time.monotonic() - fault_s) * 1000)
-                holder, fault_s = i, time.monotonic()  # it is killed at once
+                holder, fault_s = i, time.monotonic()  # the holder is killed at once
                 break
         await asyncio.sleep(ttl_ms / 3 / 1000)
     for redis_client in clients:
@@ -177,14 +178,14 @@
             reacquisitions=3,
         )
     ).walk(1, 3_000)
-    truncation_note = "" if faulty.complete else " (the bound on states ended it)"
+    truncation_note = "" if faulty.complete else " (ended by the limit on states)"
     violation_count = sum(
         bool(checker_result.violation) for checker_result in (full, faulty, random_walks)
     )
     searched = (
-        f"Searched: {full.states} states, all of two contenders within 150 ms and no fault; {faulty.states} "
-        f"of two within 300 ms and each fault once{truncation_note}; {random_walks.states} steps of seeded walks with up to "
-        f"three of each. Breaches: {violation_count}. {time.monotonic() - began_s:.0f} s."
+        f"Searched: {full.states} states, all of two contenders within 150 ms without faults; {faulty.states} "
+        f"of two within 300 ms with each fault once{truncation_note}; {random_walks.states} steps of seeded walks with up to "
+        f"three of each. Violations: {violation_count}. {time.monotonic() - began_s:.0f} s."
     )
     print(searched, flush=True)
     return "\n".join([*rows, "", searched])
@@ -193,8 +194,8 @@
 HEADER = """# Acting together, measured
 
 `make bench-together`. {machine}. The store is the stand-in, a process of its own. Milliseconds from the
-strike to the next holder's word: median, 99th percentile. A killed or cut-off holder is waited for till its
-time is over; the aim is its lease time and 1 s. The last column: commands a contender and lease time.
+fault until the next holder has the lease: median, 99th percentile. After a killed or cut-off holder the lease
+must first expire; the target is the lease time and 1 s. Last column: commands per contender and lease time.
 
 | contenders | lease | handovers | killed | cut off | given back | plain key | ratio | overlaps | commands |
 | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |
