--- a/benchmarks/bench_support.py
+++ b/benchmarks/bench_support.py
@@ -29,7 +29,7 @@
 
 
 def memory_mb(pid: int, key: str = "VmRSS") -> float:
-    """Return one entry of a process's /proc/PID/status, given in kB, in MB."""
+    """Return a memory figure of a process in MB; ``key`` names a line of /proc/PID/status."""
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     return next(int(line.split()[1]) for line in lines if line.startswith(key + ":")) / 1024
 
@@ -40,6 +40,7 @@
 
 
 async def wait_until(condition: Callable[[], bool], timeout_s: float = 60.0) -> float:
+    """Return the seconds until the condition holds; raise TimeoutError after ``timeout_s``."""
     began_s = time.monotonic()
     while not condition():
         if time.monotonic() - began_s > timeout_s:
@@ -49,6 +50,7 @@
 
 
 async def measure_idle(pid: int, seconds: float) -> Measurements:
+    """Return loopback bytes and a process's CPU milliseconds, both per second, over ``seconds``."""
     bytes_before, cpu_before_s = loopback_bytes(), cpu_s(pid)
     await asyncio.sleep(seconds)
     used_s = cpu_s(pid) - cpu_before_s
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -49,7 +49,7 @@
 IDLE_S, CHANGES = 6.0, 20
 SETTLE_S = 5.0  # after a start, until the first checks and pulls are over
 CHANGE_INTERVAL_S = 0.5  # between consecutive changes
-OUTAGE_S = 12.0  # of a region: stands for an hour
+OUTAGE_S = 12.0  # partition between the regions, shortened from an hour
 RATE = 8.0  # requests per second of one dispatcher
 SERVE_COMMAND = (sys.executable, "-m", "onyxpass", "serve")  # the platform's command line
 
--- a/benchmarks/sources.py
+++ b/benchmarks/sources.py
@@ -63,7 +63,7 @@
     temporary.replace(path)
 
 
-class Fixture:
+class SourceFixture:
     def __init__(self, folder: Path, server_count: int) -> None:
         self.folder, self.server_count = folder, server_count
         clock = Clock()
@@ -88,7 +88,7 @@
     in seconds, and the CPU load in percent of a core while nothing changes.
     """
     with tempfile.TemporaryDirectory() as folder:
-        fixture = Fixture(Path(folder), server_count)
+        fixture = SourceFixture(Path(folder), server_count)
         replace_file(fixture.folder / "s.toml", servers_toml(server_count))
         stalls: list[float] = []
 
@@ -126,7 +126,7 @@
     number of replacements, and the number of views made of them.
     """
     with tempfile.TemporaryDirectory() as folder:
-        fixture = Fixture(Path(folder), 14)
+        fixture = SourceFixture(Path(folder), 14)
         replace_file(fixture.folder / "s.toml", servers_toml(14))
         tasks = [
             asyncio.create_task(work) for work in (fixture.source.follow(), fixture.core.run())
@@ -159,7 +159,7 @@
     Each version is applied before the next one is written.
     """
     with tempfile.TemporaryDirectory() as folder:
-        fixture = Fixture(Path(folder), 14)
+        fixture = SourceFixture(Path(folder), 14)
         module = asyncio.create_task(fixture.core.run())
         early_mb = 0.0
         for number in range(versions):
--- a/onyxpass/emulator/capacity.py
+++ b/onyxpass/emulator/capacity.py
@@ -242,10 +242,10 @@
     for measure in measures:
         sizes = ", ".join(f"{size:g}" for size in measure.sizes)
         budget = f"{measure.budget:g} {measure.unit}" if measure.budget else ""
-        drawn = f"{measure.fitted_line.intercept:.3g} | {measure.fitted_line.slope:.3g} | {measure.fitted_line.residual:.2f}"
+        line_cells = f"{measure.fitted_line.intercept:.3g} | {measure.fitted_line.slope:.3g} | {measure.fitted_line.residual:.2f}"
         value = f"{measure.value:.3g} {measure.unit}{measure.range_note}"
         rows.append(
-            f"| {measure.what} | {measure.grows_by} | {sizes} | {drawn} | {value} | {budget} | {measure.ratio} |"
+            f"| {measure.what} | {measure.grows_by} | {sizes} | {line_cells} | {value} | {budget} | {measure.ratio} |"
         )
     return "\n".join(rows)
 
@@ -259,7 +259,7 @@
     kb: float
 
 
-def events(change_bytes: float, restart_kb: float) -> list[ControlEvent]:
+def control_events(change_bytes: float, restart_kb: float) -> list[ControlEvent]:
     """Return the events of the page; each replica that leaves or returns is one change of the list."""
     zone = full_scale.REPLICAS // ZONE_COUNT
     changes = (
@@ -296,7 +296,7 @@
         "changes_a_day": LIST_CHANGES_PER_DAY,
         "day_bytes_a_s": lists["rest_bytes_a_s_each"]
         + lists["change_bytes_each"] * LIST_CHANGES_PER_DAY / DAY_S,
-        "events": events(lists["change_bytes_each"], lists["restart_kb_each"]),
+        "events": control_events(lists["change_bytes_each"], lists["restart_kb_each"]),
         "minute_kb": BYTES_PER_S * 60 / 1e3,
         "hour_mb": BYTES_PER_S * 3_600 / 1e6,
         "choosing": data.run_at("choosing by servers", servers)["us_a_request"]
--- a/onyxpass/emulator/cli.py
+++ b/onyxpass/emulator/cli.py
@@ -54,9 +54,9 @@
                     server=which if what in ("crash", "slow") else "",
                 )
             )
-        except ValueError as problem:
-            typer.echo(f"onyxpass: trouble {text!r}: {problem}", err=True)
-            raise typer.Exit(2) from problem
+        except ValueError as error:
+            typer.echo(f"onyxpass: trouble {text!r}: {error}", err=True)
+            raise typer.Exit(2) from error
     return tuple(found)
 
 
@@ -92,35 +92,35 @@
         raise typer.Exit(2)
     faults = parse_faults(trouble or [])
     site = Site(readers, writers, mixed, dispatchers, rate=rate, seconds=seconds, faults=faults)
-    placed = {spec.id for _, spec in site.servers()}
-    for found in site.faults:
-        if (found.server and found.server not in placed) or (
-            found.hall and found.hall not in site.halls
+    server_ids = {endpoint.id for _, endpoint in site.servers()}
+    for fault in site.faults:
+        if (fault.server and fault.server not in server_ids) or (
+            fault.hall and fault.hall not in site.halls
         ):
             typer.echo(
-                f"onyxpass: trouble {found.what}: no {found.server or found.hall!r} on this site",
+                f"onyxpass: trouble {fault.what}: no {fault.server or fault.hall!r} on this site",
                 err=True,
             )
             raise typer.Exit(2)
-    worst = 0
+    exit_code = 0
     for name in names:
         began_s = time.perf_counter()
         try:
             simulation = Simulation(site, POLICIES.get(name), seed)
             tally = simulation.run()
-        except PolicyError as problem:
-            typer.echo(f"{name}: run ended with an error: {problem}", err=True)
-            worst = 1
+        except PolicyError as error:
+            typer.echo(f"{name}: run ended with an error: {error}", err=True)
+            exit_code = 1
             continue
         elapsed_s = time.perf_counter() - began_s
-        broken = breaches(simulation.trace)
+        violations = breaches(simulation.trace)
         fields = {key: value for key, value in asdict(tally).items() if key != "by_second"}
         if as_json:
             row = {
                 "policy": name,
                 "g": tally.g,
                 **fields,
-                "broken": len(broken),
+                "broken": len(violations),
                 "seconds": elapsed_s,
             }
             typer.echo(json.dumps(row))
@@ -129,8 +129,8 @@
             f"{fields[key]} {key}" for key in ("served", "refused", "failed", "gone", "late")
         )
         pace = f"{seconds / elapsed_s:.0f}x real time"
-        typer.echo(f"{name:16} G {tally.g:.3f}  {ends}, {len(broken)} violations; {pace}")
-    raise typer.Exit(worst)
+        typer.echo(f"{name:16} G {tally.g:.3f}  {ends}, {len(violations)} violations; {pace}")
+    raise typer.Exit(exit_code)
 
 
 ExperimentPath = Annotated[Path, typer.Argument(help="The experiment's TOML file.")]
@@ -143,9 +143,9 @@
 def read_experiment(path: Path) -> ExperimentFile:
     try:
         return toml_config.read(ExperimentFile, path)
-    except ConfigError as problem:
-        typer.echo(f"onyxpass: {problem}", err=True)
-        raise typer.Exit(2) from problem
+    except ConfigError as error:
+        typer.echo(f"onyxpass: {error}", err=True)
+        raise typer.Exit(2) from error
 
 
 @lab_app.command("run")
--- a/onyxpass/emulator/experiment.py
+++ b/onyxpass/emulator/experiment.py
@@ -126,8 +126,8 @@
     try:
         simulation = Simulation(run.site(), POLICIES.get(run.policy), run.seed)
         tally = simulation.run()
-    except PolicyError as problem:
-        return {"problem": str(problem)}
+    except PolicyError as error:
+        return {"problem": str(error)}
     fields = asdict(tally)
     measures: dict[str, float | str] = {
         key: float(fields[key]) for key in MEASURES if key in fields
@@ -196,7 +196,7 @@
         return len(missing)
     with ProcessPoolExecutor(workers, mp_context=get_context("spawn")) as pool:
         run_by_future = {pool.submit(execute_run, run): run for run in missing}
-        for ended in as_completed(run_by_future):
-            results.put(run_by_future[ended], ended.result())
-            done(run_by_future[ended])
+        for future in as_completed(run_by_future):
+            results.put(run_by_future[future], future.result())
+            done(run_by_future[future])
     return len(missing)
--- a/onyxpass/emulator/topology.py
+++ b/onyxpass/emulator/topology.py
@@ -89,11 +89,14 @@
 class InjectedFault:
     """One injected fault.
 
-    ``what`` is one of: lag (``size``: additional seconds until dispatchers see the list), flush
-    (``size``: share of the servers whose prefix cache is cleared), hot (``size``: share of new
-    sessions with one new prefix per class), cut and flap (``hall``: partitioned from
-    the others, once or twice), crash (``server``), slow
-    (``server``; ``size``: factor on the duration of its work).
+    ``what`` is one of:
+
+    - lag: ``size`` more seconds until dispatchers see a change of the list;
+    - flush: clears the prefix cache of a random share ``size`` of the servers;
+    - hot: a share ``size`` of the new sessions begins with a new prefix, one per class;
+    - cut, flap: ``hall`` is partitioned from the others, once or twice;
+    - crash: ``server`` stops, and starts again after ``for_s`` if that is not zero;
+    - slow: all work of ``server`` takes ``size`` times as long.
     """
 
     what: str
@@ -125,9 +128,9 @@
     cell_link_rate: float = 900_000.0  # tokens per second out of a cell, shared by all its readers
     cross_hall_factor: float = 2.2  # time per token to another hall, relative to another cell
     one_way_us: int = 600  # network delay between halls; a quarter of it within one
-    list_lag_s: float = 2.0
+    list_lag_s: float = 2.0  # until dispatchers learn of a changed server
     tick_us: int = 1_000
-    retries: int = 1
+    retries: int = 1  # zero: clients never retry
     cold_speed_factor: float = 0.3  # share of full speed of a server that has just started
     warmup_us: int = 13 * SECOND_US
     overload_multiple: float = 2.5
--- a/onyxpass/emulator/traffic.py
+++ b/onyxpass/emulator/traffic.py
@@ -31,7 +31,7 @@
     prompt_tokens: int
     output_tokens: int
     dispatcher_ordinal: int  # the dispatcher that its client connects to
-    patience: float  # share of the class's deadline for which the client waits
+    patience: float  # the client waits this share of the time that its class allows
     tenant: str | None = None
 
 
@@ -53,65 +53,78 @@
 def draw_turns(site: Site, seed: int) -> list[Turn]:
     """Return all turns of a run, ordered by time."""
     streams = RandomStreams(seed)
-    arrivals, kinds, sizes = streams.of("arrivals"), streams.of("classes"), streams.of("lengths")
-    texts, think, fronts = streams.of("texts"), streams.of("think"), streams.of("fronts")
+    arrival_stream, class_stream, length_stream = (
+        streams.of("arrivals"),
+        streams.of("classes"),
+        streams.of("lengths"),
+    )
+    prefix_stream, think_stream, dispatcher_stream = (
+        streams.of("texts"),
+        streams.of("think"),
+        streams.of("fronts"),
+    )
     total_share = sum(c.share for c in site.classes)
     weights = np.array([c.share / c.mean_turns for c in site.classes])
     sessions_per_s = site.rate * float(weights.sum()) / total_share
     prefix_weights = np.arange(1, site.prefixes + 1) ** -site.zipf_exponent
-    tenants, tenant_weights = (
+    tenant_stream, tenant_weights = (
         streams.of("tenants"),
         np.arange(1, site.tenants + 1) ** -site.zipf_exponent,
     )
     drawn: list[tuple[float, int, Turn]] = []
     at_s, session, sequence = 0.0, 0, 0
     while True:
-        at_s += float(arrivals.exponential(1 / sessions_per_s))
+        at_s += float(arrival_stream.exponential(1 / sessions_per_s))
         if at_s >= site.seconds:
             break
         session += 1
-        class_index = int(kinds.choice(len(site.classes), p=weights / weights.sum()))
+        class_index = int(class_stream.choice(len(site.classes), p=weights / weights.sum()))
         profile: ClassProfile = site.classes[class_index]
-        turns = int(kinds.geometric(1 / max(1.0, profile.mean_turns)))
+        turns = int(class_stream.geometric(1 / max(1.0, profile.mean_turns)))
         prefix, prefix_tokens = None, 0
-        if texts.random() < profile.shared_prefix_share:
-            rank = int(texts.choice(site.prefixes, p=prefix_weights / prefix_weights.sum()))
+        if prefix_stream.random() < profile.shared_prefix_share:
+            rank = int(prefix_stream.choice(site.prefixes, p=prefix_weights / prefix_weights.sum()))
             prefix = f"{profile.traffic_class.name}-{rank}"
             prefix_tokens = int(profile.mean_shared_tokens * (0.5 + (rank * 7919 % 100) / 100))
         hot_fraction = hot_share(site, at_s)
-        if hot_fraction > 0 and texts.random() < hot_fraction:
+        if hot_fraction > 0 and prefix_stream.random() < hot_fraction:
             prefix, prefix_tokens = (
                 f"hot-{profile.traffic_class.name}",
                 int(profile.mean_shared_tokens * 1.5),
             )
         tenant = None
         if site.tenants:
-            tenant = (
-                f"t{int(tenants.choice(site.tenants, p=tenant_weights / tenant_weights.sum()))}"
-            )
-        context_tokens, dispatcher_ordinal = prefix_tokens, int(fronts.integers(site.dispatchers))
+            tenant = f"t{int(tenant_stream.choice(site.tenants, p=tenant_weights / tenant_weights.sum()))}"
+        context_tokens, dispatcher_ordinal = (
+            prefix_tokens,
+            int(dispatcher_stream.integers(site.dispatchers)),
+        )
         when_s = at_s
         new_tokens, output_tokens = (
-            draw_lengths(sizes, profile.mean_new_tokens, turns),
-            draw_lengths(sizes, profile.mean_output_tokens, turns),
+            draw_lengths(length_stream, profile.mean_new_tokens, turns),
+            draw_lengths(length_stream, profile.mean_output_tokens, turns),
         )
         for turn in range(turns):
             context_tokens += new_tokens[turn]
             if when_s < site.seconds:
                 sequence += 1
-                patience = 0.5 + 0.5 * float(fronts.random())
+                patience = 0.5 + 0.5 * float(dispatcher_stream.random())
                 request_turn = Turn(
                     round(when_s * 1e6), sequence, class_index, f"s{session}", prefix, prefix_tokens, context_tokens,
                     output_tokens[turn], dispatcher_ordinal, patience, tenant,
                 )  # fmt: skip
                 drawn.append((when_s, sequence, request_turn))
             context_tokens += output_tokens[turn]
-            when_s += float(think.exponential(site.think_s)) + 0.5
+            when_s += float(think_stream.exponential(site.think_s)) + 0.5
     drawn.sort(key=lambda row: (row[0], row[1]))
     return [turn for _, _, turn in drawn]
 
 
 def hot_share(site: Site, at_s: float) -> float:
     """Return the share of new sessions that begin with the prefix of a ``hot`` fault."""
-    shares = [t.size for t in site.faults if t.what == "hot" and t.at_s <= at_s < t.at_s + t.for_s]
+    shares = [
+        fault.size
+        for fault in site.faults
+        if fault.what == "hot" and fault.at_s <= at_s < fault.at_s + fault.for_s
+    ]
     return max(shares, default=0.0)
