--- a/benchmarks/parties.py
+++ b/benchmarks/bench_support.py
@@ -1,9 +1,8 @@
-"""What the measurements of capacity share: what the system tells of processes, and the list's
-server.
+"""Shared parts of the benchmarks: process metrics and a discovery server that serves the list.
 
-The server is a process of its own: `python benchmarks/parties.py SERVERS`. It prints its port; then
-each line that it reads is an order, a change or a restart, and it prints the list's version after
-it.
+The discovery server is a process of its own: `python benchmarks/bench_support.py SERVERS`. It prints
+its port. Then it reads one command per line, `change` or `restart`, and prints the list's version
+after each; an empty line or the end of its input stops it.
 """
 
 import asyncio
@@ -18,10 +17,10 @@
 from onyxpass.history_checkers.trace import Trace
 from onyxpass.testbed.replicas import ListedReplica, PrefillStates, StandinDiscovery, StandinReplica
 
-Found = dict[str, float]
+Measurements = dict[str, float]
 
 
-# What the system tells
+# Metrics from /proc
 
 
 def cpu_s(pid: int) -> float:
@@ -30,7 +29,7 @@
 
 
 def memory_mb(pid: int, key: str = "VmRSS") -> float:
-    """One line of what the system tells of a process's memory."""
+    """Return a memory figure of a process in MB; ``key`` names a line of /proc/PID/status."""
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     return next(int(line.split()[1]) for line in lines if line.startswith(key + ":")) / 1024
 
@@ -40,23 +39,28 @@
     return next(int(line.split()[1]) for line in lines if line.strip().startswith("lo:"))
 
 
-async def until(done: Callable[[], bool], limit_s: float = 60.0) -> float:
+async def wait_until(condition: Callable[[], bool], timeout_s: float = 60.0) -> float:
+    """Return the seconds until the condition holds; raise TimeoutError after ``timeout_s``."""
     began_s = time.monotonic()
-    while not done():
-        if time.monotonic() - began_s > limit_s:
+    while not condition():
+        if time.monotonic() - began_s > timeout_s:
             raise TimeoutError
         await asyncio.sleep(0.005)
     return time.monotonic() - began_s
 
 
-async def resting(pid: int, seconds: float) -> Found:
-    before, cpu = loopback_bytes(), cpu_s(pid)
+async def measure_idle(pid: int, seconds: float) -> Measurements:
+    """Return loopback bytes and a process's CPU milliseconds, both per second, over ``seconds``."""
+    bytes_before, cpu_before_s = loopback_bytes(), cpu_s(pid)
     await asyncio.sleep(seconds)
-    used = cpu_s(pid) - cpu
-    return {"bytes_a_s": (loopback_bytes() - before) / seconds, "cpu_ms_a_s": used / seconds * 1e3}
+    used_s = cpu_s(pid) - cpu_before_s
+    return {
+        "bytes_a_s": (loopback_bytes() - bytes_before) / seconds,
+        "cpu_ms_a_s": used_s / seconds * 1e3,
+    }
 
 
-async def list_server(servers: int) -> None:
+async def serve_list(servers: int) -> None:
     trace, states = Trace(), PrefillStates()
     discovery = StandinDiscovery(trace)
     for number in range(servers):
@@ -83,7 +87,7 @@
 
 
 class ListServer:
-    """The process of ``list_server``."""
+    """Runs ``serve_list`` in a process of its own."""
 
     def __init__(self, servers: int) -> None:
         self.process = subprocess.Popen(
@@ -92,23 +96,23 @@
             stdout=subprocess.PIPE,
             text=True,
         )
-        self.port = self._line()
+        self.port = self._read_number()
 
-    def _line(self) -> int:
+    def _read_number(self) -> int:
         assert self.process.stdout is not None
         return int(self.process.stdout.readline())
 
-    def order(self, what: str) -> int:
+    def request_change(self, command: str) -> int:
         assert self.process.stdin is not None
-        self.process.stdin.write(what + "\n")
+        self.process.stdin.write(command + "\n")
         self.process.stdin.flush()
-        return self._line()
+        return self._read_number()
 
-    def end(self) -> None:
+    def stop(self) -> None:
         assert self.process.stdin is not None
         self.process.stdin.close()
         self.process.wait(10)
 
 
 if __name__ == "__main__":
-    asyncio.run(list_server(int(sys.argv[1])))
+    asyncio.run(serve_list(int(sys.argv[1])))
--- a/benchmarks/schedules.py
+++ b/benchmarks/schedules.py
@@ -1,10 +1,8 @@
-"""Plays many drawn schedules of faults: `make bench-schedules`; writes
-docs/measurements/schedules.md.
+"""Runs many random fault schedules: `make bench-schedules`; writes docs/measurements/schedules.md.
 
-Each is told by its seed; one that failed is played again by `python benchmarks/schedules.py 1
-SEED`.
+A seed determines its schedule; `python benchmarks/schedules.py 1 SEED` repeats a failed one.
 
-    python benchmarks/schedules.py [HOW MANY] [FIRST SEED] [BESIDE EACH OTHER]
+    python benchmarks/schedules.py [COUNT] [FIRST SEED] [CONCURRENCY]
 """
 
 import asyncio
@@ -24,7 +22,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-async def one(seed: int, slots: asyncio.Semaphore, seen: Counter[str]) -> str:
+async def run_schedule(seed: int, slots: asyncio.Semaphore, seen: Counter[str]) -> str:
     async with slots:
         with tempfile.TemporaryDirectory() as folder:
             try:
@@ -45,27 +43,30 @@
     return problem
 
 
-async def measure(many: int, first: int, beside: int) -> str:
-    slots, seen, began_s = asyncio.Semaphore(beside), Counter[str](), time.monotonic()
-    ends = await asyncio.gather(*(one(seed, slots, seen) for seed in range(first, first + many)))
+async def measure(count: int, first: int, concurrency: int) -> str:
+    slots, seen, began_s = asyncio.Semaphore(concurrency), Counter[str](), time.monotonic()
+    ends = await asyncio.gather(
+        *(run_schedule(seed, slots, seen) for seed in range(first, first + count))
+    )
     failed = [first + i for i, problem in enumerate(ends) if problem]
     strikes = Counter(
-        strike.kind for seed in range(first, first + many) for strike in draw_schedule(seed)
+        strike.kind for seed in range(first, first + count) for strike in draw_schedule(seed)
     )
     machine = f"{platform.machine()}, {os.cpu_count()} cores, Python {platform.python_version()}"
     rows = "\n".join(f"| {what} | {n} |" for what, n in sorted(strikes.items()))
     counts = ", ".join(
         f"{what} {seen[what]}" for what in ("held", "lost", "begin", "end", "refused")
     )
-    bad = f"; not kept: seeds {failed}" if failed else ""
-    took = f"{beside} beside each other, {time.monotonic() - began_s:.0f} s"
-    return f"""# Schedules of faults, played
+    failures = f"; failed: seeds {failed}" if failed else ""
+    duration = f"{concurrency} at a time, {time.monotonic() - began_s:.0f} s"
+    return f"""# Schedules of faults, run
 
-`make bench-schedules`. {machine}. Seeds {first} to {first + many - 1}, {took}.
-Two agents, four dispatchers, three tools in turn as processes; six strikes each within 6 s. After each
-schedule a last rollout has to change all, and the histories of all processes are checked.
+`make bench-schedules`. {machine}. Seeds {first} to {first + count - 1}, {duration}.
+Two agents, four dispatchers and, one after another, three fleet tools, as processes; six faults within
+6 s in each schedule. After each one a last rollout must change all instances, and the histories of all
+processes are checked.
 
-{many - len(failed)} of {many} kept everything{bad}. Lines of history: {counts}.
+{count - len(failed)} of {count} held every rule{failures}. Lines of history: {counts}.
 
 | strike | times |
 | --- | --- |
@@ -75,11 +76,11 @@
 
 def main() -> None:
     structlog.configure(logger_factory=structlog.ReturnLoggerFactory())
-    given = [int(word) for word in sys.argv[1:]]
-    many, first, beside = [*given, *(100, 1, 4)[len(given) :]]
-    text = asyncio.run(measure(many, first, beside))
+    arguments = [int(word) for word in sys.argv[1:]]
+    count, first, concurrency = [*arguments, *(100, 1, 4)[len(arguments) :]]
+    text = asyncio.run(measure(count, first, concurrency))
     print(text)
-    if many > 1:
+    if count > 1:
         (ROOT / "docs" / "measurements" / "schedules.md").write_text(text)
 
 
--- a/onyxpass/emulator/events.py
+++ b/onyxpass/emulator/events.py
@@ -1,7 +1,8 @@
-"""Simulated time: a queue of events with one stated order.
+"""Simulated time: an event queue with a deterministic order.
 
-At one instant, events happen by their rank, and those of one rank in the order in which they were
-put. So a run is the same on any machine and in any number of processes.
+Events with the same time run in the order of their rank, and events with the same time and rank in
+the order in which they were scheduled. A run is therefore the same on any machine and in any number
+of processes.
 """
 
 import heapq
@@ -10,50 +11,56 @@
 
 
 class Rank(IntEnum):
-    """What comes first at one instant."""
+    """Order of events with the same time; the lowest value runs first."""
 
-    TROUBLE = 0  # the world changes before anybody acts in it
-    SERVER = 1  # work ends
-    NETWORK = 2  # messages arrive
+    FAULT = 0  # injected faults apply before anything else happens
+    SERVER = 1  # a server finishes work
+    NETWORK = 2  # a message arrives
     TIMER = 3
-    CLIENT = 4  # new work comes last
+    CLIENT = 4  # a client sends or withdraws a request
 
 
-class Handle:
-    """One event that may be called off."""
+class ScheduledEvent:
+    """A scheduled callback that can be cancelled."""
 
-    __slots__ = ("call", "off")
+    __slots__ = ("callback", "cancelled")
 
-    def __init__(self, call: Callable[[], None]) -> None:
-        self.call, self.off = call, False
+    def __init__(self, callback: Callable[[], None]) -> None:
+        self.callback, self.cancelled = callback, False
 
     def cancel(self) -> None:
-        self.off = True
+        self.cancelled = True
 
 
-class Queue:
-    """``now_us``: whole microseconds. Nothing is ever put before it."""
+class EventQueue:
+    """Runs callbacks in simulated time.
+
+    ``now_us`` is the current time in whole microseconds. An event that is scheduled for an earlier
+    time runs at ``now_us``.
+    """
 
     def __init__(self) -> None:
         self.now_us = 0
-        self.count = 0  # events that have happened
+        self.executed_count = 0  # events run, cancelled ones not counted
         self._order = 0
-        self._heap: list[tuple[int, int, int, Handle]] = []
+        self._heap: list[tuple[int, int, int, ScheduledEvent]] = []
 
-    def at(self, when_us: int, rank: Rank, call: Callable[[], None]) -> Handle:
-        handle = Handle(call)
+    def schedule_at(self, when_us: int, rank: Rank, callback: Callable[[], None]) -> ScheduledEvent:
+        event = ScheduledEvent(callback)
         self._order += 1
-        heapq.heappush(self._heap, (max(when_us, self.now_us), rank, self._order, handle))
-        return handle
+        heapq.heappush(self._heap, (max(when_us, self.now_us), rank, self._order, event))
+        return event
 
-    def after(self, delay_us: float, rank: Rank, call: Callable[[], None]) -> Handle:
-        return self.at(self.now_us + max(0, round(delay_us)), rank, call)
+    def schedule_after(
+        self, delay_us: float, rank: Rank, callback: Callable[[], None]
+    ) -> ScheduledEvent:
+        return self.schedule_at(self.now_us + max(0, round(delay_us)), rank, callback)
 
     def run(self, until_us: int) -> None:
-        """Let all happen up to and with ``until_us``."""
+        """Run all events up to and including ``until_us``, and advance ``now_us`` to it."""
         while self._heap and self._heap[0][0] <= until_us:
-            self.now_us, _, _, handle = heapq.heappop(self._heap)
-            if not handle.off:
-                self.count += 1
-                handle.call()
+            self.now_us, _, _, event = heapq.heappop(self._heap)
+            if not event.cancelled:
+                self.executed_count += 1
+                event.callback()
         self.now_us = max(self.now_us, until_us)
