--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -30,7 +30,7 @@
 from onyxpass.emulator import capacity, full_scale
 from onyxpass.emulator.decision_cost import measure_choosing
 from onyxpass.emulator.topology import Trouble
-from onyxpass.history_checkers.configuration import latency_s
+from onyxpass.history_checkers.configuration import propagation_times_s
 from onyxpass.hollow.dispatchers import HollowFleet
 from onyxpass.testbed.configuration import Trial
 from onyxpass.testbed.settings import SETTINGS
@@ -313,8 +313,10 @@
             mended_s = time.monotonic() - began_s
             mb = memory_mb(t.process_of(names[0]))
             words = t.words()
-            times = sorted(latency_s(words, names))
-            paced = latency_s([word for word in words if began_ns <= word.at_ns <= ended_ns], names)
+            times = sorted(propagation_times_s(words, names))
+            paced = propagation_times_s(
+                [word for word in words if began_ns <= word.at_ns <= ended_ns], names
+            )
             return {
                 "hosts": len(names),
                 "orders": len(times),
--- a/benchmarks/schedules.py
+++ b/benchmarks/schedules.py
@@ -34,7 +34,7 @@
             except Exception as found:
                 problem = f"{type(found).__name__}: {found}"
             for line in history.read(sorted(Path(folder).glob("*.log"))):
-                seen[line.what] += 1
+                seen[line.kind] += 1
     if problem:
         print(
             f"seed {seed}: {problem}",
--- a/benchmarks/together.py
+++ b/benchmarks/together.py
@@ -19,7 +19,7 @@
 import structlog
 from redis.asyncio import Redis
 
-from onyxpass.history_checkers.history import Line, breaches
+from onyxpass.history_checkers.history import HistoryLine, breaches
 from onyxpass.leases.event_log import boottime_ms
 from onyxpass.leases.holder import LeaseHolder
 from onyxpass.leases.lease_client import LeaseClient
@@ -34,7 +34,7 @@
 
 
 class Contender:
-    def __init__(self, url: str, name: str, ttl_ms: int, lines: list[Line]) -> None:
+    def __init__(self, url: str, name: str, ttl_ms: int, lines: list[HistoryLine]) -> None:
         self.store = LeaseStore(url, ttl_ms, timeout_ms=1_000)
         self.name, self.ttl_ms, self.lines = name, ttl_ms, lines
         self.lives = 0
@@ -48,7 +48,7 @@
             until_ns = holder.last_valid_until_ms * 1_000_000 if what == "lost" else None
             fields = {"lease": "l", "token": token, "holder": holder.name, "until_ns": until_ns}
             self.lines.append(
-                Line(time.clock_gettime_ns(time.CLOCK_BOOTTIME), what, "bench", 0, fields)
+                HistoryLine(time.clock_gettime_ns(time.CLOCK_BOOTTIME), what, "bench", 0, fields)
             )
 
         self.keeper = LeaseClient(holder, self.store.request_sender("l"), boottime_ms, told)
@@ -56,7 +56,7 @@
 
 
 async def handovers(url: str, many: int, ttl_ms: int, wanted: int) -> dict[str, object]:
-    lines: list[Line] = []
+    lines: list[HistoryLine] = []
     all_ = [Contender(url, f"c{i}", ttl_ms, lines) for i in range(many)]
 
     async def waits(who: Contender) -> None:
--- a/onyxpass/emulator/simulation.py
+++ b/onyxpass/emulator/simulation.py
@@ -10,7 +10,7 @@
 from onyxpass.emulator.servers import Ask, Server, State, Visit
 from onyxpass.emulator.topology import Site, Trouble
 from onyxpass.emulator.traffic import Turn, draw
-from onyxpass.history_checkers.trace import Trace, What
+from onyxpass.history_checkers.trace import EventKind, Trace
 from onyxpass.scheduling import contract
 from onyxpass.scheduling.contract import AttemptStatus
 
@@ -274,7 +274,9 @@
         if visit.off:
             return
         if self.traced:
-            self.trace.put(What.RECEIVED, visit.ask.key, server.spec.id, server.kind.role.value)
+            self.trace.record(
+                EventKind.RECEIVED, visit.ask.key, server.spec.id, server.kind.role.value
+            )
         server.take(visit)
 
     def closed(self, server: Server, visit: Visit) -> None:
@@ -285,11 +287,11 @@
 
     def over_there(self, server: Server, visit: Visit) -> None:
         if self.traced:
-            self.trace.put(What.CLOSED, visit.ask.key, server.spec.id)
+            self.trace.record(EventKind.CLOSED, visit.ask.key, server.spec.id)
 
     def began(self, server: Server, visit: Visit) -> None:
         if self.traced:
-            self.trace.put(What.RAN, visit.ask.key, server.spec.id, server.kind.role.value)
+            self.trace.record(EventKind.RAN, visit.ask.key, server.spec.id, server.kind.role.value)
 
     def back(self, server: Server, call: Callable[[], None], dispatcher: Dispatcher) -> None:
         """A word from a server to a dispatcher; what crosses a cut is lost."""
@@ -343,7 +345,7 @@
             self.tally.retried += 1
         if self.traced:
             self.trace.classes[key] = traffic_class.name
-            self.trace.put(What.ASKED, key)
+            self.trace.record(EventKind.SENT, key)
         dispatcher.open[number] = found
         found.guard = self.queue.after(wait_us, Rank.CLIENT, lambda: dispatcher.withdraw(found))
         dispatcher.tell(arrival)
@@ -382,7 +384,7 @@
             found.guard.cancel()
         dispatcher.open.pop(found.arrival.id, None)
         if self.traced:
-            self.trace.put(What.ANSWERED, found.ask.key, detail=end)
+            self.trace.record(EventKind.ANSWERED, found.ask.key, detail=end)
 
     def _earn(self, found: Try) -> None:
         """Full worth in the wanted time and pace, part of it later; counted from the first try."""
--- a/onyxpass/history_checkers/history.py
+++ b/onyxpass/history_checkers/history.py
@@ -18,15 +18,15 @@
 from pathlib import Path
 from typing import Any
 
-from onyxpass.history_checkers.lines import objects
+from onyxpass.history_checkers.json_lines import read_objects
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
+class HistoryLine:
     """One history line of one process; ``fields`` are those of its kind."""
 
     at_ns: int
-    what: str
+    kind: str
     source: str  # the file that it stood in: one process, in all its lives
     pid: int
     fields: Mapping[str, Any]
@@ -35,34 +35,34 @@
         return self.fields.get(name)
 
 
-def read(files: Iterable[Path]) -> list[Line]:
+def read(files: Iterable[Path]) -> list[HistoryLine]:
     """Return all history lines of these logs by time; whatever else stands there is left out."""
     found = [
-        Line(int(raw["at_ns"]), str(raw["what"]), path.name, int(raw["pid"]), raw)
-        for path, raw in objects(files)
+        HistoryLine(int(raw["at_ns"]), str(raw["what"]), path.name, int(raw["pid"]), raw)
+        for path, raw in read_objects(files)
         if raw.get("event") == "history"
     ]
     return sorted(found, key=lambda line: line.at_ns)
 
 
-def by(lines: Iterable[Line], *names: str) -> dict[tuple[Any, ...], list[Line]]:
+def by(lines: Iterable[HistoryLine], *names: str) -> dict[tuple[Any, ...], list[HistoryLine]]:
     """Group lines by these fields, in the order in which they came."""
-    groups: dict[tuple[Any, ...], list[Line]] = defaultdict(list)
+    groups: dict[tuple[Any, ...], list[HistoryLine]] = defaultdict(list)
     for line in lines:
         groups[tuple(line[name] for name in names)].append(line)
     return groups
 
 
-def effects_apart(lines: list[Line]) -> Iterable[str]:
+def effects_apart(lines: list[HistoryLine]) -> Iterable[str]:
     """Find effects of two tokens that overlapped at a resource.
 
     One without an end lasts to the end of all.
     """
-    mine = [line for line in lines if line.what in ("begin", "end")]
+    mine = [line for line in lines if line.kind in ("begin", "end")]
     for (resource, lease), group in by(mine, "resource", "lease").items():
-        running: dict[str, Line] = {}
+        running: dict[str, HistoryLine] = {}
         for line in group:
-            if line.what == "end":
+            if line.kind == "end":
                 running.pop(line["effect"], None)
                 continue
             for other in running.values():
@@ -75,12 +75,12 @@
             running[line["effect"]] = line
 
 
-def tokens_grow(lines: list[Line]) -> Iterable[str]:
+def tokens_grow(lines: list[HistoryLine]) -> Iterable[str]:
     """Find tokens that fell at a resource, and numbers that two holders had there."""
     for (resource, lease), group in by(
-        (x for x in lines if x.what == "begin"), "resource", "lease"
+        (x for x in lines if x.kind == "begin"), "resource", "lease"
     ).items():
-        last: Line | None = None
+        last: HistoryLine | None = None
         for line in group:
             if last is not None and line["token"] < last["token"]:
                 after = f"was let in after {last['token']}"
@@ -95,19 +95,19 @@
             last = line
 
 
-def holders_apart(lines: list[Line]) -> Iterable[str]:
+def holders_apart(lines: list[HistoryLine]) -> Iterable[str]:
     """Find two holders at once, by their own account.
 
     Of one that was killed nothing more is known.
     """
-    for (lease,), group in by((x for x in lines if x.what in ("held", "lost")), "lease").items():
-        spans: list[tuple[int, int, Line]] = []
-        for line in (x for x in group if x.what == "held"):
+    for (lease,), group in by((x for x in lines if x.kind in ("held", "lost")), "lease").items():
+        spans: list[tuple[int, int, HistoryLine]] = []
+        for line in (x for x in group if x.kind == "held"):
             end = next(
                 (
                     other["until_ns"] or other.at_ns
                     for other in group
-                    if other.what == "lost"
+                    if other.kind == "lost"
                     and other["holder"] == line["holder"]
                     and other["token"] == line["token"]
                 ),
@@ -123,15 +123,15 @@
                 )
 
 
-def grants_in_order(lines: list[Line]) -> Iterable[str]:
+def grants_in_order(lines: list[HistoryLine]) -> Iterable[str]:
     """Find grants by which the lease, as a register that only grows, is not linearizable.
 
     A grant that was answered before another was asked for has the smaller token; none is granted to
     two. What was asked and never answered may or may not have taken a number, so numbers may be
     missing.
     """
-    for (lease,), group in by((x for x in lines if x.what in ("ask", "answer")), "lease").items():
-        asked = {(x["holder"], x["number"]): x.at_ns for x in group if x.what == "ask"}
+    for (lease,), group in by((x for x in lines if x.kind in ("ask", "answer")), "lease").items():
+        asked = {(x["holder"], x["number"]): x.at_ns for x in group if x.kind == "ask"}
         grants = [
             (
                 asked.get((x["holder"], x["number"]), x.at_ns),
@@ -140,7 +140,7 @@
                 str(x["holder"]),
             )
             for x in group
-            if x.what == "answer" and x["token"]
+            if x.kind == "answer" and x["token"]
         ]
         owners: dict[int, str] = {}
         for _, _, token, holder in grants:
@@ -157,7 +157,7 @@
                 yield f"{lease}: token {token} was granted after {highest} had been answered"
 
 
-CHECKS: dict[str, Callable[[list[Line]], Iterable[str]]] = {
+CHECKS: dict[str, Callable[[list[HistoryLine]], Iterable[str]]] = {
     "effects apart": effects_apart,
     "tokens grow": tokens_grow,
     "holders apart": holders_apart,
@@ -165,6 +165,6 @@
 }
 
 
-def breaches(lines: list[Line], checks: Iterable[str] = tuple(CHECKS)) -> list[str]:
+def breaches(lines: list[HistoryLine], checks: Iterable[str] = tuple(CHECKS)) -> list[str]:
     """Return every breach, with the name of what does not hold."""
     return [f"{name}: {breach}" for name in checks for breach in CHECKS[name](lines)]
--- a/onyxpass/history_checkers/lines.py
+++ b/onyxpass/history_checkers/json_lines.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 
-def objects(files: Iterable[Path]) -> Iterator[tuple[Path, dict[str, Any]]]:
+def read_objects(files: Iterable[Path]) -> Iterator[tuple[Path, dict[str, Any]]]:
     """Yield each line's JSON object with its file; a line that is cut off is passed over."""
     for path in files:
         for text in path.read_text(errors="replace").splitlines():
--- a/onyxpass/history_checkers/trace.py
+++ b/onyxpass/history_checkers/trace.py
@@ -11,17 +11,19 @@
 from enum import Enum
 
 
-class What(Enum):
+class EventKind(Enum):
     """What happened to a request, an attempt or a state."""
 
-    ASKED = "asked"  # the client's last byte went out
+    SENT = "asked"  # the client's last byte went out
     ANSWERED = "answered"  # its final answer came whole, or its connection ended
     RECEIVED = "received"  # the last byte of an attempt came to a replica
     RAN = "ran"  # the replica began on an answer
     CLOSED = "closed"  # the attempt is over at the replica
     HELD = "held"  # a read state is held there
-    FREED = "freed"  # it was let go, or taken by a writer
-    DRAIN_TOLD = "drain told"  # the list, as written to a dispatcher, says that a replica drains
+    RELEASED = "freed"  # it was let go, or taken by a writer
+    DRAIN_ANNOUNCED = (
+        "drain told"  # the list, as written to a dispatcher, says that a replica drains
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,7 +31,7 @@
     """One thing that one end saw."""
 
     at_s: float
-    what: What
+    kind: EventKind
     request: str = ""
     server: str = ""
     # of ANSWERED: served, refused, failed or broken; of RECEIVED and RAN: the role
@@ -44,17 +46,19 @@
     classes: dict[str, str] = field(default_factory=dict)
     clock: Callable[[], float] = time.monotonic  # the emulator has its own
 
-    def put(self, what: What, request: str = "", server: str = "", detail: str = "") -> None:
+    def record(
+        self, kind: EventKind, request: str = "", server: str = "", detail: str = ""
+    ) -> None:
         """Record an event of this moment."""
-        self.events.append(Event(self.clock(), what, request, server, detail))
+        self.events.append(Event(self.clock(), kind, request, server, detail))
 
-    def of(self, *whats: What) -> list[Event]:
+    def events_of(self, *kinds: EventKind) -> list[Event]:
         """Return the events of these kinds, in their order."""
-        return [event for event in self.events if event.what in whats]
+        return [event for event in self.events if event.kind in kinds]
 
-    def answers(self) -> Counter[str]:
+    def outcome_counts(self) -> Counter[str]:
         """Return how many requests ended in which way."""
-        return Counter(event.detail for event in self.of(What.ANSWERED))
+        return Counter(event.detail for event in self.events_of(EventKind.ANSWERED))
 
 
 ATTEMPTS_MOST = 4
@@ -63,8 +67,8 @@
 
 def one_answer(trace: Trace) -> Iterable[str]:
     """Find requests that were asked and have not one final answer, or the other way round."""
-    asked = Counter(event.request for event in trace.of(What.ASKED))
-    answered = Counter(event.request for event in trace.of(What.ANSWERED))
+    asked = Counter(event.request for event in trace.events_of(EventKind.SENT))
+    answered = Counter(event.request for event in trace.events_of(EventKind.ANSWERED))
     for request in asked.keys() | answered.keys():
         if asked[request] != 1 or answered[request] != 1:
             yield f"{request}: asked {asked[request]} times, answered {answered[request]} times"
@@ -78,9 +82,9 @@
     out: dict[str, tuple[str, float]] = {}
     # not seen closed yet, and what came after it when
     before: dict[tuple[str, str], tuple[str, float]] = {}
-    for event in trace.of(What.RECEIVED, What.CLOSED):
+    for event in trace.events_of(EventKind.RECEIVED, EventKind.CLOSED):
         key = (event.request, event.server)
-        if event.what is What.CLOSED:
+        if event.kind is EventKind.CLOSED:
             if key in before:
                 later, at_s = before.pop(key)
                 if event.at_s - at_s > slack_s:
@@ -97,22 +101,26 @@
 
 def few_attempts(trace: Trace) -> Iterable[str]:
     """Find requests with more attempts than are allowed."""
-    for request, count in Counter(event.request for event in trace.of(What.RECEIVED)).items():
+    for request, count in Counter(
+        event.request for event in trace.events_of(EventKind.RECEIVED)
+    ).items():
         if count > ATTEMPTS_MOST:
             yield f"{request}: {count} attempts"
 
 
 def bookings_once(trace: Trace, bookings: frozenset[str]) -> Iterable[str]:
     """Find bookings that ran more than once."""
-    for request, count in Counter(event.request for event in trace.of(What.RAN)).items():
+    for request, count in Counter(
+        event.request for event in trace.events_of(EventKind.RAN)
+    ).items():
         if count > 1 and trace.classes.get(request) in bookings:
             yield f"{request}: ran {count} times"
 
 
 def refused_never_ran(trace: Trace, bookings: frozenset[str]) -> Iterable[str]:
     """Find bookings that were refused, which says that they have not run, and ran."""
-    ran = {event.request for event in trace.of(What.RAN)}
-    for event in trace.of(What.ANSWERED):
+    ran = {event.request for event in trace.events_of(EventKind.RAN)}
+    for event in trace.events_of(EventKind.ANSWERED):
         if (
             event.detail == "refused"
             and event.request in ran
@@ -124,10 +132,10 @@
 def drains_kept(trace: Trace, slack_s: float = 0.05) -> Iterable[str]:
     """Find what came to a server later than 1 s after its drain was told."""
     told: dict[str, float] = {}
-    for event in trace.of(What.DRAIN_TOLD, What.RECEIVED):
-        if event.what is What.DRAIN_TOLD and event.detail == "up":  # it takes work again
+    for event in trace.events_of(EventKind.DRAIN_ANNOUNCED, EventKind.RECEIVED):
+        if event.kind is EventKind.DRAIN_ANNOUNCED and event.detail == "up":  # it takes work again
             told.pop(event.server, None)
-        elif event.what is What.DRAIN_TOLD:
+        elif event.kind is EventKind.DRAIN_ANNOUNCED:
             told.setdefault(event.server, event.at_s)
         elif event.server in told and event.at_s - told[event.server] > DRAIN_S + slack_s:
             late_s = event.at_s - told[event.server]
@@ -146,18 +154,20 @@
             request in held and not out[request] and now_s - idle_since[request] > HELD_S + slack_s
         )
 
-    for event in trace.of(What.HELD, What.FREED, What.RECEIVED, What.CLOSED):
+    for event in trace.events_of(
+        EventKind.HELD, EventKind.RELEASED, EventKind.RECEIVED, EventKind.CLOSED
+    ):
         request = event.request
         if late(request, event.at_s):
             held_s = event.at_s - idle_since[request]
             yield f"{request}: held for {held_s:.2f} s with no attempt out"
             del held[request]
-        if event.what is What.HELD:
+        if event.kind is EventKind.HELD:
             held[request] = event.at_s
             idle_since[request] = max(idle_since[request], event.at_s)
-        elif event.what is What.FREED:
+        elif event.kind is EventKind.RELEASED:
             held.pop(request, None)
-        elif event.what is What.RECEIVED:
+        elif event.kind is EventKind.RECEIVED:
             out[request] += 1
         else:
             out[request] -= 1
--- a/onyxpass/soak/checker.py
+++ b/onyxpass/soak/checker.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable, Iterator
 
 from onyxpass.history_checkers import trace as rules
-from onyxpass.history_checkers.trace import What
+from onyxpass.history_checkers.trace import EventKind
 from onyxpass.soak.clients import BAD_CLIENT_S
 from onyxpass.soak.dispatchers import BOOKINGS
 from onyxpass.soak.records import NOT_RUN, Asked, Records
@@ -89,7 +89,9 @@
     """
     trace = records.trace
     servers = {
-        e.server for e in trace.events if e.what is What.RECEIVED and e.request == asked.request
+        e.server
+        for e in trace.events
+        if e.kind is EventKind.RECEIVED and e.request == asked.request
     }
     if any(records.shaken(server, asked.asked_s, asked.ended_s) for server in servers):
         return True
@@ -114,7 +116,7 @@
 
 def clients_gone(records: Records, slack_s: float) -> Iterator[str]:
     """No attempt begins for a client that has left."""
-    for event in records.trace.of(What.RECEIVED):
+    for event in records.trace.events_of(EventKind.RECEIVED):
         asked = records.asked.get(event.request)
         if (
             asked is None
@@ -134,8 +136,8 @@
     That runs from when the dispatcher counts as notified.
     """
     told: dict[str, float] = {}
-    for event in records.trace.of(What.DRAIN_TOLD, What.RECEIVED):
-        if event.what is What.DRAIN_TOLD:
+    for event in records.trace.events_of(EventKind.DRAIN_ANNOUNCED, EventKind.RECEIVED):
+        if event.kind is EventKind.DRAIN_ANNOUNCED:
             if event.detail == "up":
                 told.pop(event.server, None)
             else:
@@ -200,13 +202,15 @@
 def _last_holds(records: Records) -> dict[str, float]:
     """By request that was held: when it was let go for the last time, 0 if it still is held."""
     found: dict[str, float] = {}
-    for event in records.trace.of(What.HELD, What.FREED):
-        found[event.request] = event.at_s if event.what is What.FREED else 0.0
+    for event in records.trace.events_of(EventKind.HELD, EventKind.RELEASED):
+        found[event.request] = event.at_s if event.kind is EventKind.RELEASED else 0.0
     return found
 
 
 def _prefill_answer_lost(records: Records, asked: Asked) -> bool:
-    holders = {e.server for e in records.trace.of(What.HELD) if e.request == asked.request}
+    holders = {
+        e.server for e in records.trace.events_of(EventKind.HELD) if e.request == asked.request
+    }
     return any(
         records.may_lose_answers(name, asked.asked_s, asked.ended_s + 1.0) for name in holders
     )
--- a/onyxpass/soak/clients.py
+++ b/onyxpass/soak/clients.py
@@ -12,7 +12,7 @@
 
 import h11
 
-from onyxpass.history_checkers.trace import What
+from onyxpass.history_checkers.trace import EventKind
 from onyxpass.soak.records import Asked, BadClient, Records
 
 # a client that breaks off in the middle has its error or a close within this time
@@ -75,7 +75,7 @@
         asked.ended_s = time.monotonic()
         self.records.asked[request] = asked
         if asked.asked_s:
-            self.records.trace.put(What.ANSWERED, request, detail=asked.end)
+            self.records.trace.record(EventKind.ANSWERED, request, detail=asked.end)
 
     def _text(self, request: str, traffic_class: str, wait_s: float, tokens: int = TOKENS) -> bytes:
         body = json.dumps(
@@ -107,7 +107,7 @@
             connection.writer.write(text)
             if not asked.asked_s:
                 asked.asked_s = time.monotonic()
-                self.records.trace.put(What.ASKED, asked.request)
+                self.records.trace.record(EventKind.SENT, asked.request)
             await self._read(connection, asked, manner)
             if asked.end == "broken" and kept and not asked.status:
                 asked.again = True
--- a/onyxpass/testbed/client.py
+++ b/onyxpass/testbed/client.py
@@ -8,7 +8,7 @@
 
 import h11
 
-from onyxpass.history_checkers.trace import Trace, What
+from onyxpass.history_checkers.trace import EventKind, Trace
 
 CLASSES = ("part-lookup", "shift-summary", "stock-booking")
 GIVE_UP_S = 20.0
@@ -50,7 +50,7 @@
     ]
     status, size, end = 0, 0, "broken"
     writer: asyncio.StreamWriter | None = None
-    trace.put(What.ASKED, request)
+    trace.record(EventKind.SENT, request)
     try:
         async with asyncio.timeout(GIVE_UP_S):
             reader, writer = await asyncio.open_connection(*address)
@@ -82,5 +82,5 @@
     finally:
         if writer is not None:
             writer.close()
-        trace.put(What.ANSWERED, request, detail=end)
+        trace.record(EventKind.ANSWERED, request, detail=end)
     return Answer(request, end, status, size)
--- a/onyxpass/testbed/configuration.py
+++ b/onyxpass/testbed/configuration.py
@@ -211,13 +211,13 @@
                 return
             await asyncio.sleep(0.05)
 
-    def words(self) -> list[rules.Word]:
+    def words(self) -> list[rules.NodeEvent]:
         return rules.read(self.folder.glob("*.log"))
 
     def breaches(self) -> list[str]:
         words = self.words()
-        found = [*rules.never_back(words), *rules.one_digest(words)]
-        return [*found, *rules.in_force_everywhere(words, self.host_names)]
+        found = [*rules.regressions(words), *rules.digest_conflicts(words)]
+        return [*found, *rules.outdated_hosts(words, self.host_names)]
 
     def cut(self) -> None:
         for link in self.links:
--- a/onyxpass/testbed/process_trial.py
+++ b/onyxpass/testbed/process_trial.py
@@ -21,7 +21,7 @@
 from onyxpass.fleet import config as fleet_config
 from onyxpass.fleet.controller import FleetController
 from onyxpass.history_checkers import history
-from onyxpass.history_checkers.history import Line
+from onyxpass.history_checkers.history import HistoryLine
 from onyxpass.logs import LOG_FILE_VARIABLE
 from onyxpass.testbed.demo import ready
 from onyxpass.testbed.link import Link, Mode
@@ -94,14 +94,14 @@
 
     # Histories
 
-    def lines(self) -> list[Line]:
+    def lines(self) -> list[HistoryLine]:
         return history.read(sorted(self.site.folder.glob("*.log")))
 
-    def seen(self, what: str, of: str = "", **fields: Any) -> list[Line]:
+    def seen(self, what: str, of: str = "", **fields: Any) -> list[HistoryLine]:
         return [
             line
             for line in self.lines()
-            if line.what == what
+            if line.kind == what
             and line.source.startswith(of)
             and all(line[name] == value for name, value in fields.items())
         ]
@@ -110,7 +110,7 @@
         lines = self.lines()
         found = history.breaches(lines)
         assert not found, "\n".join(found)
-        assert [x for x in lines if x.what == "begin"] and [x for x in lines if x.what == "held"]
+        assert [x for x in lines if x.kind == "begin"] and [x for x in lines if x.kind == "held"]
 
 
 @asynccontextmanager
--- a/onyxpass/testbed/replicas.py
+++ b/onyxpass/testbed/replicas.py
@@ -12,7 +12,7 @@
 
 import h11
 
-from onyxpass.history_checkers.trace import Trace, What
+from onyxpass.history_checkers.trace import EventKind, Trace
 from onyxpass.net.http import HttpConnection, HttpError, header, read_body
 from onyxpass.testbed.server import Server
 
@@ -95,7 +95,7 @@
         if not request:
             self._short(wire, 404)
             return True
-        self.trace.put(What.RECEIVED, request, self.name, self.role)
+        self.trace.record(EventKind.RECEIVED, request, self.name, self.role)
         self.out.add(request)
         gone = asyncio.ensure_future(wire.reader.read(1))
         work = asyncio.ensure_future(self._work(wire, request, text))
@@ -120,7 +120,7 @@
         """
         if request in self.out:
             self.out.discard(request)
-            self.trace.put(What.CLOSED, request, self.name)
+            self.trace.record(EventKind.CLOSED, request, self.name)
 
     def _short(
         self,
@@ -139,7 +139,7 @@
 
     def _free(self, request: str) -> None:
         if self.states.holder.pop(request, None) is not None:
-            self.trace.put(What.FREED, request, self.name)
+            self.trace.record(EventKind.RELEASED, request, self.name)
 
     async def _work(self, wire: HttpConnection, request: str, text: bytes) -> bool:
         fault = self.faults.pop(0) if self.faults else None
@@ -160,7 +160,7 @@
             self._short(wire, 500, request=request)
             return True
         self.states.holder[request] = self.name
-        self.trace.put(What.HELD, request, self.name)
+        self.trace.record(EventKind.HELD, request, self.name)
         self._short(wire, 202, text=b'{"cached_tokens":0}', request=request)
         return True
 
@@ -172,7 +172,7 @@
             wire.write(h11.Response(status_code=410, headers=NOT_RUN), h11.EndOfMessage())
             return True
         self._free(request)
-        self.trace.put(What.RAN, request, self.name, self.role)
+        self.trace.record(EventKind.RAN, request, self.name, self.role)
         if fault is not None and fault.kind == "error":
             self._short(wire, 500, request=request)
             return True
@@ -255,7 +255,9 @@
         line = json.dumps({"seq": self.seq, "whole": False, "hosts": [row.told()]}).encode() + b"\n"
         for queue in self.watches:
             queue.put_nowait(line)
-        self.trace.put(What.DRAIN_TOLD, server=name, detail="up" if health == "active" else "")
+        self.trace.record(
+            EventKind.DRAIN_ANNOUNCED, server=name, detail="up" if health == "active" else ""
+        )
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         wire = HttpConnection(h11.SERVER, reader, writer)
--- a/tests/test_desired.py
+++ b/tests/test_desired.py
@@ -24,7 +24,7 @@
 from onyxpass.desired.state import Conflict, Page, State, StateError, covers, page_told, read_page
 from onyxpass.desired.upstream_selection import PREFER_S, Puller
 from onyxpass.history_checkers import configuration as rules
-from onyxpass.history_checkers.configuration import Word
+from onyxpass.history_checkers.configuration import NodeEvent
 from onyxpass.testbed.configuration import Trial
 from onyxpass.testbed.replicas import StandinDiscovery, StandinFleet
 from onyxpass.testbed.settings import SETTINGS
@@ -182,28 +182,28 @@
 # The checkers, each with a planted fault
 
 
-def word(node: str, what: str, digest: str, **seen: int) -> Word:
-    return Word(sum(seen.values()), node, what, digest, seen)
+def word(node: str, what: str, digest: str, **seen: int) -> NodeEvent:
+    return NodeEvent(sum(seen.values()), node, what, digest, seen)
 
 
 def test_each_checker_finds_its_planted_fault() -> None:
     good = [word("c", "ordered", "x", o=1), word("h", "configuration_in_force", "x", o=1)]
     assert not [
-        *rules.never_back(good),
-        *rules.one_digest(good),
-        *rules.in_force_everywhere(good, ["h"]),
+        *rules.regressions(good),
+        *rules.digest_conflicts(good),
+        *rules.outdated_hosts(good, ["h"]),
     ]
-    assert rules.latency_s(good, ["h"]) == [0.0]
+    assert rules.propagation_times_s(good, ["h"]) == [0.0]
     back = [
         word("h", "configuration_in_force", "y", o=2, p=1),
         word("h", "configuration_in_force", "x", o=9),
     ]
-    assert [*rules.never_back(back)] and not [*rules.never_back(back[::-1][:1])]
-    assert [*rules.one_digest([*good, word("g", "merged", "other", o=1)])]
-    assert [*rules.in_force_everywhere(good, ["h", "absent"])]
-    assert [*rules.in_force_everywhere([*good, word("c", "ordered", "z", o=2)], ["h"])]
+    assert [*rules.regressions(back)] and not [*rules.regressions(back[::-1][:1])]
+    assert [*rules.digest_conflicts([*good, word("g", "merged", "other", o=1)])]
+    assert [*rules.outdated_hosts(good, ["h", "absent"])]
+    assert [*rules.outdated_hosts([*good, word("c", "ordered", "z", o=2)], ["h"])]
     differ = [*good, word("g", "configuration_in_force", "w", o=1)]
-    assert [*rules.in_force_everywhere(differ, ["g", "h"])]
+    assert [*rules.outdated_hosts(differ, ["g", "h"])]
 
 
 AIM = "settings.grades.part-lookup.promiseUs"
--- a/tests/test_faults_disk.py
+++ b/tests/test_faults_disk.py
@@ -15,7 +15,7 @@
 from onyxpass.agent.credentials import make_key
 from onyxpass.config.platform_file import Address
 from onyxpass.faultshim.control import Call, Forced
-from onyxpass.history_checkers.lines import objects
+from onyxpass.history_checkers.json_lines import read_objects
 from onyxpass.net.http_client import ApiResponse, call_api, tcp_opener
 from onyxpass.testbed.replicas import StandinFleet
 from onyxpass.testbed.site import Host, Site, free_port
@@ -26,7 +26,7 @@
 
 def running(site: Site) -> list[int]:
     """The processes that the agent told to run, in order."""
-    lines = [raw for _, raw in objects(sorted(site.folder.glob("agent-*.log")))]
+    lines = [raw for _, raw in read_objects(sorted(site.folder.glob("agent-*.log")))]
     found: list[Any] = [
         raw["pid"]
         for raw in lines
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -46,7 +46,7 @@
     unknown,
 )
 from onyxpass.fleet.selector import SelectorError, parse, select
-from onyxpass.history_checkers.trace import Trace, What, breaches
+from onyxpass.history_checkers.trace import EventKind, Trace, breaches
 from onyxpass.scheduling import contract
 from onyxpass.testbed.replicas import Speed, StandinReplica, States
 
@@ -384,47 +384,55 @@
 def good_trace() -> Trace:
     trace = Trace(classes={"a": "part-lookup", "b": "stock-booking"})
     for request in ("a", "b"):
-        trace.put(What.ASKED, request)
-        trace.put(What.RECEIVED, request, "reader-1", "read")
-        trace.put(What.HELD, request, "reader-1")
-        trace.put(What.CLOSED, request, "reader-1")
-        trace.put(What.RECEIVED, request, "writer-1", "write")
-        trace.put(What.FREED, request, "writer-1")
-        trace.put(What.RAN, request, "writer-1", "write")
-        trace.put(What.CLOSED, request, "writer-1")
-        trace.put(What.ANSWERED, request, detail="served")
+        trace.record(EventKind.SENT, request)
+        trace.record(EventKind.RECEIVED, request, "reader-1", "read")
+        trace.record(EventKind.HELD, request, "reader-1")
+        trace.record(EventKind.CLOSED, request, "reader-1")
+        trace.record(EventKind.RECEIVED, request, "writer-1", "write")
+        trace.record(EventKind.RELEASED, request, "writer-1")
+        trace.record(EventKind.RAN, request, "writer-1", "write")
+        trace.record(EventKind.CLOSED, request, "writer-1")
+        trace.record(EventKind.ANSWERED, request, detail="served")
     return trace
 
 
 def after(
-    trace: Trace, seconds: float, what: What, request: str = "", server: str = "", detail: str = ""
+    trace: Trace,
+    seconds: float,
+    what: EventKind,
+    request: str = "",
+    server: str = "",
+    detail: str = "",
 ) -> None:
-    trace.put(what, request, server, detail)
+    trace.record(what, request, server, detail)
     trace.events[-1] = replace(trace.events[-1], at_s=trace.events[-2].at_s + seconds)
 
 
 def test_each_checker_finds_the_fault_that_is_planted_for_it() -> None:
     assert breaches(good_trace()) == []
-    planted: dict[str, list[tuple[float, What, str, str, str]]] = {
-        "one final answer": [(0, What.ANSWERED, "a", "", "failed")],
+    planted: dict[str, list[tuple[float, EventKind, str, str, str]]] = {
+        "one final answer": [(0, EventKind.ANSWERED, "a", "", "failed")],
         "no overlap": [
-            (0, What.RECEIVED, "a", "writer-1", "write"),
-            (0, What.RECEIVED, "a", "writer-2", "write"),
-            (1, What.CLOSED, "a", "writer-1", ""),
-            (0, What.CLOSED, "a", "writer-2", ""),
+            (0, EventKind.RECEIVED, "a", "writer-1", "write"),
+            (0, EventKind.RECEIVED, "a", "writer-2", "write"),
+            (1, EventKind.CLOSED, "a", "writer-1", ""),
+            (0, EventKind.CLOSED, "a", "writer-2", ""),
         ],
         "attempts": [
             (0, what, "a", "writer-1", "")
             for _ in range(3)
-            for what in (What.RECEIVED, What.CLOSED)
+            for what in (EventKind.RECEIVED, EventKind.CLOSED)
         ],
-        "bookings once": [(0, What.RAN, "b", "writer-2", "write")],
+        "bookings once": [(0, EventKind.RAN, "b", "writer-2", "write")],
         "drains": [
-            (0, What.DRAIN_TOLD, "", "reader-1", ""),
-            (1.2, What.RECEIVED, "c", "reader-1", "read"),
-            (0, What.CLOSED, "c", "reader-1", ""),
+            (0, EventKind.DRAIN_ANNOUNCED, "", "reader-1", ""),
+            (1.2, EventKind.RECEIVED, "c", "reader-1", "read"),
+            (0, EventKind.CLOSED, "c", "reader-1", ""),
+        ],
+        "held": [
+            (0, EventKind.HELD, "c", "reader-1", ""),
+            (1, EventKind.RECEIVED, "c", "writer-1", ""),
         ],
-        "held": [(0, What.HELD, "c", "reader-1", ""), (1, What.RECEIVED, "c", "writer-1", "")],
     }
     for rule, events in planted.items():
         trace = good_trace()
@@ -451,9 +459,13 @@
             head = "POST / HTTP/1.1\r\nhost: x\r\nx-request-id: a1\r\ncontent-length: 2\r\n\r\n{}"
             writer.write(head.encode())
             await reader.readuntil(ends)
-            assert [e.what for e in trace.events if e.server == replica.name][-1] is What.CLOSED
+            assert [e.kind for e in trace.events if e.server == replica.name][
+                -1
+            ] is EventKind.CLOSED
             writer.close()
             await replica.stop()
-        assert len(trace.of(What.RECEIVED)) == len(trace.of(What.CLOSED)) == 2
+        assert (
+            len(trace.events_of(EventKind.RECEIVED)) == len(trace.events_of(EventKind.CLOSED)) == 2
+        )
 
     asyncio.run(asyncio.wait_for(go(), 20))
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -9,15 +9,15 @@
 import pytest
 
 from onyxpass.history_checkers import history
-from onyxpass.history_checkers.history import Line
+from onyxpass.history_checkers.history import HistoryLine
 
 
-def line(at: int, what: str, **fields: Any) -> Line:
+def line(at: int, what: str, **fields: Any) -> HistoryLine:
     told = {"lease": "l", "resource": "r", **fields}
-    return Line(at, what, "p", 1, told)
+    return HistoryLine(at, what, "p", 1, told)
 
 
-def effect(at: int, end: int | None, token: int, holder: str) -> list[Line]:
+def effect(at: int, end: int | None, token: int, holder: str) -> list[HistoryLine]:
     id = f"{holder}-{at}"
     found = [line(at, "begin", token=token, holder=holder, effect=id)]
     return (
@@ -25,14 +25,16 @@
     )
 
 
-def grant(asked: int, answered: int | None, token: int, holder: str, number: int = 1) -> list[Line]:
+def grant(
+    asked: int, answered: int | None, token: int, holder: str, number: int = 1
+) -> list[HistoryLine]:
     found = [line(asked, "ask", holder=holder, number=number)]
     if answered is not None:
         found.append(line(answered, "answer", holder=holder, number=number, token=token))
     return found
 
 
-def hold(at: int, end: int | None, token: int, holder: str, until: int = 0) -> list[Line]:
+def hold(at: int, end: int | None, token: int, holder: str, until: int = 0) -> list[HistoryLine]:
     found = [line(at, "held", token=token, holder=holder)]
     if end is not None:
         found.append(line(end, "lost", token=token, holder=holder, until_ns=until or None))
@@ -55,7 +57,7 @@
 }
 
 
-def ordered(lines: list[Line]) -> list[Line]:
+def ordered(lines: list[HistoryLine]) -> list[HistoryLine]:
     return sorted(lines, key=lambda each: each.at_ns)
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from onyxpass.history_checkers.trace import Event, Trace, What
+from onyxpass.history_checkers.trace import Event, EventKind, Trace
 from onyxpass.soak.checker import RULES, breaches
 from onyxpass.soak.dispatchers import Dispatcher
 from onyxpass.soak.minimizer import shrunk
@@ -40,15 +40,15 @@
 def good() -> Records:
     """One request that went well, at both ends."""
     steps = [
-        (0.0, What.ASKED, "", ""),
-        (0.01, What.RECEIVED, "reader-1", "read"),
-        (0.02, What.HELD, "reader-1", ""),
-        (0.02, What.CLOSED, "reader-1", ""),
-        (0.03, What.RECEIVED, "writer-1", "write"),
-        (0.03, What.FREED, "reader-1", ""),
-        (0.03, What.RAN, "writer-1", "write"),
-        (0.1, What.CLOSED, "writer-1", ""),
-        (0.11, What.ANSWERED, "", "served"),
+        (0.0, EventKind.SENT, "", ""),
+        (0.01, EventKind.RECEIVED, "reader-1", "read"),
+        (0.02, EventKind.HELD, "reader-1", ""),
+        (0.02, EventKind.CLOSED, "reader-1", ""),
+        (0.03, EventKind.RECEIVED, "writer-1", "write"),
+        (0.03, EventKind.RELEASED, "reader-1", ""),
+        (0.03, EventKind.RAN, "writer-1", "write"),
+        (0.1, EventKind.CLOSED, "writer-1", ""),
+        (0.11, EventKind.ANSWERED, "", "served"),
     ]
     events = [Event(at_s, what, "r1", server, detail) for at_s, what, server, detail in steps]
     records = Records(Trace(events, {"r1": "stock-booking"}))
@@ -58,7 +58,7 @@
     return records
 
 
-def add(records: Records, *events: tuple[float, What, str, str]) -> None:
+def add(records: Records, *events: tuple[float, EventKind, str, str]) -> None:
     found = [Event(at_s, what, "r1", server, detail) for at_s, what, server, detail in events]
     records.trace.events = sorted([*records.trace.events, *found], key=lambda event: event.at_s)
 
@@ -81,17 +81,25 @@
 
 def sent_for_one_that_left(records: Records) -> None:
     records.asked["r1"] = replace(records.asked["r1"], end="left", left_s=0.02)
-    add(records, (0.5, What.RECEIVED, "writer-2", "write"), (0.6, What.CLOSED, "writer-2", ""))
+    add(
+        records,
+        (0.5, EventKind.RECEIVED, "writer-2", "write"),
+        (0.6, EventKind.CLOSED, "writer-2", ""),
+    )
 
 
 def sent_after_a_drain(records: Records) -> None:
-    add(records, (-2.0, What.DRAIN_TOLD, "writer-1", ""))
+    add(records, (-2.0, EventKind.DRAIN_ANNOUNCED, "writer-1", ""))
 
 
 def two_out(records: Records) -> None:
-    add(records, (0.04, What.RECEIVED, "writer-2", "write"), (0.5, What.CLOSED, "writer-2", ""))
+    add(
+        records,
+        (0.04, EventKind.RECEIVED, "writer-2", "write"),
+        (0.5, EventKind.CLOSED, "writer-2", ""),
+    )
     records.trace.events = [
-        e for e in records.trace.events if (e.what, e.server) != (What.CLOSED, "writer-1")
+        e for e in records.trace.events if (e.kind, e.server) != (EventKind.CLOSED, "writer-1")
     ]
 
 
@@ -114,13 +122,13 @@
     for n in range(5):
         add(
             records,
-            (0.2 + n / 10, What.RECEIVED, "writer-1", "w"),
-            (0.25 + n / 10, What.CLOSED, "writer-1", ""),
+            (0.2 + n / 10, EventKind.RECEIVED, "writer-1", "w"),
+            (0.25 + n / 10, EventKind.CLOSED, "writer-1", ""),
         )
 
 
 def booked_twice(records: Records) -> None:
-    add(records, (0.08, What.RAN, "writer-2", "write"))
+    add(records, (0.08, EventKind.RAN, "writer-2", "write"))
 
 
 def refused_and_run(records: Records) -> None:
@@ -129,8 +137,8 @@
 
 
 def held_on(records: Records) -> None:
-    records.trace.events = [e for e in records.trace.events if e.what is not What.FREED]
-    add(records, (5.0, What.FREED, "reader-1", ""))
+    records.trace.events = [e for e in records.trace.events if e.kind is not EventKind.RELEASED]
+    add(records, (5.0, EventKind.RELEASED, "reader-1", ""))
 
 
 def held_on_behind_a_silent_writer(records: Records) -> None:
@@ -141,8 +149,12 @@
 
 def held_for_ever(records: Records) -> None:
     """The holder's way is troubled; what comes of the prefill is let go all the same."""
-    records.trace.events = [e for e in records.trace.events if e.what is not What.FREED]
-    add(records, (5.0, What.RECEIVED, "writer-2", "write"), (5.1, What.CLOSED, "writer-2", ""))
+    records.trace.events = [e for e in records.trace.events if e.kind is not EventKind.RELEASED]
+    add(
+        records,
+        (5.0, EventKind.RECEIVED, "writer-2", "write"),
+        (5.1, EventKind.CLOSED, "writer-2", ""),
+    )
     records.replicas["reader-1"].append(Span(0.0, 5.0, "cut"))
 
 
@@ -296,10 +308,14 @@
     """
     records = good()
     records.trace.events = [
-        replace(e, at_s=0.5) if (e.what, e.server) == (What.CLOSED, "writer-1") else e
+        replace(e, at_s=0.5) if (e.kind, e.server) == (EventKind.CLOSED, "writer-1") else e
         for e in records.trace.events
     ]
-    add(records, (0.05, What.RECEIVED, "reader-2", "read"), (0.06, What.CLOSED, "reader-2", ""))
+    add(
+        records,
+        (0.05, EventKind.RECEIVED, "reader-2", "read"),
+        (0.06, EventKind.CLOSED, "reader-2", ""),
+    )
     assert any(breach.startswith("overlap: ") for breach in breaches(records))
     records.replicas["reader-2"].append(Span(-1.0, 0.1, "stall"))
     assert not any(breach.startswith("overlap: ") for breach in breaches(records))
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -28,7 +28,7 @@
 from onyxpass.config.toml_config import schema_text
 from onyxpass.core.dispatcher import RequestDispatcher
 from onyxpass.core.timer_wheel import TimerWheel
-from onyxpass.history_checkers.trace import What, breaches
+from onyxpass.history_checkers.trace import EventKind, breaches
 from onyxpass.scheduling import contract
 from onyxpass.serve import DispatcherProcess
 from onyxpass.sources import membership, schema, snapshot
@@ -563,8 +563,8 @@
         def in_force(v: View) -> None:
             views[v.number] = frozenset(v.entries)
             for name in names:
-                fleet.trace.put(
-                    What.DRAIN_TOLD, server=name, detail="up" if name in v.entries else ""
+                fleet.trace.record(
+                    EventKind.DRAIN_ANNOUNCED, server=name, detail="up" if name in v.entries else ""
                 )
 
         save(text(names))
@@ -626,7 +626,7 @@
         assert attempts and not outside, outside[:3]
         refusals = [line for line in lines if line["event"] == "refused" and "view" in line]
         assert len(refusals) == dispatcher.files.refused and all(line["why"] for line in refusals)
-        served = Counter(event.detail for event in fleet.trace.of(What.ANSWERED))
+        served = Counter(event.detail for event in fleet.trace.events_of(EventKind.ANSWERED))
         assert served["served"] > 20 and not served["broken"], served
         assert not breaches(fleet.trace), breaches(fleet.trace)[:5]
 
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -18,12 +18,12 @@
 from onyxpass.fleet.rollout import ChangeMethod
 from onyxpass.fleet.runner import ChangeOrder
 from onyxpass.history_checkers import history
-from onyxpass.history_checkers.history import Line
+from onyxpass.history_checkers.history import HistoryLine
 from onyxpass.testbed.process_trial import Together, drawn, play, together
 
 
-def changed(lines: list[Line], holder: str) -> int:
-    return sum(line.what == "begin" and str(line["holder"]) == holder for line in lines)
+def changed(lines: list[HistoryLine], holder: str) -> int:
+    return sum(line.kind == "begin" and str(line["holder"]) == holder for line in lines)
 
 
 def test_a_tool_that_was_stopped_and_wakes_changes_nothing(tmp_path: Path) -> None:
@@ -46,7 +46,7 @@
             late = next(
                 i
                 for i, line in enumerate(lines)
-                if line.what == "held" and line["holder"] == second
+                if line.kind == "held" and line["holder"] == second
             )
             assert changed(lines, first) >= 1 and changed(lines[late:], first) == 0
             t.sound()
