--- a/onyxpass/history_checkers/__init__.py
+++ b/onyxpass/history_checkers/__init__.py
@@ -1,1 +1,1 @@
-"""The rules, checked on what was seen at both ends: on sockets and in the emulator alike."""
+"""Checkers of recorded histories: request traces, lease histories and desired configurations."""
--- a/onyxpass/history_checkers/configuration.py
+++ b/onyxpass/history_checkers/configuration.py
@@ -1,4 +1,4 @@
-"""What must hold of the desired configuration at many nodes, read from their logs."""
+"""Checks how a desired configuration spread over its nodes, from the nodes' logs."""
 
 import json
 from collections.abc import Iterable, Mapping, Sequence
@@ -10,9 +10,9 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeEvent:
-    """One line of a node's log: what it ordered, merged or brought in force.
+    """A change that a node ordered, merged or brought in force, from one line of its log.
 
-    ``seen``: the changes that it had seen by then, by origin.
+    ``seen``: for each origin, the number of its latest change that the node had received.
     """
 
     at_ns: int
@@ -22,43 +22,43 @@
     seen: Mapping[str, int]
 
 
-WORDS = ("ordered", "merged", "configuration_in_force")
+EVENT_KINDS = ("ordered", "merged", "configuration_in_force")
 
 
 def read(files: Iterable[Path]) -> list[NodeEvent]:
-    """Return all such lines by time; a line that is cut off or of another kind is left out."""
+    """Return the node events of these logs in order of time; skip all other lines."""
     found = [
         NodeEvent(raw["at_ns"], raw["node"], raw["event"], raw["digest"], raw["seen"])
         for _, raw in read_objects(files)
-        if raw.get("event") in WORDS and "seen" in raw
+        if raw.get("event") in EVENT_KINDS and "seen" in raw
     ]
-    return sorted(found, key=lambda word: word.at_ns)
+    return sorted(found, key=lambda event: event.at_ns)
 
 
-def regressions(words: Sequence[NodeEvent]) -> Iterable[str]:
-    """Find nodes that brought in force what lacks a change that they had in force before.
+def regressions(events: Sequence[NodeEvent]) -> Iterable[str]:
+    """Yield nodes whose configuration in force lost a change that was in force before.
 
-    A node is the same in all its lives.
+    A node that was restarted counts as the same node.
     """
     last: dict[str, NodeEvent] = {}
-    for word in words:
-        if word.kind != "configuration_in_force":
+    for event in events:
+        if event.kind != "configuration_in_force":
             continue
-        before = last.get(word.node)
-        if before is not None and any(word.seen.get(o, 0) < n for o, n in before.seen.items()):
-            yield f"{word.node} went back from {dict(before.seen)} to {dict(word.seen)}"
-        last[word.node] = word
+        before = last.get(event.node)
+        if before is not None and any(event.seen.get(o, 0) < n for o, n in before.seen.items()):
+            yield f"{event.node} went back from {dict(before.seen)} to {dict(event.seen)}"
+        last[event.node] = event
 
 
-def outdated_hosts(words: Sequence[NodeEvent], hosts: Iterable[str]) -> Iterable[str]:
-    """Find hosts that in the end lack a change that was ordered, or differ from others."""
+def outdated_hosts(events: Sequence[NodeEvent], hosts: Iterable[str]) -> Iterable[str]:
+    """Yield hosts whose last configuration lacks an ordered change, and digests that differ."""
     ends: dict[str, NodeEvent] = {
-        word.node: word for word in words if word.kind == "configuration_in_force"
+        event.node: event for event in events if event.kind == "configuration_in_force"
     }
     ordered: dict[str, int] = {}
-    for word in words:
-        if word.kind == "ordered":
-            for origin, number in word.seen.items():
+    for event in events:
+        if event.kind == "ordered":
+            for origin, number in event.seen.items():
                 ordered[origin] = max(number, ordered.get(origin, 0))
     digests = {ends[host].digest for host in hosts if host in ends}
     if len(digests) > 1:
@@ -70,30 +70,30 @@
             yield f"{host} missed {missed}"
 
 
-def digest_conflicts(words: Sequence[NodeEvent]) -> Iterable[str]:
-    """Find nodes that have seen the same changes and hold another state."""
+def digest_conflicts(events: Sequence[NodeEvent]) -> Iterable[str]:
+    """Yield nodes that received the same changes and have different digests."""
     found: dict[str, NodeEvent] = {}
-    for word in words:
-        key = json.dumps(sorted(word.seen.items()))
-        other = found.setdefault(key, word)
-        if other.digest != word.digest:
-            digests = f"{word.digest}, {other.digest}"
-            yield f"{word.node} and {other.node} have seen the same and hold {digests}"
+    for event in events:
+        key = json.dumps(sorted(event.seen.items()))
+        other = found.setdefault(key, event)
+        if other.digest != event.digest:
+            digests = f"{event.digest}, {other.digest}"
+            yield f"{event.node} and {other.node} have the same changes and digests {digests}"
 
 
-def propagation_times_s(words: Sequence[NodeEvent], hosts: Iterable[str]) -> list[float]:
-    """Return for each order the seconds until the last host had it in force.
+def propagation_times_s(events: Sequence[NodeEvent], hosts: Iterable[str]) -> list[float]:
+    """Return the seconds from each order until the last host had it in force.
 
-    Orders that were never in force everywhere are left out.
+    Orders that did not come into force on every host are left out.
     """
     found = []
-    everyone = set(hosts)
-    for order in (word for word in words if word.kind == "ordered"):
+    all_hosts = set(hosts)
+    for order in (event for event in events if event.kind == "ordered"):
         first: dict[str, int] = {}
-        for word in words:
-            covered = all(word.seen.get(o, 0) >= n for o, n in order.seen.items())
-            if word.kind == "configuration_in_force" and covered and word.at_ns >= order.at_ns:
-                first.setdefault(word.node, word.at_ns)
-        if everyone <= first.keys():
-            found.append((max(first[host] for host in everyone) - order.at_ns) / 1e9)
+        for event in events:
+            covered = all(event.seen.get(o, 0) >= n for o, n in order.seen.items())
+            if event.kind == "configuration_in_force" and covered and event.at_ns >= order.at_ns:
+                first.setdefault(event.node, event.at_ns)
+        if all_hosts <= first.keys():
+            found.append((max(first[host] for host in all_hosts) - order.at_ns) / 1e9)
     return found
--- a/onyxpass/history_checkers/history.py
+++ b/onyxpass/history_checkers/history.py
@@ -1,14 +1,14 @@
-"""Histories of many processes, read together after the fact, and what must hold of them.
+"""Reads the lease histories of many processes from their logs and checks them together.
 
-Each process writes lines of its log with the event ``history``: when, by a clock that the processes
-of a host share, what, of which lease and token, and how it ended. What has no end in any line is
-unknown.
+A history line is a log line with the event ``history``. It carries a time in nanoseconds of a clock
+that the processes of a host share, its kind, and the lease, token and result that belong to it. An
+operation with no line that ends it has an unknown result.
 
-| line | by whom | of it |
+| line | written by | contents |
 | --- | --- | --- |
-| ``ask``, ``answer`` | who wants a lease | its ``number``; the answer's ``token`` if granted |
-| ``held``, ``lost`` | its holder | the token under which it may act, and from when on no more |
-| ``begin``, ``end``, ``refused`` | a resource | an effect under a token: ``effect`` is its id |
+| ``ask``, ``answer`` | a client that requests a lease | ``number``; the ``token`` if granted |
+| ``held``, ``lost`` | the holder | the token it may act under, and when that right ended |
+| ``begin``, ``end``, ``refused`` | a resource | an effect under a token; ``effect`` is its id |
 """
 
 from collections import defaultdict
@@ -23,11 +23,11 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryLine:
-    """One history line of one process; ``fields`` are those of its kind."""
+    """One history line of one process; ``fields`` holds the fields of its kind."""
 
     at_ns: int
     kind: str
-    source: str  # the file that it stood in: one process, in all its lives
+    source: str  # name of the log file; a process that is restarted keeps its file
     pid: int
     fields: Mapping[str, Any]
 
@@ -36,7 +36,7 @@
 
 
 def read(files: Iterable[Path]) -> list[HistoryLine]:
-    """Return all history lines of these logs by time; whatever else stands there is left out."""
+    """Return the history lines of these logs in order of time; skip all other lines."""
     found = [
         HistoryLine(int(raw["at_ns"]), str(raw["what"]), path.name, int(raw["pid"]), raw)
         for path, raw in read_objects(files)
@@ -45,21 +45,21 @@
     return sorted(found, key=lambda line: line.at_ns)
 
 
-def by(lines: Iterable[HistoryLine], *names: str) -> dict[tuple[Any, ...], list[HistoryLine]]:
-    """Group lines by these fields, in the order in which they came."""
+def group_by(lines: Iterable[HistoryLine], *names: str) -> dict[tuple[Any, ...], list[HistoryLine]]:
+    """Group lines by the values of these fields; each group keeps the order of the lines."""
     groups: dict[tuple[Any, ...], list[HistoryLine]] = defaultdict(list)
     for line in lines:
         groups[tuple(line[name] for name in names)].append(line)
     return groups
 
 
-def effects_apart(lines: list[HistoryLine]) -> Iterable[str]:
-    """Find effects of two tokens that overlapped at a resource.
+def overlapping_effects(lines: list[HistoryLine]) -> Iterable[str]:
+    """Yield effects of different tokens or holders that overlapped at a resource.
 
-    One without an end lasts to the end of all.
+    An effect with no ``end`` line lasts to the end of the history.
     """
-    mine = [line for line in lines if line.kind in ("begin", "end")]
-    for (resource, lease), group in by(mine, "resource", "lease").items():
+    effect_lines = [line for line in lines if line.kind in ("begin", "end")]
+    for (resource, lease), group in group_by(effect_lines, "resource", "lease").items():
         running: dict[str, HistoryLine] = {}
         for line in group:
             if line.kind == "end":
@@ -75,15 +75,15 @@
             running[line["effect"]] = line
 
 
-def tokens_grow(lines: list[HistoryLine]) -> Iterable[str]:
-    """Find tokens that fell at a resource, and numbers that two holders had there."""
-    for (resource, lease), group in by(
+def token_regressions(lines: list[HistoryLine]) -> Iterable[str]:
+    """Yield tokens that decreased at a resource, and tokens that two holders used in turn there."""
+    for (resource, lease), group in group_by(
         (x for x in lines if x.kind == "begin"), "resource", "lease"
     ).items():
         last: HistoryLine | None = None
         for line in group:
             if last is not None and line["token"] < last["token"]:
-                after = f"was let in after {last['token']}"
+                after = f"was admitted after {last['token']}"
                 yield f"{resource}: token {line['token']} of {lease} {after}"
             elif (
                 last is not None
@@ -95,12 +95,15 @@
             last = line
 
 
-def holders_apart(lines: list[HistoryLine]) -> Iterable[str]:
-    """Find two holders at once, by their own account.
+def overlapping_holders(lines: list[HistoryLine]) -> Iterable[str]:
+    """Yield holders that held a lease at the same time according to their own lines.
 
-    Of one that was killed nothing more is known.
+    A holder with no ``lost`` line, such as one that was killed, counts as a holder only at the
+    moment of its ``held`` line, because nothing more is known of it.
     """
-    for (lease,), group in by((x for x in lines if x.kind in ("held", "lost")), "lease").items():
+    for (lease,), group in group_by(
+        (x for x in lines if x.kind in ("held", "lost")), "lease"
+    ).items():
         spans: list[tuple[int, int, HistoryLine]] = []
         for line in (x for x in group if x.kind == "held"):
             end = next(
@@ -123,18 +126,20 @@
                 )
 
 
-def grants_in_order(lines: list[HistoryLine]) -> Iterable[str]:
-    """Find grants by which the lease, as a register that only grows, is not linearizable.
+def misordered_grants(lines: list[HistoryLine]) -> Iterable[str]:
+    """Yield grants that contradict linearizability of the lease as a register that only grows.
 
-    A grant that was answered before another was asked for has the smaller token; none is granted to
-    two. What was asked and never answered may or may not have taken a number, so numbers may be
-    missing.
+    A grant that was answered before another was requested must have the smaller token, and no token
+    may be granted to two holders. A request with no answer may or may not have used up a token, so
+    tokens may be missing.
     """
-    for (lease,), group in by((x for x in lines if x.kind in ("ask", "answer")), "lease").items():
-        asked = {(x["holder"], x["number"]): x.at_ns for x in group if x.kind == "ask"}
+    for (lease,), group in group_by(
+        (x for x in lines if x.kind in ("ask", "answer")), "lease"
+    ).items():
+        requested = {(x["holder"], x["number"]): x.at_ns for x in group if x.kind == "ask"}
         grants = [
             (
-                asked.get((x["holder"], x["number"]), x.at_ns),
+                requested.get((x["holder"], x["number"]), x.at_ns),
                 x.at_ns,
                 int(x["token"]),
                 str(x["holder"]),
@@ -146,7 +151,7 @@
         for _, _, token, holder in grants:
             if owners.setdefault(token, holder) != holder:
                 yield f"{lease}: token {token} was granted to {owners[token]} and to {holder}"
-        highest = 0  # of those answered so far
+        highest = 0  # of the grants answered so far
         moments = sorted(
             [(end, 0, token) for _, end, token, _ in grants] + [(s, 1, t) for s, _, t, _ in grants]
         )
@@ -158,13 +163,13 @@
 
 
 CHECKS: dict[str, Callable[[list[HistoryLine]], Iterable[str]]] = {
-    "effects apart": effects_apart,
-    "tokens grow": tokens_grow,
-    "holders apart": holders_apart,
-    "grants in order": grants_in_order,
+    "effects apart": overlapping_effects,
+    "tokens grow": token_regressions,
+    "holders apart": overlapping_holders,
+    "grants in order": misordered_grants,
 }
 
 
 def breaches(lines: list[HistoryLine], checks: Iterable[str] = tuple(CHECKS)) -> list[str]:
-    """Return every breach, with the name of what does not hold."""
+    """Return every breach that these checks find, each prefixed with the name of its check."""
     return [f"{name}: {breach}" for name in checks for breach in CHECKS[name](lines)]
--- a/onyxpass/history_checkers/json_lines.py
+++ b/onyxpass/history_checkers/json_lines.py
@@ -1,4 +1,4 @@
-"""Log files of our processes as objects, one a line; whatever else stands there is passed over."""
+"""Reads JSON objects from log files that may also contain other text."""
 
 import json
 from collections.abc import Iterable, Iterator
@@ -7,7 +7,10 @@
 
 
 def read_objects(files: Iterable[Path]) -> Iterator[tuple[Path, dict[str, Any]]]:
-    """Yield each line's JSON object with its file; a line that is cut off is passed over."""
+    """Yield the JSON object of each log line with its file.
+
+    Text before the first brace of a line is ignored. Lines without a complete object are skipped.
+    """
     for path in files:
         for text in path.read_text(errors="replace").splitlines():
             try:
--- a/onyxpass/history_checkers/trace.py
+++ b/onyxpass/history_checkers/trace.py
@@ -1,7 +1,7 @@
-"""What was seen at both ends, clients and replicas, in one order; and the rules, checked on it.
+"""Records what clients and replicas saw of requests in one trace, and checks rules on it.
 
-Times are seconds of one monotonic clock. Each rule is a function of the whole trace and returns its
-breaches; none looks at anything but the trace.
+Times are seconds of one monotonic clock. Each rule is a function of the whole trace that yields its
+breaches and reads nothing but the trace.
 """
 
 import time
@@ -12,104 +12,106 @@
 
 
 class EventKind(Enum):
-    """What happened to a request, an attempt or a state."""
+    """What happened to a request, an attempt or a held state."""
 
-    SENT = "asked"  # the client's last byte went out
-    ANSWERED = "answered"  # its final answer came whole, or its connection ended
-    RECEIVED = "received"  # the last byte of an attempt came to a replica
-    RAN = "ran"  # the replica began on an answer
+    SENT = "asked"  # the client sent the last byte of its request
+    ANSWERED = "answered"  # the client has its complete answer, or its connection ended
+    RECEIVED = "received"  # the last byte of an attempt arrived at a replica
+    RAN = "ran"  # the replica began to generate an answer
     CLOSED = "closed"  # the attempt is over at the replica
-    HELD = "held"  # a read state is held there
-    RELEASED = "freed"  # it was let go, or taken by a writer
-    DRAIN_ANNOUNCED = (
-        "drain told"  # the list, as written to a dispatcher, says that a replica drains
-    )
+    HELD = "held"  # the replica holds the request's prefill state
+    RELEASED = "freed"  # the state was released, or a writer took it over
+    # the endpoint list, as sent to a dispatcher, says that a replica drains
+    DRAIN_ANNOUNCED = "drain told"
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One thing that one end saw."""
+    """An event as one side saw it."""
 
     at_s: float
     kind: EventKind
     request: str = ""
     server: str = ""
-    # of ANSWERED: served, refused, failed or broken; of RECEIVED and RAN: the role
+    # of ANSWERED: the outcome, such as served, refused, failed or broken; of RECEIVED and RAN: the
+    # server's role; of DRAIN_ANNOUNCED: "up" if the server takes work again
     detail: str = ""
 
 
 @dataclass(slots=True)
 class Trace:
-    """``classes``: of each request that was asked."""
+    """Events in order of their recording; ``classes``: the traffic class of each request."""
 
     events: list[Event] = field(default_factory=list)
     classes: dict[str, str] = field(default_factory=dict)
-    clock: Callable[[], float] = time.monotonic  # the emulator has its own
+    clock: Callable[[], float] = time.monotonic  # the emulator passes its simulated clock
 
     def record(
         self, kind: EventKind, request: str = "", server: str = "", detail: str = ""
     ) -> None:
-        """Record an event of this moment."""
+        """Append an event that happens now."""
         self.events.append(Event(self.clock(), kind, request, server, detail))
 
     def events_of(self, *kinds: EventKind) -> list[Event]:
-        """Return the events of these kinds, in their order."""
+        """Return the events of these kinds in their order."""
         return [event for event in self.events if event.kind in kinds]
 
     def outcome_counts(self) -> Counter[str]:
-        """Return how many requests ended in which way."""
+        """Return the number of requests for each outcome."""
         return Counter(event.detail for event in self.events_of(EventKind.ANSWERED))
 
 
-ATTEMPTS_MOST = 4
-DRAIN_S, HELD_S = 1.0, 0.3
+MAX_ATTEMPTS = 4
+# for attempts after a drain was announced; for a held state after the request's last attempt
+DRAIN_GRACE_S, MAX_HOLD_S = 1.0, 0.3
 
 
-def one_answer(trace: Trace) -> Iterable[str]:
-    """Find requests that were asked and have not one final answer, or the other way round."""
-    asked = Counter(event.request for event in trace.events_of(EventKind.SENT))
+def wrong_answer_counts(trace: Trace) -> Iterable[str]:
+    """Yield requests that were not sent exactly once or do not have exactly one final answer."""
+    sent = Counter(event.request for event in trace.events_of(EventKind.SENT))
     answered = Counter(event.request for event in trace.events_of(EventKind.ANSWERED))
-    for request in asked.keys() | answered.keys():
-        if asked[request] != 1 or answered[request] != 1:
-            yield f"{request}: asked {asked[request]} times, answered {answered[request]} times"
+    for request in sent.keys() | answered.keys():
+        if sent[request] != 1 or answered[request] != 1:
+            yield f"{request}: sent {sent[request]} times, answered {answered[request]} times"
 
 
-def no_overlap(trace: Trace, slack_s: float = 0.05) -> Iterable[str]:
-    """Find attempts that were out beside another one of their request.
+def overlapping_attempts(trace: Trace, slack_s: float = 0.05) -> Iterable[str]:
+    """Yield attempts that a server received while another attempt of their request was open.
 
-    ``slack_s``: for a replica to notice a close before the next attempt.
+    ``slack_s``: how long a replica may take to notice that the earlier attempt was closed.
     """
-    out: dict[str, tuple[str, float]] = {}
-    # not seen closed yet, and what came after it when
-    before: dict[tuple[str, str], tuple[str, float]] = {}
+    open_attempts: dict[str, tuple[str, float]] = {}
+    # by request and server of an attempt that is not closed yet: the server and the time of the
+    # attempt that followed it
+    superseded: dict[tuple[str, str], tuple[str, float]] = {}
     for event in trace.events_of(EventKind.RECEIVED, EventKind.CLOSED):
         key = (event.request, event.server)
         if event.kind is EventKind.CLOSED:
-            if key in before:
-                later, at_s = before.pop(key)
+            if key in superseded:
+                later, at_s = superseded.pop(key)
                 if event.at_s - at_s > slack_s:
-                    yield f"{event.request}: at {later} while it was out at {event.server}"
-            elif out.get(event.request, ("", 0.0))[0] == event.server:
-                del out[event.request]
+                    yield f"{event.request}: sent to {later} while still open at {event.server}"
+            elif open_attempts.get(event.request, ("", 0.0))[0] == event.server:
+                del open_attempts[event.request]
             continue
-        if event.request in out:
-            before[event.request, out[event.request][0]] = (event.server, event.at_s)
-        out[event.request] = (event.server, event.at_s)
-    for (request, server), (later, _) in before.items():
-        yield f"{request}: at {later} while it was out at {server}, which never saw its end"
+        if event.request in open_attempts:
+            superseded[event.request, open_attempts[event.request][0]] = (event.server, event.at_s)
+        open_attempts[event.request] = (event.server, event.at_s)
+    for (request, server), (later, _) in superseded.items():
+        yield f"{request}: sent to {later} while still open at {server}, which never saw its end"
 
 
-def few_attempts(trace: Trace) -> Iterable[str]:
-    """Find requests with more attempts than are allowed."""
+def excess_attempts(trace: Trace) -> Iterable[str]:
+    """Yield requests with more than ``MAX_ATTEMPTS`` attempts."""
     for request, count in Counter(
         event.request for event in trace.events_of(EventKind.RECEIVED)
     ).items():
-        if count > ATTEMPTS_MOST:
+        if count > MAX_ATTEMPTS:
             yield f"{request}: {count} attempts"
 
 
-def bookings_once(trace: Trace, bookings: frozenset[str]) -> Iterable[str]:
-    """Find bookings that ran more than once."""
+def repeated_bookings(trace: Trace, bookings: frozenset[str]) -> Iterable[str]:
+    """Yield requests of the traffic classes ``bookings`` that ran more than once."""
     for request, count in Counter(
         event.request for event in trace.events_of(EventKind.RAN)
     ).items():
@@ -117,8 +119,11 @@
             yield f"{request}: ran {count} times"
 
 
-def refused_never_ran(trace: Trace, bookings: frozenset[str]) -> Iterable[str]:
-    """Find bookings that were refused, which says that they have not run, and ran."""
+def executed_refusals(trace: Trace, bookings: frozenset[str]) -> Iterable[str]:
+    """Yield requests of the traffic classes ``bookings`` that were refused and yet ran.
+
+    A refusal says that the request has not run.
+    """
     ran = {event.request for event in trace.events_of(EventKind.RAN)}
     for event in trace.events_of(EventKind.ANSWERED):
         if (
@@ -129,64 +134,73 @@
             yield f"{event.request}: refused, and ran"
 
 
-def drains_kept(trace: Trace, slack_s: float = 0.05) -> Iterable[str]:
-    """Find what came to a server later than 1 s after its drain was told."""
-    told: dict[str, float] = {}
+def attempts_after_drain(trace: Trace, slack_s: float = 0.05) -> Iterable[str]:
+    """Yield attempts that a server received over 1 s after its drain was announced."""
+    announced_s: dict[str, float] = {}
     for event in trace.events_of(EventKind.DRAIN_ANNOUNCED, EventKind.RECEIVED):
-        if event.kind is EventKind.DRAIN_ANNOUNCED and event.detail == "up":  # it takes work again
-            told.pop(event.server, None)
+        # the server takes work again
+        if event.kind is EventKind.DRAIN_ANNOUNCED and event.detail == "up":
+            announced_s.pop(event.server, None)
         elif event.kind is EventKind.DRAIN_ANNOUNCED:
-            told.setdefault(event.server, event.at_s)
-        elif event.server in told and event.at_s - told[event.server] > DRAIN_S + slack_s:
-            late_s = event.at_s - told[event.server]
+            announced_s.setdefault(event.server, event.at_s)
+        elif (
+            event.server in announced_s
+            and event.at_s - announced_s[event.server] > DRAIN_GRACE_S + slack_s
+        ):
+            late_s = event.at_s - announced_s[event.server]
             yield f"{event.request}: at {event.server} {late_s:.2f} s after its drain"
 
 
-def held_briefly(trace: Trace, slack_s: float = 0.35) -> Iterable[str]:
-    """Find state that was not used or let go within 300 ms of the last attempt's end."""
+def overlong_holds(trace: Trace, slack_s: float = 0.35) -> Iterable[str]:
+    """Yield requests whose state stayed held over 300 ms and the slack with no attempt open."""
     held: dict[str, float] = {}
-    out: Counter[str] = Counter()
-    idle_since: dict[str, float] = defaultdict(float)
+    open_attempts: Counter[str] = Counter()
+    idle_since_s: dict[str, float] = defaultdict(float)
     end_s = trace.events[-1].at_s if trace.events else 0.0
 
-    def late(request: str, now_s: float) -> bool:
+    def is_overdue(request: str, now_s: float) -> bool:
         return (
-            request in held and not out[request] and now_s - idle_since[request] > HELD_S + slack_s
+            request in held
+            and not open_attempts[request]
+            and now_s - idle_since_s[request] > MAX_HOLD_S + slack_s
         )
 
     for event in trace.events_of(
         EventKind.HELD, EventKind.RELEASED, EventKind.RECEIVED, EventKind.CLOSED
     ):
         request = event.request
-        if late(request, event.at_s):
-            held_s = event.at_s - idle_since[request]
-            yield f"{request}: held for {held_s:.2f} s with no attempt out"
+        if is_overdue(request, event.at_s):
+            held_s = event.at_s - idle_since_s[request]
+            yield f"{request}: held for {held_s:.2f} s with no open attempt"
             del held[request]
         if event.kind is EventKind.HELD:
             held[request] = event.at_s
-            idle_since[request] = max(idle_since[request], event.at_s)
+            idle_since_s[request] = max(idle_since_s[request], event.at_s)
         elif event.kind is EventKind.RELEASED:
             held.pop(request, None)
         elif event.kind is EventKind.RECEIVED:
-            out[request] += 1
+            open_attempts[request] += 1
         else:
-            out[request] -= 1
-            idle_since[request] = event.at_s
+            open_attempts[request] -= 1
+            idle_since_s[request] = event.at_s
     for request in held:
-        if late(request, end_s):
+        if is_overdue(request, end_s):
             yield f"{request}: still held at the end"
 
 
 def breaches(trace: Trace, bookings: Iterable[str] = ("stock-booking",)) -> list[str]:
-    """Return every breach of every rule, each with the rule's name."""
-    never_twice = frozenset(bookings)
+    """Return every breach of every rule, each prefixed with the name of its rule.
+
+    ``bookings``: the traffic classes whose requests must not run twice.
+    """
+    booking_classes = frozenset(bookings)
     rules: dict[str, Callable[[], Iterable[str]]] = {
-        "one final answer": lambda: one_answer(trace),
-        "no overlap": lambda: no_overlap(trace),
-        "attempts": lambda: few_attempts(trace),
-        "bookings once": lambda: bookings_once(trace, never_twice),
-        "refusals": lambda: refused_never_ran(trace, never_twice),
-        "drains": lambda: drains_kept(trace),
-        "held": lambda: held_briefly(trace),
+        "one final answer": lambda: wrong_answer_counts(trace),
+        "no overlap": lambda: overlapping_attempts(trace),
+        "attempts": lambda: excess_attempts(trace),
+        "bookings once": lambda: repeated_bookings(trace, booking_classes),
+        "refusals": lambda: executed_refusals(trace, booking_classes),
+        "drains": lambda: attempts_after_drain(trace),
+        "held": lambda: overlong_holds(trace),
     }
     return [f"{name}: {breach}" for name, rule in rules.items() for breach in rule()]
--- a/onyxpass/soak/__init__.py
+++ b/onyxpass/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak of real dispatchers on the loopback under overlapping faults, checked after it."""
+"""Soak tests: real dispatchers on the loopback interface under overlapping faults."""
--- a/onyxpass/soak/checker.py
+++ b/onyxpass/soak/checker.py
@@ -1,22 +1,23 @@
-"""What must hold of a soak's records. Each rule is a function of them and yields its breaches.
+"""Rules on the records of a soak. Each rule is a function of the records and yields its breaches.
 
-What a rule passes over stands in its docstring, with the reason; docs/design/SOAK.md has the list.
+The docstring of a rule says what the rule excuses and why; docs/design/SOAK.md has the list.
 """
 
 from collections.abc import Callable, Iterable, Iterator
 
-from onyxpass.history_checkers import trace as rules
+from onyxpass.history_checkers import trace as trace_rules
 from onyxpass.history_checkers.trace import EventKind
-from onyxpass.soak.clients import BAD_CLIENT_S
-from onyxpass.soak.dispatchers import BOOKINGS
-from onyxpass.soak.records import NOT_RUN, Asked, Records
-
-LATE_S = 0.5  # past its time an answer earns nothing; later it is lost
-GONE_S = 0.1  # after a client's close
-TOLD_SLACK_S = 0.15
-DRAIN_S, TOLD_LATEST_S = 1.0, 6.0
-# Troubles of a dispatcher after which it may have to ask for the list anew.
-LOSES_THE_WATCH = (
+from onyxpass.soak.clients import STALLED_CLIENT_TIMEOUT_S
+from onyxpass.soak.dispatchers import BOOKING_CLASSES
+from onyxpass.soak.records import DESCHEDULED, ClientRequest, Records
+
+LATE_ANSWER_MARGIN_S = 0.5  # a late answer is worth nothing; one later than this counts as lost
+DISCONNECT_MARGIN_S = 0.1  # for attempts after a client's close
+ATTEMPT_TIMEOUT_MARGIN_S = 0.15
+# a dispatcher whose view of discovery was disturbed may learn of a drain this much later
+DRAIN_GRACE_S, MAX_NOTICE_DELAY_S = 1.0, 6.0
+# Disturbances of a dispatcher after which it may have to fetch the endpoint list anew.
+WATCH_LOSING_CAUSES = (
     "restarted",
     "reloaded",
     "killed",
@@ -27,252 +28,304 @@
 Rule = Callable[[Records, float], Iterable[str]]
 
 
-def slack_of(records: Records) -> float:
-    """Return what this process's own pauses may have put on every time that it noted."""
+def timing_slack_s(records: Records) -> float:
+    """Return the error, in seconds, that pauses of this process may have added to a time."""
     return 0.1 + 2 * records.lag_s
 
 
-def freed(records: Records, asked: Asked) -> bool:
-    """Return whether its dispatcher was killed while it was open: nobody owes it anything then."""
-    return records.troubled(asked.dispatcher, asked.asked_s, asked.ended_s + 1.0, "killed")
+def dispatcher_killed(records: Records, request: ClientRequest) -> bool:
+    """Return whether the request's dispatcher was killed while the request was open.
+
+    A killed dispatcher cannot be held to its promises.
+    """
+    return records.dispatcher_disturbed(
+        request.dispatcher, request.sent_s, request.ended_s + 1.0, "killed"
+    )
 
 
-def not_run(records: Records, asked: Asked) -> bool:
-    """Return whether the machine kept its dispatcher from running while it was open.
+def dispatcher_descheduled(records: Records, request: ClientRequest) -> bool:
+    """Return whether the machine did not run the dispatcher for a time while the request was open.
 
-    No process keeps times while it does not run. What is not a matter of time still counts.
+    A process that does not run cannot meet deadlines. Rules that do not depend on time still apply.
     """
-    return records.troubled(asked.dispatcher, asked.asked_s, asked.ended_s + 1.0, NOT_RUN)
+    return records.dispatcher_disturbed(
+        request.dispatcher, request.sent_s, request.ended_s + 1.0, DESCHEDULED
+    )
+
 
+def missing_or_late_answers(records: Records, slack_s: float) -> Iterator[str]:
+    """Yield requests without one complete answer in time, unless their client disconnected.
 
-def answers(records: Records, slack_s: float) -> Iterator[str]:
-    """Each request of a client that stays has one whole answer, in time."""
-    for asked in records.asked.values():
-        if not asked.asked_s or asked.left_s or freed(records, asked):
+    Excused are requests that were never sent, whose dispatcher was killed, or that no process could
+    take; late answers of a dispatcher that the machine did not run; connections that forced system
+    calls may have broken; and new connections that may have been closed to make room for others.
+    """
+    for request in records.requests.values():
+        if not request.sent_s or request.disconnected_s or dispatcher_killed(records, request):
             continue
-        if not_run(records, asked) and asked.end not in ("broken", "never"):
-            continue  # late, and its answer came all the same
-        if records.troubled(asked.dispatcher, asked.asked_s, asked.ended_s, "no process"):
+        if dispatcher_descheduled(records, request) and request.outcome not in ("broken", "never"):
+            continue  # late, but answered
+        if records.dispatcher_disturbed(
+            request.dispatcher, request.sent_s, request.ended_s, "no process"
+        ):
             continue
-        took_s = (asked.first_s if asked.events else asked.ended_s) - asked.asked_s
-        if asked.end == "broken" and records.troubled(
-            asked.dispatcher, asked.asked_s, asked.ended_s, "broken calls"
+        took_s = (request.first_event_s if request.events else request.ended_s) - request.sent_s
+        if request.outcome == "broken" and records.dispatcher_disturbed(
+            request.dispatcher, request.sent_s, request.ended_s, "broken calls"
         ):
-            continue  # its own connection was broken at the dispatcher's side
-        if _shut_unread(records, asked):
+            continue  # a forced system call may have broken its connection at the dispatcher
+        if _closed_unread(records, request):
             continue
-        if asked.end in ("broken", "never") and not asked.events:
-            on = "a new" if asked.on_new_connection else "a kept"
-            where = f"at d{asked.dispatcher:02} on {on} connection"
-            yield f"{asked.request}: {asked.end} with no answer after {took_s:.2f} s {where}"
-        elif took_s > asked.wait_s + LATE_S + slack_s:
-            wait_s = asked.wait_s
-            yield f"{asked.request}: {asked.end} after {took_s:.2f} s with {wait_s:.2f} s to wait"
-        elif asked.end in ("broken", "never") and not _stream_may_break(records, asked):
-            yield f"{asked.request}: its stream broke off, and nothing happened to its writer"
-
-
-def _shut_unread(records: Records, asked: Asked) -> bool:
-    """Return whether a new connection may have been closed unread in favour of a crowd's."""
+        if request.outcome in ("broken", "never") and not request.events:
+            on = "a new" if request.on_new_connection else "a kept"
+            where = f"at d{request.dispatcher:02} on {on} connection"
+            yield (
+                f"{request.request_id}: {request.outcome} with no answer after {took_s:.2f} s "
+                f"{where}"
+            )
+        elif took_s > request.timeout_s + LATE_ANSWER_MARGIN_S + slack_s:
+            timeout_s = request.timeout_s
+            yield (
+                f"{request.request_id}: {request.outcome} after {took_s:.2f} s with a timeout of "
+                f"{timeout_s:.2f} s"
+            )
+        elif request.outcome in ("broken", "never") and not _stream_may_break(records, request):
+            yield f"{request.request_id}: its stream broke off, and no disturbance explains it"
+
+
+def _closed_unread(records: Records, request: ClientRequest) -> bool:
+    """Return whether a new connection may have been closed unread to make room for idle ones."""
     return (
-        asked.end == "broken"
-        and asked.on_new_connection
-        and not asked.status
-        and records.troubled(asked.dispatcher, asked.asked_s, asked.ended_s, "crowd")
+        request.outcome == "broken"
+        and request.on_new_connection
+        and not request.status
+        and records.dispatcher_disturbed(
+            request.dispatcher, request.sent_s, request.ended_s, "crowd"
+        )
     )
 
 
-def _stream_may_break(records: Records, asked: Asked) -> bool:
-    """Return whether something excuses a stream that broke.
+def _stream_may_break(records: Records, request: ClientRequest) -> bool:
+    """Return whether a recorded disturbance excuses that the request's stream broke off.
 
-    Its writer, the way there or its dispatcher's calls were troubled meanwhile, or SIGKILL met it.
+    Excuses are a fault of a server that received the request or of the link to it, system calls of
+    the dispatcher that were made to fail, and SIGKILL at the end of the dispatcher.
     """
     trace = records.trace
     servers = {
         e.server
         for e in trace.events
-        if e.kind is EventKind.RECEIVED and e.request == asked.request
+        if e.kind is EventKind.RECEIVED and e.request == request.request_id
     }
-    if any(records.shaken(server, asked.asked_s, asked.ended_s) for server in servers):
+    if any(records.server_disturbed(server, request.sent_s, request.ended_s) for server in servers):
         return True
-    if records.ended_by_kill(asked.dispatcher, asked.asked_s):
+    if records.sigkill_may_cut_stream(request.dispatcher, request.sent_s):
         return True
-    return records.troubled(asked.dispatcher, asked.asked_s, asked.ended_s, "broken calls")
+    return records.dispatcher_disturbed(
+        request.dispatcher, request.sent_s, request.ended_s, "broken calls"
+    )
+
 
+def excessive_attempt_timeouts(records: Records, slack_s: float) -> Iterator[str]:
+    """Yield attempts that gave their replica more time than the client had left.
 
-def told_times(records: Records, slack_s: float) -> Iterator[str]:
-    """No attempt tells its replica more time than the client has left."""
-    for told in records.told:
-        asked = records.asked.get(told.request)
-        if asked is None or not asked.asked_s or not_run(records, asked):
+    Attempts over a link that delays are excused, because they arrive later than a network delivers.
+    """
+    for attempt in records.attempt_timeouts:
+        request = records.requests.get(attempt.request_id)
+        if request is None or not request.sent_s or dispatcher_descheduled(records, request):
+            continue
+        if records.delivery_delayed(attempt.server, request.sent_s, attempt.at_s):
             continue
-        if records.delayed(told.server, asked.asked_s, told.at_s):
-            continue  # it was on its way for longer than a network takes
-        left_s = max(0.0, asked.asked_s + asked.wait_s - told.at_s)
-        if told.told_s > left_s + TOLD_SLACK_S + slack_s:
-            told_s = f"{told.told_s:.3f} s with {left_s:.3f} s left"
-            yield f"{told.request}: {told.server} was told {told_s}"
+        left_s = max(0.0, request.sent_s + request.timeout_s - attempt.at_s)
+        if attempt.timeout_s > left_s + ATTEMPT_TIMEOUT_MARGIN_S + slack_s:
+            timeout_s = f"{attempt.timeout_s:.3f} s with {left_s:.3f} s left"
+            yield f"{attempt.request_id}: {attempt.server} was given {timeout_s}"
+
 
+def attempts_after_disconnect(records: Records, slack_s: float) -> Iterator[str]:
+    """Yield attempts that began after their client had disconnected.
 
-def clients_gone(records: Records, slack_s: float) -> Iterator[str]:
-    """No attempt begins for a client that has left."""
+    Attempts over a link that delays, or by a dispatcher that the machine did not run, are excused.
+    """
     for event in records.trace.events_of(EventKind.RECEIVED):
-        asked = records.asked.get(event.request)
+        request = records.requests.get(event.request)
         if (
-            asked is None
-            or not asked.left_s
-            or not_run(records, asked)
-            or records.delayed(event.server, asked.asked_s, event.at_s)
+            request is None
+            or not request.disconnected_s
+            or dispatcher_descheduled(records, request)
+            or records.delivery_delayed(event.server, request.sent_s, event.at_s)
         ):
             continue
-        if event.at_s > asked.left_s + GONE_S + slack_s:
-            late_s = event.at_s - asked.left_s
-            yield f"{event.request}: at {event.server} {late_s:.2f} s after its client left"
+        if event.at_s > request.disconnected_s + DISCONNECT_MARGIN_S + slack_s:
+            late_s = event.at_s - request.disconnected_s
+            yield f"{event.request}: at {event.server} {late_s:.2f} s after its client disconnected"
 
 
-def drains(records: Records, slack_s: float) -> Iterator[str]:
-    """Find what came to a server past its drain time.
+def attempts_after_drain(records: Records, slack_s: float) -> Iterator[str]:
+    """Yield attempts that a server received after its drain time.
 
-    That runs from when the dispatcher counts as notified.
+    The drain time counts from the announcement. If discovery or the dispatcher's watch on it was
+    disturbed from 3 s before the announcement on, the dispatcher may learn of the drain up to
+    ``MAX_NOTICE_DELAY_S`` after the announcement or the end of discovery's disturbance, whichever
+    is later. Attempts over a link that delays, or by a dispatcher that the machine did not run, are
+    excused.
     """
-    told: dict[str, float] = {}
+    announced_s: dict[str, float] = {}
     for event in records.trace.events_of(EventKind.DRAIN_ANNOUNCED, EventKind.RECEIVED):
         if event.kind is EventKind.DRAIN_ANNOUNCED:
             if event.detail == "up":
-                told.pop(event.server, None)
+                announced_s.pop(event.server, None)
             else:
-                told.setdefault(event.server, event.at_s)
+                announced_s.setdefault(event.server, event.at_s)
             continue
-        since_s, asked = told.get(event.server), records.asked.get(event.request)
-        if since_s is None or asked is None or records.delayed(event.server, since_s, event.at_s):
+        since_s, request = announced_s.get(event.server), records.requests.get(event.request)
+        if (
+            since_s is None
+            or request is None
+            or records.delivery_delayed(event.server, since_s, event.at_s)
+        ):
             continue
-        if records.troubled(asked.dispatcher, since_s, event.at_s, NOT_RUN):
+        if records.dispatcher_disturbed(request.dispatcher, since_s, event.at_s, DESCHEDULED):
             continue
-        due_s = since_s + DRAIN_S + slack_s
+        due_s = since_s + DRAIN_GRACE_S + slack_s
         if any(
-            span.meets(since_s - 3.0, event.at_s) for span in records.discovery
-        ) or records.troubled(asked.dispatcher, since_s - 3.0, event.at_s, *LOSES_THE_WATCH):
+            interval.overlaps(since_s - 3.0, event.at_s) for interval in records.discovery_faults
+        ) or records.dispatcher_disturbed(
+            request.dispatcher, since_s - 3.0, event.at_s, *WATCH_LOSING_CAUSES
+        ):
             ends = [
-                span.until_s for span in records.discovery if span.meets(since_s - 3.0, event.at_s)
+                interval.end_s
+                for interval in records.discovery_faults
+                if interval.overlaps(since_s - 3.0, event.at_s)
             ]
-            due_s = max([since_s, *ends]) + TOLD_LATEST_S + DRAIN_S + slack_s
+            due_s = max([since_s, *ends]) + MAX_NOTICE_DELAY_S + DRAIN_GRACE_S + slack_s
         if event.at_s > due_s:
             late_s = event.at_s - since_s
-            yield f"{event.request}: at {event.server} {late_s:.2f} s after its drain was told"
+            yield f"{event.request}: at {event.server} {late_s:.2f} s after its drain was announced"
 
 
-def overlaps(records: Records, slack_s: float) -> Iterator[str]:
-    """Find attempts that came to a server while another one of their request was out.
+def overlapping_attempts(records: Records, slack_s: float) -> Iterator[str]:
+    """Yield attempts that a server received while another attempt of their request was open.
 
-    Not where the way to either was slow or cut: then a close arrives late, and an attempt that was
-    closed before the other began may still come.
+    Excused are requests whose dispatcher was killed, and attempts where the link to either server
+    delayed or was cut: a close then arrives late, and an attempt that was closed before the other
+    one began may still arrive.
     """
-    for breach in rules.no_overlap(records.trace, slack_s):
-        request, _, servers = breach.partition(":")
-        later, _, first = servers.removeprefix(" at ").partition(" while it was out at ")
-        asked = records.asked.get(request)
-        since_s, until_s = (asked.asked_s, asked.ended_s) if asked else (0.0, float("inf"))
-        if asked is not None and freed(records, asked):
+    for breach in trace_rules.overlapping_attempts(records.trace, slack_s):
+        request_id, _, servers = breach.partition(":")
+        later, _, first = servers.removeprefix(" sent to ").partition(" while still open at ")
+        request = records.requests.get(request_id)
+        start_s, end_s = (request.sent_s, request.ended_s) if request else (0.0, float("inf"))
+        if request is not None and dispatcher_killed(records, request):
             continue
         if not any(
-            records.delayed(server, since_s - 1.0, until_s + 1.0)
+            records.delivery_delayed(server, start_s - 1.0, end_s + 1.0)
             for server in (first.partition(",")[0], later)
         ):
             yield breach
 
 
-def held(records: Records, slack_s: float) -> Iterator[str]:
-    """Find state that was not used or let go in time, but by a dispatcher that was killed.
+def overlong_holds(records: Records, slack_s: float) -> Iterator[str]:
+    """Yield requests whose held state was not used or released in time.
 
-    Where the way to the holder was troubled, the answer to the prefill may have been lost on it:
-    the attempt is out then, however long ago its server ended it, and only what is never let go
-    counts.
+    A dispatcher that was killed is excused. Where the link to the holder was disturbed, the answer
+    to the prefill may have been lost: for the dispatcher the attempt is then still open, however
+    long ago the server ended it. In that case, and where the machine did not run the dispatcher,
+    only state that is never released counts.
     """
-    never = {request for request, freed_s in _last_holds(records).items() if not freed_s}
-    for breach in rules.held_briefly(records.trace, 0.3 + slack_s):
-        request = breach.partition(":")[0]
-        asked = records.asked.get(request)
-        if asked is None or freed(records, asked):
+    never = {
+        request_id for request_id, released_s in _last_releases(records).items() if not released_s
+    }
+    for breach in trace_rules.overlong_holds(records.trace, 0.3 + slack_s):
+        request_id = breach.partition(":")[0]
+        request = records.requests.get(request_id)
+        if request is None or dispatcher_killed(records, request):
             continue
-        late_excused = _prefill_answer_lost(records, asked) or not_run(records, asked)
-        if request in never or not late_excused:
+        late_excused = _prefill_answer_lost(records, request) or dispatcher_descheduled(
+            records, request
+        )
+        if request_id in never or not late_excused:
             yield breach
 
 
-def _last_holds(records: Records) -> dict[str, float]:
-    """By request that was held: when it was let go for the last time, 0 if it still is held."""
+def _last_releases(records: Records) -> dict[str, float]:
+    """Return when each held state was last released, by request; 0 if it is still held."""
     found: dict[str, float] = {}
     for event in records.trace.events_of(EventKind.HELD, EventKind.RELEASED):
         found[event.request] = event.at_s if event.kind is EventKind.RELEASED else 0.0
     return found
 
 
-def _prefill_answer_lost(records: Records, asked: Asked) -> bool:
+def _prefill_answer_lost(records: Records, request: ClientRequest) -> bool:
     holders = {
-        e.server for e in records.trace.events_of(EventKind.HELD) if e.request == asked.request
+        e.server for e in records.trace.events_of(EventKind.HELD) if e.request == request.request_id
     }
     return any(
-        records.may_lose_answers(name, asked.asked_s, asked.ended_s + 1.0) for name in holders
+        records.may_lose_answers(name, request.sent_s, request.ended_s + 1.0) for name in holders
     )
 
 
-def bookings(records: Records, _: float) -> Iterator[str]:
-    """Find bookings that ran twice, and refused ones that ran.
+def wrong_booking_runs(records: Records, _: float) -> Iterator[str]:
+    """Yield bookings that ran twice, and refused bookings that ran.
 
-    Not so where the dispatcher was killed and the client, whose kept connection ended, sent it to
-    the next process once more: that one knows nothing of the first.
+    Excused are bookings whose dispatcher was killed and whose client then sent them again on a new
+    connection: the next process knows nothing of the first send.
     """
-    broken = [
-        *rules.bookings_once(records.trace, BOOKINGS),
-        *rules.refused_never_ran(records.trace, BOOKINGS),
+    found = [
+        *trace_rules.repeated_bookings(records.trace, BOOKING_CLASSES),
+        *trace_rules.executed_refusals(records.trace, BOOKING_CLASSES),
     ]
-    for breach in broken:
-        asked = records.asked.get(breach.partition(":")[0])
-        if asked is None or not (asked.again and freed(records, asked)):
+    for breach in found:
+        request = records.requests.get(breach.partition(":")[0])
+        if request is None or not (request.resent and dispatcher_killed(records, request)):
             yield breach
 
 
-def attempts(records: Records, _: float) -> Iterator[str]:
-    """Find requests with more attempts than the settings allow."""
-    yield from rules.few_attempts(records.trace)
+def excess_attempts(records: Records, _: float) -> Iterator[str]:
+    """Yield requests with more attempts than the settings allow."""
+    yield from trace_rules.excess_attempts(records.trace)
 
 
-def bad_clients(records: Records, slack_s: float) -> Iterator[str]:
-    """Find clients that broke off in the middle, stayed, and were not ended in time.
+def lingering_stalled_clients(records: Records, slack_s: float) -> Iterator[str]:
+    """Yield clients that stalled and whose connections were not closed in time.
 
-    While no process takes connections from an inherited socket, nobody can end them.
+    While no process accepts from an inherited socket, nobody can close its connections, so that
+    time does not count. Clients of a dispatcher that the machine did not run are excused.
     """
-    for bad in records.bad_clients:
-        after_s = bad.ended_s - bad.began_s
-        if records.troubled(bad.dispatcher, bad.began_s, bad.ended_s, NOT_RUN):
+    for client in records.stalled_clients:
+        after_s = client.ended_s - client.began_s
+        if records.dispatcher_disturbed(
+            client.dispatcher, client.began_s, client.ended_s, DESCHEDULED
+        ):
             continue
-        unserved_s = records.unserved_s(bad.dispatcher, bad.began_s, bad.ended_s)
-        if after_s > BAD_CLIENT_S + unserved_s + slack_s:
-            yield f"a client that {bad.manner} was ended after {after_s:.2f} s"
+        unserved_s = records.unserved_s(client.dispatcher, client.began_s, client.ended_s)
+        if after_s > STALLED_CLIENT_TIMEOUT_S + unserved_s + slack_s:
+            yield f"a client that {client.behavior} was closed after {after_s:.2f} s"
 
 
-def processes(records: Records, _: float) -> Iterator[str]:
-    """No crash, no violation that the guard counted, no fault of its own in any log."""
+def process_problems(records: Records, _: float) -> Iterator[str]:
+    """Yield crashes, invariant violations and internal errors of the dispatcher processes."""
     yield from records.problems
 
 
 RULES: dict[str, Rule] = {
-    "answers": answers,
-    "time told": told_times,
-    "clients gone": clients_gone,
-    "drains": drains,
-    "overlap": overlaps,
-    "attempts": attempts,
-    "bookings": bookings,
-    "held": held,
-    "bad clients": bad_clients,
-    "processes": processes,
+    "answers": missing_or_late_answers,
+    "time told": excessive_attempt_timeouts,
+    "clients gone": attempts_after_disconnect,
+    "drains": attempts_after_drain,
+    "overlap": overlapping_attempts,
+    "attempts": excess_attempts,
+    "bookings": wrong_booking_runs,
+    "held": overlong_holds,
+    "bad clients": lingering_stalled_clients,
+    "processes": process_problems,
 }
 
 
 def breaches(records: Records) -> list[str]:
-    """Every breach of every rule, each with the rule's name."""
-    slack_s = slack_of(records)
+    """Return every breach of every rule, each prefixed with the name of its rule."""
+    slack_s = timing_slack_s(records)
     return [
         f"{name}: {breach}" for name, rule in RULES.items() for breach in rule(records, slack_s)
     ]
--- a/onyxpass/soak/minimizer.py
+++ b/onyxpass/soak/minimizer.py
@@ -1,24 +1,24 @@
-"""Reduces the faults of a schedule that fails to the fewest that still do, without I/O."""
+"""Reduces a failing schedule to a small set of faults that still fails, without I/O."""
 
 from collections.abc import Awaitable, Callable, Sequence
 
-from onyxpass.soak.schedule import Fault
+from onyxpass.soak.schedule import ScheduledFault
 
-Fails = Callable[[Sequence[Fault]], Awaitable[bool]]
+Fails = Callable[[Sequence[ScheduledFault]], Awaitable[bool]]
 
 
-async def shrunk(faults: Sequence[Fault], fails: Fails) -> list[Fault]:
-    """Delta debugging: leave out ever smaller parts for as long as what remains still fails."""
-    found, parts = list(faults), 2
-    while len(found) > 1:
-        size = -(-len(found) // parts)
-        for start in range(0, len(found), size):
-            rest = found[:start] + found[start + size :]
+async def minimize_faults(faults: Sequence[ScheduledFault], fails: Fails) -> list[ScheduledFault]:
+    """Leave out ever smaller parts for as long as the rest still fails (delta debugging)."""
+    remaining, parts = list(faults), 2
+    while len(remaining) > 1:
+        size = -(-len(remaining) // parts)
+        for start in range(0, len(remaining), size):
+            rest = remaining[:start] + remaining[start + size :]
             if rest and await fails(rest):
-                found, parts = rest, max(2, parts - 1)
+                remaining, parts = rest, max(2, parts - 1)
                 break
         else:
-            if parts >= len(found):
+            if parts >= len(remaining):
                 break
-            parts = min(len(found), 2 * parts)
-    return found
+            parts = min(len(remaining), 2 * parts)
+    return remaining
--- a/onyxpass/soak/records.py
+++ b/onyxpass/soak/records.py
@@ -1,126 +1,146 @@
-"""What a soak saw: every request from its client's side, and when each party was troubled."""
+"""What a soak observed: requests as clients saw them, and when components were disturbed."""
 
 from collections import defaultdict
 from collections.abc import Container
 from dataclasses import dataclass, field
 
 from onyxpass.history_checkers.trace import Trace
-from onyxpass.soak.schedule import Kind
+from onyxpass.soak.schedule import FaultKind
 
-# A stream that was asked for so long after SIGTERM, or earlier, may meet SIGKILL.
-LAST_TAKEN_S = 0.7
-NOT_RUN = "not run by the machine"
-STREAM_MOST_S = 30.0  # no stream of a soak takes longer
-# Faults of a server or the way to it by what they may do to what is sent.
-DELAYS = frozenset(kind.value for kind in (Kind.STALL, Kind.DELAY, Kind.PIECES, Kind.CUT))
-LOSES_ANSWERS = DELAYS | {Kind.RESET.value, Kind.RESTART.value}
-TROUBLES = frozenset(kind.value for kind in Kind) - {Kind.DRAIN.value}
+# A stream that was requested up to this long after SIGTERM may be cut by SIGKILL.
+LAST_REQUEST_AFTER_SIGTERM_S = 0.7
+DESCHEDULED = "not run by the machine"
+MAX_STREAM_S = 30.0  # no stream of a soak takes longer
+# Faults of a replica or of the link to it, by their possible effect on what is sent.
+DELAYING_FAULTS = frozenset(
+    kind.value for kind in (FaultKind.STALL, FaultKind.DELAY, FaultKind.PIECES, FaultKind.CUT)
+)
+ANSWER_LOSING_FAULTS = DELAYING_FAULTS | {FaultKind.RESET.value, FaultKind.RESTART.value}
+STREAM_BREAKING_FAULTS = frozenset(kind.value for kind in FaultKind) - {FaultKind.DRAIN.value}
 
 
 @dataclass(slots=True)
-class Asked:
-    """One request as its client knows it. Times are seconds of one monotonic clock."""
+class ClientRequest:
+    """One request as its client saw it. Times are seconds of the monotonic clock; 0: never."""
 
-    request: str
+    request_id: str
     traffic_class: str
     dispatcher: int
-    wait_s: float  # how long the client waits for the first event
-    asked_s: float = 0.0  # its last byte went out
+    timeout_s: float  # for the first event of the answer
+    sent_s: float = 0.0  # when the last byte was sent
     ended_s: float = 0.0
-    first_s: float = 0.0  # the first event came
+    first_event_s: float = 0.0
     status: int = 0
     events: int = 0
-    end: str = ""  # served, refused, failed, broken, left
-    left_s: float = 0.0  # when the client closed, if it did not stay
-    again: bool = False  # its client sent it once more, on a new connection
-    on_new_connection: bool = False  # the last time that it was sent
+    outcome: str = ""  # served, refused, failed, broken, left, never or not taken
+    disconnected_s: float = 0.0  # when the client closed before the end of its answer
+    resent: bool = False  # the client sent it once more, on a new connection
+    on_new_connection: bool = False  # of the last send
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """The time that an attempt told its replica, as it came there."""
+class AttemptTimeout:
+    """The timeout that an attempt gave its replica, recorded when it arrived there."""
 
-    request: str
+    request_id: str
     server: str
     at_s: float
-    told_s: float
+    timeout_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class BadClient:
-    """A client that said half a request or nothing, and stayed until it was ended."""
+class StalledClient:
+    """A client that sent a part of a request or nothing, and waited until it was closed."""
 
-    manner: str
+    behavior: str
     dispatcher: int
     began_s: float
     ended_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class Span:
-    """For how long a party was troubled, and by what; seconds of the monotonic clock."""
+class FaultInterval:
+    """An interval in which a component was disturbed; seconds of the monotonic clock."""
 
-    since_s: float
-    until_s: float
-    what: str
+    start_s: float
+    end_s: float
+    cause: str
 
-    def meets(self, since_s: float, until_s: float) -> bool:
-        """Return whether it and that time have a moment in common."""
-        return self.since_s <= until_s and since_s <= self.until_s
+    def overlaps(self, start_s: float, end_s: float) -> bool:
+        """Return whether the two closed intervals have a moment in common."""
+        return self.start_s <= end_s and start_s <= self.end_s
 
 
 @dataclass(slots=True)
 class Records:
-    """All that one soak saw; ``dispatchers`` and ``replicas``: when each was troubled."""
+    """Everything that one soak observed.
+
+    ``dispatcher_faults`` are the disturbances of each dispatcher by its number, ``replica_faults``
+    those of each replica and of the link to it by its name.
+    """
 
     trace: Trace
-    asked: dict[str, Asked] = field(default_factory=dict)
-    told: list[Told] = field(default_factory=list)
-    dispatchers: dict[int, list[Span]] = field(default_factory=lambda: defaultdict(list))
-    replicas: dict[str, list[Span]] = field(default_factory=lambda: defaultdict(list))
-    discovery: list[Span] = field(default_factory=list)
-    bad_clients: list[BadClient] = field(default_factory=list)
+    requests: dict[str, ClientRequest] = field(default_factory=dict)
+    attempt_timeouts: list[AttemptTimeout] = field(default_factory=list)
+    dispatcher_faults: dict[int, list[FaultInterval]] = field(
+        default_factory=lambda: defaultdict(list)
+    )
+    replica_faults: dict[str, list[FaultInterval]] = field(
+        default_factory=lambda: defaultdict(list)
+    )
+    discovery_faults: list[FaultInterval] = field(default_factory=list)
+    stalled_clients: list[StalledClient] = field(default_factory=list)
     lag_s: float = 0.0  # the longest that this process itself was kept from running
-    # of the processes: ends, log lines, violations
+    # of the dispatcher processes: unexpected exits, bad log lines, invariant violations
     problems: list[str] = field(default_factory=list)
-    not_run_s: float = 0.0  # for how long processes were kept from running, in all
+    descheduled_s: float = 0.0  # the total time for which dispatchers were kept from running
+
+    def dispatcher_disturbed(
+        self, dispatcher: int, start_s: float, end_s: float, *causes: str
+    ) -> bool:
+        """Return whether a dispatcher was disturbed in an interval.
 
-    def troubled(self, dispatcher: int, since_s: float, until_s: float, *whats: str) -> bool:
-        """Return whether a dispatcher was troubled then, by one of ``whats`` if any are named."""
-        spans = self.dispatchers.get(dispatcher, ())
+        If ``causes`` are given, only these count.
+        """
+        intervals = self.dispatcher_faults.get(dispatcher, ())
         return any(
-            span.meets(since_s, until_s) and (not whats or span.what in whats) for span in spans
+            interval.overlaps(start_s, end_s) and (not causes or interval.cause in causes)
+            for interval in intervals
         )
 
-    def unserved_s(self, dispatcher: int, since_s: float, until_s: float) -> float:
-        """Return for how long of that time no process took a dispatcher's connections."""
+    def unserved_s(self, dispatcher: int, start_s: float, end_s: float) -> float:
+        """Return for how much of an interval no process accepted a dispatcher's connections."""
         return sum(
-            min(span.until_s, until_s) - max(span.since_s, since_s)
-            for span in self.dispatchers.get(dispatcher, ())
-            if span.what == "no process" and span.meets(since_s, until_s)
+            min(interval.end_s, end_s) - max(interval.start_s, start_s)
+            for interval in self.dispatcher_faults.get(dispatcher, ())
+            if interval.cause == "no process" and interval.overlaps(start_s, end_s)
         )
 
-    def ended_by_kill(self, dispatcher: int, asked_s: float) -> bool:
-        """Return whether SIGKILL may have met a stream that was asked for in time."""
+    def sigkill_may_cut_stream(self, dispatcher: int, sent_s: float) -> bool:
+        """Return whether SIGKILL may have cut a stream that was requested at ``sent_s``."""
         return any(
-            span.what == "ended by SIGKILL"
-            and asked_s <= min(span.since_s + LAST_TAKEN_S, span.until_s)
-            and span.until_s <= asked_s + STREAM_MOST_S
-            for span in self.dispatchers.get(dispatcher, ())
+            interval.cause == "ended by SIGKILL"
+            and sent_s <= min(interval.start_s + LAST_REQUEST_AFTER_SIGTERM_S, interval.end_s)
+            and interval.end_s <= sent_s + MAX_STREAM_S
+            for interval in self.dispatcher_faults.get(dispatcher, ())
         )
 
-    def delayed(self, server: str, since_s: float, until_s: float) -> bool:
-        """Return whether the way there was such that what was sent came later, or in pieces."""
-        return self._had(server, since_s, until_s, DELAYS)
+    def delivery_delayed(self, server: str, start_s: float, end_s: float) -> bool:
+        """Return whether data on the link to a server may have been late or in pieces."""
+        return self._server_had(server, start_s, end_s, DELAYING_FAULTS)
 
-    def shaken(self, server: str, since_s: float, until_s: float) -> bool:
-        """Return whether a server, or the way to it, was troubled then; a drain is no trouble."""
-        return self._had(server, since_s, until_s, TROUBLES)
+    def server_disturbed(self, server: str, start_s: float, end_s: float) -> bool:
+        """Return whether a server or the link to it had a fault; a drain does not count."""
+        return self._server_had(server, start_s, end_s, STREAM_BREAKING_FAULTS)
 
-    def may_lose_answers(self, server: str, since_s: float, until_s: float) -> bool:
-        """Return whether an answer of that server may have been lost, or have come late."""
-        return self._had(server, since_s, until_s, LOSES_ANSWERS)
+    def may_lose_answers(self, server: str, start_s: float, end_s: float) -> bool:
+        """Return whether an answer of a server may have been lost or late."""
+        return self._server_had(server, start_s, end_s, ANSWER_LOSING_FAULTS)
 
-    def _had(self, server: str, since_s: float, until_s: float, whats: Container[str]) -> bool:
-        spans = self.replicas.get(server, ())
-        return any(span.meets(since_s, until_s) and span.what in whats for span in spans)
+    def _server_had(
+        self, server: str, start_s: float, end_s: float, causes: Container[str]
+    ) -> bool:
+        intervals = self.replica_faults.get(server, ())
+        return any(
+            interval.overlaps(start_s, end_s) and interval.cause in causes for interval in intervals
+        )
--- a/onyxpass/soak/run.py
+++ b/onyxpass/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays one schedule of faults over real dispatchers and gives the records to the checker."""
+"""Runs one schedule of faults against real dispatchers and checks the records."""
 
 import asyncio
 import random
@@ -13,155 +13,165 @@
 from onyxpass.faultshim.control import build
 from onyxpass.history_checkers.trace import Trace
 from onyxpass.soak import checker
-from onyxpass.soak.clients import Clients
-from onyxpass.soak.dispatchers import CLASSES, Dispatcher
-from onyxpass.soak.injector import FaultInjector, Parties
+from onyxpass.soak.clients import ClientPool
+from onyxpass.soak.dispatchers import TRAFFIC_CLASSES, SoakDispatcher
+from onyxpass.soak.injector import FaultInjector, SoakComponents
 from onyxpass.soak.records import Records
-from onyxpass.soak.schedule import Fault, Shape
-from onyxpass.soak.testbed import Fleet
+from onyxpass.soak.schedule import ScheduledFault, SoakParameters
+from onyxpass.soak.testbed import SoakFleet
 from onyxpass.testbed.link import Link
 
-LOOK_S = 0.02  # between looks at this process's own pauses
-CHECK_S = 0.25  # between looks at whether all dispatchers live
-STARTED_AT_ONCE = 8
-SETTLE_S = 4.0  # after the last fault, for every request and every held state to come to its end
+LAG_CHECK_INTERVAL_S = 0.02
+PROCESS_CHECK_INTERVAL_S = 0.25
+MAX_CONCURRENT_STARTS = 8
+SETTLE_S = 4.0  # after the last fault and client, for requests and held states to end
 
 
 @dataclass(slots=True)
-class Result:
-    """What one soak gave."""
+class SoakResult:
+    """The breaches, the number of requests by outcome, and how much the machine interfered."""
 
     breaches: list[str]
-    ends: Counter[str] = field(default_factory=Counter)
-    lag_s: float = 0.0
-    not_run_s: float = 0.0  # for how long the machine kept dispatchers from running, in all
+    outcomes: Counter[str] = field(default_factory=Counter)
+    lag_s: float = 0.0  # the longest that the soak's own process was kept from running
+    descheduled_s: float = 0.0  # the total time for which dispatchers were kept from running
 
 
 class Soak:
-    """One soak: its parties from their start to their end."""
+    """One soak, from the start of its components to their end."""
 
-    def __init__(self, folder: Path, seed: int, shape: Shape) -> None:
-        self.folder, self.shape = folder, shape
-        self.chance = random.Random(f"clients {seed}")
+    def __init__(self, folder: Path, seed: int, parameters: SoakParameters) -> None:
+        self.folder, self.parameters = folder, parameters
+        self.rng = random.Random(f"clients {seed}")
         self.records = Records(Trace())
-        self.fleet = Fleet(shape.readers, shape.writers, self.records)
-        self.parties = Parties(self.records, self.fleet, build(folder))
-        self.dispatchers = self.parties.dispatchers
-        self.clients = self.parties.clients
-        self.asks: set[asyncio.Task[None]] = set()
-
-    async def play(self, faults: Sequence[Fault]) -> Result:
-        """Play these faults while clients ask, and check what was seen."""
+        self.fleet = SoakFleet(parameters.readers, parameters.writers, self.records)
+        self.components = SoakComponents(self.records, self.fleet, build(folder))
+        self.dispatchers = self.components.dispatchers
+        self.clients = self.components.clients
+        self.client_tasks: set[asyncio.Task[None]] = set()
+
+    async def run(self, faults: Sequence[ScheduledFault]) -> SoakResult:
+        """Inject these faults while clients send requests, and check the records."""
         try:
-            await self._open()
-            beside = [asyncio.create_task(work) for work in (self._lag(), self._check())]
-            injector = FaultInjector(self.parties)
+            await self._start()
+            monitors = [
+                asyncio.create_task(work) for work in (self._measure_lag(), self._check_processes())
+            ]
+            injector = FaultInjector(self.components)
             injections = [asyncio.create_task(injector.inject(fault)) for fault in faults]
-            await self._ask_all()
+            await self._send_requests()
             await asyncio.gather(*injections)
-            await asyncio.gather(*self.asks)
+            await asyncio.gather(*self.client_tasks)
             await asyncio.sleep(SETTLE_S)
-            for task in beside:
+            for task in monitors:
                 task.cancel()
-            await self._end()
+            await self._terminate_dispatchers()
         finally:
-            await self._close()
+            await self._stop()
         for dispatcher in self.dispatchers:
             dispatcher.read_log()
-        ends = Counter(asked.end for asked in self.records.asked.values())
+        outcomes = Counter(request.outcome for request in self.records.requests.values())
         records = self.records
-        return Result(checker.breaches(records), ends, records.lag_s, records.not_run_s)
+        return SoakResult(checker.breaches(records), outcomes, records.lag_s, records.descheduled_s)
 
-    async def _open(self) -> None:
+    async def _start(self) -> None:
         await self.fleet.start()
         both = (Link(self.fleet.discovery.port), Link(self.fleet.discovery.port))
-        self.parties.discovery_links.extend(both)
+        self.components.discovery_links.extend(both)
         for link in both:
             await link.start()
-        for number in range(self.shape.dispatchers):
-            dispatcher = Dispatcher(number, self.folder, both, self.records, self.shape)
-            dispatcher.write()
+        for number in range(self.parameters.dispatchers):
+            dispatcher = SoakDispatcher(number, self.folder, both, self.records, self.parameters)
+            dispatcher.write_config()
             self.dispatchers.append(dispatcher)
-            self.clients.append(Clients(self.records, number, dispatcher.port, self.chance))
-        places = asyncio.Semaphore(STARTED_AT_ONCE)
+            self.clients.append(ClientPool(self.records, number, dispatcher.port, self.rng))
+        slots = asyncio.Semaphore(MAX_CONCURRENT_STARTS)
 
-        async def start(dispatcher: Dispatcher) -> None:
-            async with places:
-                await dispatcher.start(self.parties.library)
+        async def start(dispatcher: SoakDispatcher) -> None:
+            async with slots:
+                await dispatcher.start(self.components.library)
 
         await asyncio.gather(*(start(dispatcher) for dispatcher in self.dispatchers))
 
-    async def _ask_all(self) -> None:
-        """Ask at random moments, each time at a dispatcher that serves.
+    async def _send_requests(self) -> None:
+        """Start clients at random moments, each at a dispatcher that accepts clients.
 
-        Or at one that ends: clients use their open connections for as long as there are any.
+        A dispatcher that is terminating is also used while its pool has idle connections, because
+        clients use open connections for as long as there are any.
         """
         began_s, number = time.monotonic(), 0
-        while time.monotonic() - began_s < self.shape.length_s:
-            await asyncio.sleep(self.chance.expovariate(self.shape.requests_per_s))
+        while time.monotonic() - began_s < self.parameters.length_s:
+            await asyncio.sleep(self.rng.expovariate(self.parameters.requests_per_s))
             serving = [
                 d.number
                 for d in self.dispatchers
-                if d.serves or (d.leaves and self.clients[d.number].idle)
+                if d.accepts_clients or (d.terminating and self.clients[d.number].idle)
             ]
             if not serving:
                 continue
             number += 1
-            traffic_class = self.chance.choice(CLASSES)[0]
-            wait_s = self.chance.choice((self.shape.deadline_s, 1.5, 0.6))
-            clients = self.clients[self.chance.choice(serving)]
-            task = asyncio.create_task(clients.one(f"r{number:05}", traffic_class, wait_s))
-            self.asks.add(task)
-            task.add_done_callback(self.asks.discard)
-
-    # Beside
-
-    async def _lag(self) -> None:
+            traffic_class = self.rng.choice(TRAFFIC_CLASSES)[0]
+            timeout_s = self.rng.choice((self.parameters.deadline_s, 1.5, 0.6))
+            clients = self.clients[self.rng.choice(serving)]
+            task = asyncio.create_task(
+                clients.run_client(f"r{number:05}", traffic_class, timeout_s)
+            )
+            self.client_tasks.add(task)
+            task.add_done_callback(self.client_tasks.discard)
+
+    # Monitors that run beside the clients
+
+    async def _measure_lag(self) -> None:
         while True:
             began_s = time.monotonic()
-            await asyncio.sleep(LOOK_S)
-            self.records.lag_s = max(self.records.lag_s, time.monotonic() - began_s - LOOK_S)
+            await asyncio.sleep(LAG_CHECK_INTERVAL_S)
+            self.records.lag_s = max(
+                self.records.lag_s, time.monotonic() - began_s - LAG_CHECK_INTERVAL_S
+            )
 
-    async def _check(self) -> None:
+    async def _check_processes(self) -> None:
         while True:
             for dispatcher in self.dispatchers:
-                dispatcher.check()
-            await asyncio.sleep(CHECK_S)
+                dispatcher.check_running()
+            await asyncio.sleep(PROCESS_CHECK_INTERVAL_S)
 
-    # The end
+    # Shutdown
 
-    async def _end(self) -> None:
-        """Tell all dispatchers to end, with nothing under way."""
-        children = [
-            (d, d.child)
+    async def _terminate_dispatchers(self) -> None:
+        """Terminate all running dispatchers; no request is open at this point."""
+        running = [
+            (d, d.process)
             for d in self.dispatchers
-            if d.child is not None and d.child.returncode is None
+            if d.process is not None and d.process.returncode is None
         ]
-        for dispatcher, _ in children:
-            dispatcher.serves = False
-        await asyncio.gather(*(dispatcher.terminate(child) for dispatcher, child in children))
+        for dispatcher, _ in running:
+            dispatcher.accepts_clients = False
+        await asyncio.gather(*(dispatcher.terminate(process) for dispatcher, process in running))
 
-    async def _close(self) -> None:
+    async def _stop(self) -> None:
         for clients in self.clients:
             clients.close()
         for dispatcher in self.dispatchers:
-            if dispatcher.child is not None and dispatcher.child.returncode is None:
+            if dispatcher.process is not None and dispatcher.process.returncode is None:
                 with suppress(ProcessLookupError):
-                    dispatcher.child.kill()
-                await dispatcher.child.wait()
-            if dispatcher.passed is not None:
-                dispatcher.passed.close()
-        for link in self.parties.discovery_links:
+                    dispatcher.process.kill()
+                await dispatcher.process.wait()
+            if dispatcher.inherited_socket is not None:
+                dispatcher.inherited_socket.close()
+        for link in self.components.discovery_links:
             await link.stop()
         await self.fleet.stop()
 
 
-async def play(
-    seed: int, shape: Shape, faults: Sequence[Fault], keep: Path | None = None
-) -> Result:
-    """Play one soak in a folder of its own; ``keep``: one that stays, for its logs."""
-    if keep is not None:
-        await asyncio.to_thread(keep.mkdir, parents=True, exist_ok=True)
-        return await Soak(keep, seed, shape).play(faults)
+async def run_soak(
+    seed: int,
+    parameters: SoakParameters,
+    faults: Sequence[ScheduledFault],
+    log_folder: Path | None = None,
+) -> SoakResult:
+    """Run one soak in ``log_folder``, which stays, or else in a temporary folder."""
+    if log_folder is not None:
+        await asyncio.to_thread(log_folder.mkdir, parents=True, exist_ok=True)
+        return await Soak(log_folder, seed, parameters).run(faults)
     with tempfile.TemporaryDirectory(prefix="onyxpass-soak-") as folder:
-        return await Soak(Path(folder), seed, shape).play(faults)
+        return await Soak(Path(folder), seed, parameters).run(faults)
--- a/onyxpass/soak/schedule.py
+++ b/onyxpass/soak/schedule.py
@@ -1,4 +1,4 @@
-"""Schedules of faults drawn from a seed, without I/O: the same seed always gives the same ones."""
+"""Draws schedules of faults from a seed, without I/O; one seed always gives the same schedule."""
 
 import errno
 import random
@@ -10,9 +10,9 @@
 from onyxpass.faultshim.control import SHORT_TRANSFER, Call, Forced
 
 HOUR_S = 3_600.0
-OVERLAP_S = 0.6  # from the first to the last beginning of the faults of one group
-REST_S = 1.5  # between two groups
-MOMENTARY = {
+GROUP_SPREAD_S = 0.6  # between the first and the last start of the faults of one group
+GROUP_GAP_S = 1.5  # between the end of a group and the next group
+TRANSIENT_ERRORS = {
     Call.ACCEPT: (errno.ECONNABORTED, errno.ENFILE, errno.EPROTO, errno.EINTR),
     Call.CONNECT: (errno.ENETUNREACH, errno.EADDRNOTAVAIL, errno.ECONNABORTED, errno.ENOBUFS),
     Call.SOCKET: (errno.ENFILE, errno.ENOBUFS),
@@ -22,160 +22,168 @@
     Call.WRITE: (errno.ENOSPC, errno.EIO),
     Call.RENAME: (errno.ENOSPC, errno.EIO),
 }
-BROKEN = (errno.ETIMEDOUT, errno.EHOSTUNREACH)
+CONNECTION_ERRORS = (errno.ETIMEDOUT, errno.EHOSTUNREACH)
 MAX_EXTRA_SIGNALS = 2  # before and after the SIGTERM of a series
 
 
-class Kind(Enum):
-    """What happens to one party of the soak."""
-
-    # to a dispatcher
-    TERMINATE = "terminate"  # SIGTERM, and started again once it has ended
-    SIGNALS = "signals in series"  # SIGHUPs, SIGTERM and more of both; then as above
-    CROWD = "crowd"  # idle clients take every connection that it may have
-    KILL = "kill"  # SIGKILL, and started again
-    HOLD_UP = "hold up"  # SIGSTOP and SIGCONT
-    RELOAD = "reload"  # SIGHUP with discovery moved to its other address, several times in a row
-    UPGRADE = "upgrade"  # a new process beside it, then SIGTERM to the old one
+class FaultKind(Enum):
+    """A kind of fault, for a dispatcher, a replica, the link to a replica, or discovery."""
+
+    # of a dispatcher
+    TERMINATE = "terminate"  # SIGTERM; started again once it has ended
+    # SIGHUPs, SIGTERM and more SIGHUP, SIGTERM or SIGINT; started again once it has ended
+    SIGNAL_SERIES = "signals in series"
+    IDLE_CONNECTIONS = "crowd"  # idle clients open as many connections as its socket limit
+    KILL = "kill"  # SIGKILL; started again
+    SUSPEND = "hold up"  # SIGSTOP, then SIGCONT
+    # SIGHUP several times in a row, each time with the other of discovery's two addresses
+    RELOAD = "reload"
+    # starts a new process beside the old one, which gets SIGTERM; where the socket is not
+    # inherited, the old process ends first
+    UPGRADE = "upgrade"
     STEP_CLOCK = "step the wall clock"
     FAIL_CALLS = "fail calls"
-    BREAK_CALLS = "break connections"  # reads that say ETIMEDOUT or EHOSTUNREACH
+    BREAK_CONNECTIONS = "break connections"  # reads fail with ETIMEDOUT or EHOSTUNREACH
     DELAY_SENDS = "delay sends"
-    # to a replica
-    DRAIN = "drain"  # told as leaving, later back, born anew
-    HANG = "hang"  # takes requests and says nothing
-    RESTART = "restart"  # all connections reset, new ones refused, then back and born anew
-    # to the way to a replica
-    CUT = "cut"  # silent in both directions, with no error
+    # of a replica
+    DRAIN = "drain"  # announced as leaving; later active again with a new start time
+    HANG = "hang"  # receives requests and never answers
+    # resets all connections and refuses new ones; later serves again with a new start time
+    RESTART = "restart"
+    # of the link to a replica
+    CUT = "cut"  # drops data in both directions without an error
     STALL = "stall"
     DELAY = "delay"
     RESET = "reset"
     PIECES = "pieces"
-    # to discovery
+    # of discovery
     DISCOVERY_DOWN = "discovery down"
-    DISCOVERY_SILENT = "discovery silent"  # the way to it is cut
+    DISCOVERY_SILENT = "discovery silent"  # its links are cut
     DISCOVERY_PIECES = "discovery in pieces"
 
 
-DISPATCHER = frozenset(
+DISPATCHER_FAULTS = frozenset(
     (
-        Kind.TERMINATE,
-        Kind.SIGNALS,
-        Kind.CROWD,
-        Kind.KILL,
-        Kind.HOLD_UP,
-        Kind.RELOAD,
-        Kind.UPGRADE,
-        Kind.STEP_CLOCK,
-        Kind.FAIL_CALLS,
-        Kind.BREAK_CALLS,
-        Kind.DELAY_SENDS,
+        FaultKind.TERMINATE,
+        FaultKind.SIGNAL_SERIES,
+        FaultKind.IDLE_CONNECTIONS,
+        FaultKind.KILL,
+        FaultKind.SUSPEND,
+        FaultKind.RELOAD,
+        FaultKind.UPGRADE,
+        FaultKind.STEP_CLOCK,
+        FaultKind.FAIL_CALLS,
+        FaultKind.BREAK_CONNECTIONS,
+        FaultKind.DELAY_SENDS,
     )
 )
-DISCOVERY = frozenset((Kind.DISCOVERY_DOWN, Kind.DISCOVERY_SILENT, Kind.DISCOVERY_PIECES))
+DISCOVERY_FAULTS = frozenset(
+    (FaultKind.DISCOVERY_DOWN, FaultKind.DISCOVERY_SILENT, FaultKind.DISCOVERY_PIECES)
+)
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
-    """``target``: the number of a dispatcher or replica; several dispatchers may be struck at once.
+class ScheduledFault:
+    """A fault and when it starts, in seconds from the start of the soak.
 
-    ``amount``: seconds of a step, a delay or between signals; ``forced``: the calls that fail;
-    ``signals``: a series with one SIGTERM or more.
+    ``targets`` are numbers of dispatchers, or the number of one replica. ``amount_s`` is the size
+    of a clock step, a delay or the pause between signals. ``forced`` are the system calls that
+    fail. ``signals`` is a series with at least one SIGTERM.
     """
 
     at_s: float
-    for_s: float
-    kind: Kind
+    duration_s: float
+    kind: FaultKind
     targets: tuple[int, ...] = ()
-    amount: float = 0.0
+    amount_s: float = 0.0
     forced: tuple[Forced, ...] = ()
     signals: tuple[signal.Signals, ...] = ()
 
     def __str__(self) -> str:
-        more = [f"{self.amount:g} s"] if self.amount else []
-        more += [str(forced) for forced in self.forced]
-        more += [number.name for number in self.signals]
-        whom = ",".join(map(str, self.targets))
-        what = f"{self.kind.value} {whom} {' '.join(more)}".rstrip()
-        return f"{self.at_s:6.2f} s for {self.for_s:.2f} s: {what}"
+        details = [f"{self.amount_s:g} s"] if self.amount_s else []
+        details += [str(forced) for forced in self.forced]
+        details += [number.name for number in self.signals]
+        targets = ",".join(map(str, self.targets))
+        text = f"{self.kind.value} {targets} {' '.join(details)}".rstrip()
+        return f"{self.at_s:6.2f} s for {self.duration_s:.2f} s: {text}"
 
 
 @dataclass(frozen=True, slots=True)
-class Shape:
-    """How large a soak is."""
+class SoakParameters:
+    """The size of a soak and its load."""
 
     dispatchers: int = 24
     readers: int = 4
     writers: int = 5
     length_s: float = 20.0
     requests_per_s: float = 60.0
-    deadline_s: float = 3.0  # of all classes
+    deadline_s: float = 3.0  # of all traffic classes
 
     @property
     def replicas(self) -> int:
-        """The number of all servers."""
+        """The number of readers and writers."""
         return self.readers + self.writers
 
 
-def drawn(seed: int, shape: Shape) -> list[Fault]:
-    """Draw groups of two or three faults that overlap in time, with a rest between groups."""
-    chance = random.Random(seed)
-    found: list[Fault] = []
+def draw_faults(seed: int, parameters: SoakParameters) -> list[ScheduledFault]:
+    """Draw groups of two or three faults that start close together, with a gap between groups."""
+    rng = random.Random(seed)
+    found: list[ScheduledFault] = []
     at_s = 1.0
-    while at_s < shape.length_s - 4.0:
-        group = [_fault(chance, shape, at_s) for _ in range(chance.choice((2, 3, 3)))]
+    while at_s < parameters.length_s - 4.0:
+        group = [_draw_fault(rng, parameters, at_s) for _ in range(rng.choice((2, 3, 3)))]
         found += group
-        at_s = max(fault.at_s + fault.for_s for fault in group) + REST_S
+        at_s = max(fault.at_s + fault.duration_s for fault in group) + GROUP_GAP_S
     return sorted(found, key=lambda fault: fault.at_s)
 
 
-def _fault(chance: random.Random, shape: Shape, at_s: float) -> Fault:
-    kind = chance.choice(list(Kind))
-    at_s += chance.uniform(0, OVERLAP_S)
-    for_s, amount, forced = chance.uniform(0.4, 2.0), 0.0, tuple[Forced, ...]()
+def _draw_fault(rng: random.Random, parameters: SoakParameters, at_s: float) -> ScheduledFault:
+    kind = rng.choice(list(FaultKind))
+    at_s += rng.uniform(0, GROUP_SPREAD_S)
+    duration_s, amount_s, forced = rng.uniform(0.4, 2.0), 0.0, tuple[Forced, ...]()
     signals: tuple[signal.Signals, ...] = ()
-    if kind in DISPATCHER:
-        many = chance.choice((1, 2, max(1, shape.dispatchers // 4)))
+    if kind in DISPATCHER_FAULTS:
+        count = rng.choice((1, 2, max(1, parameters.dispatchers // 4)))
         targets = tuple(
-            sorted(chance.sample(range(shape.dispatchers), min(many, shape.dispatchers)))
+            sorted(rng.sample(range(parameters.dispatchers), min(count, parameters.dispatchers)))
         )
-    elif kind in DISCOVERY:
+    elif kind in DISCOVERY_FAULTS:
         targets = ()
     else:
-        targets = (chance.randrange(shape.replicas),)
+        targets = (rng.randrange(parameters.replicas),)
     match kind:
-        case Kind.HOLD_UP:
-            for_s = chance.uniform(0.03, 0.14)
-        case Kind.STEP_CLOCK:
-            amount = chance.choice((-HOUR_S, -10.0, -1.0, 1.0, 10.0, HOUR_S))
-        case Kind.DELAY_SENDS:
-            amount = chance.uniform(0.01, 0.04)
-        case Kind.DELAY:
-            amount = chance.uniform(0.05, 0.25)
-        case Kind.FAIL_CALLS:
-            calls = chance.sample(list(MOMENTARY), chance.choice((1, 2, 3)))
+        case FaultKind.SUSPEND:
+            duration_s = rng.uniform(0.03, 0.14)
+        case FaultKind.STEP_CLOCK:
+            amount_s = rng.choice((-HOUR_S, -10.0, -1.0, 1.0, 10.0, HOUR_S))
+        case FaultKind.DELAY_SENDS:
+            amount_s = rng.uniform(0.01, 0.04)
+        case FaultKind.DELAY:
+            amount_s = rng.uniform(0.05, 0.25)
+        case FaultKind.FAIL_CALLS:
+            calls = rng.sample(list(TRANSIENT_ERRORS), rng.choice((1, 2, 3)))
             forced = tuple(
-                Forced(call, chance.choice(MOMENTARY[call]), chance.choice((100, 300, 600)))
+                Forced(call, rng.choice(TRANSIENT_ERRORS[call]), rng.choice((100, 300, 600)))
                 for call in calls
             )
-        case Kind.BREAK_CALLS:
-            forced = (Forced(Call.RECEIVE, chance.choice(BROKEN), chance.choice((20, 100))),)
-        case Kind.SIGNALS:
-            amount = chance.uniform(0.0, 0.3)
-            signals = _signal_series(chance)
-        case Kind.DRAIN | Kind.HANG:
-            for_s = chance.uniform(2.0, 4.0)
-    return Fault(at_s, for_s, kind, targets, amount, forced, signals)
-
-
-def _signal_series(chance: random.Random) -> tuple[signal.Signals, ...]:
-    """Draw reloads, the SIGTERM that ends the process, and what comes while it ends."""
-    before = [signal.SIGHUP] * chance.randint(0, MAX_EXTRA_SIGNALS)
+        case FaultKind.BREAK_CONNECTIONS:
+            forced = (Forced(Call.RECEIVE, rng.choice(CONNECTION_ERRORS), rng.choice((20, 100))),)
+        case FaultKind.SIGNAL_SERIES:
+            amount_s = rng.uniform(0.0, 0.3)
+            signals = _draw_signals(rng)
+        case FaultKind.DRAIN | FaultKind.HANG:
+            duration_s = rng.uniform(2.0, 4.0)
+    return ScheduledFault(at_s, duration_s, kind, targets, amount_s, forced, signals)
+
+
+def _draw_signals(rng: random.Random) -> tuple[signal.Signals, ...]:
+    """Draw SIGHUPs, then the SIGTERM that ends the process, then signals that arrive meanwhile."""
+    before = [signal.SIGHUP] * rng.randint(0, MAX_EXTRA_SIGNALS)
     ending = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
-    after = [chance.choice(ending) for _ in range(chance.randint(1, MAX_EXTRA_SIGNALS))]
+    after = [rng.choice(ending) for _ in range(rng.randint(1, MAX_EXTRA_SIGNALS))]
     return (*before, signal.SIGTERM, *after)
 
 
-def described(faults: Iterable[Fault]) -> str:
-    """Return a line for each fault."""
+def describe_faults(faults: Iterable[ScheduledFault]) -> str:
+    """Return one line for each fault."""
     return "\n".join(f"  {fault}" for fault in faults)
--- a/onyxpass/soak/testbed.py
+++ b/onyxpass/soak/testbed.py
@@ -1,4 +1,4 @@
-"""The stand-ins of a soak: replicas behind links, and discovery, all in this process."""
+"""The stand-in replicas and discovery of a soak, all in the soak's own process."""
 
 import asyncio
 import time
@@ -6,44 +6,52 @@
 import h11
 
 from onyxpass.net.http import HttpConnection, header
-from onyxpass.soak.clients import LONG_TOKENS
-from onyxpass.soak.records import Records, Told
+from onyxpass.soak.clients import LONG_STREAM_TOKENS
+from onyxpass.soak.records import AttemptTimeout, Records
 from onyxpass.testbed.link import Link
 from onyxpass.testbed.replicas import Listed, Speed, StandinDiscovery, StandinReplica, States
 
-HALLS = ("z0", "z1")
+ZONES = ("z0", "z1")
 
 
 class SoakReplica(StandinReplica):
-    """Notes the time that each attempt tells it; ``hangs``: takes requests and says nothing."""
+    """A replica that records the timeout of each attempt.
+
+    While ``hanging`` is true, it receives requests and never answers them.
+    """
 
     def __init__(
         self, name: str, role: str, records: Records, states: States, speed: Speed
     ) -> None:
         super().__init__(name, role, records.trace, states, speed)
-        self.records, self.hangs = records, False
+        self.records, self.hanging = records, False
 
     async def _answer(self, wire: HttpConnection, head: h11.Request, text: bytes) -> bool:
-        request = (header(head, b"x-request-id") or b"").decode("latin-1")
-        told_ms = header(head, b"x-timeout-ms")
-        if request and told_ms is not None:
-            told = Told(request, self.name, time.monotonic(), int(told_ms) / 1000)
-            self.records.told.append(told)
+        request_id = (header(head, b"x-request-id") or b"").decode("latin-1")
+        timeout_ms = header(head, b"x-timeout-ms")
+        if request_id and timeout_ms is not None:
+            attempt = AttemptTimeout(
+                request_id, self.name, time.monotonic(), int(timeout_ms) / 1000
+            )
+            self.records.attempt_timeouts.append(attempt)
         return await super()._answer(wire, head, text)
 
     async def _work(self, wire: HttpConnection, request: str, text: bytes) -> bool:
-        if self.hangs:
+        if self.hanging:
             await asyncio.Event().wait()
         return await super()._work(wire, request, text)
 
-    def break_all(self) -> None:
+    def reset_connections(self) -> None:
         """Reset every connection."""
         for writer in list(self.writers):
             writer.transport.abort()
 
 
-class Fleet:
-    """Replicas by number: readers first, then writers; each is listed at its link's address."""
+class SoakFleet:
+    """Replicas by number, readers before writers, behind one link each, and discovery.
+
+    Discovery lists each replica at the address of its link.
+    """
 
     def __init__(self, readers: int, writers: int, records: Records) -> None:
         self.records, self.states = records, States()
@@ -51,15 +59,15 @@
         self.replicas: list[SoakReplica] = []
         self.links: list[Link] = []
         self.rows: list[Listed] = []
-        speed = Speed(read_s=0.015, first_s=0.02, token_s=0.001, tokens=LONG_TOKENS)
+        speed = Speed(read_s=0.015, first_s=0.02, token_s=0.001, tokens=LONG_STREAM_TOKENS)
         for role, kind, count in (("read", "reader", readers), ("write", "writer", writers)):
             for number in range(count):
                 replica = SoakReplica(f"{kind}-{number + 1}", role, records, self.states, speed)
                 self.replicas.append(replica)
-                self.rows.append(Listed(replica, kind, HALLS[number % len(HALLS)]))
+                self.rows.append(Listed(replica, kind, ZONES[number % len(ZONES)]))
 
-    def tell_start(self, number: int) -> None:
-        """Tell of a replica that has just started anew."""
+    def announce_start(self, number: int) -> None:
+        """List a replica as active with a new start time."""
         row = self.rows[number]
         row.born_ms = round(time.time() * 1000)
         self.discovery.change(row.replica.name, "active")
@@ -76,6 +84,6 @@
         await self.discovery.start()
 
     async def stop(self) -> None:
-        """Stop everything that was started."""
+        """Stop discovery, the links and the replicas."""
         for server in (self.discovery, *self.links, *self.replicas):
             await server.stop()
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -1,6 +1,4 @@
-"""The checkers of histories: what is sound passes, and each planted fault is found by its own
-checker.
-"""
+"""Tests of the lease history checkers: a sound history passes, and each check finds its planted fault."""
 
 import json
 from pathlib import Path
@@ -12,33 +10,35 @@
 from onyxpass.history_checkers.history import HistoryLine
 
 
-def line(at: int, what: str, **fields: Any) -> HistoryLine:
-    told = {"lease": "l", "resource": "r", **fields}
-    return HistoryLine(at, what, "p", 1, told)
+def line(at: int, kind: str, **fields: Any) -> HistoryLine:
+    all_fields = {"lease": "l", "resource": "r", **fields}
+    return HistoryLine(at, kind, "p", 1, all_fields)
 
 
 def effect(at: int, end: int | None, token: int, holder: str) -> list[HistoryLine]:
-    id = f"{holder}-{at}"
-    found = [line(at, "begin", token=token, holder=holder, effect=id)]
+    effect_id = f"{holder}-{at}"
+    lines = [line(at, "begin", token=token, holder=holder, effect=effect_id)]
     return (
-        found if end is None else [*found, line(end, "end", token=token, holder=holder, effect=id)]
+        lines
+        if end is None
+        else [*lines, line(end, "end", token=token, holder=holder, effect=effect_id)]
     )
 
 
 def grant(
-    asked: int, answered: int | None, token: int, holder: str, number: int = 1
+    requested: int, answered: int | None, token: int, holder: str, number: int = 1
 ) -> list[HistoryLine]:
-    found = [line(asked, "ask", holder=holder, number=number)]
+    lines = [line(requested, "ask", holder=holder, number=number)]
     if answered is not None:
-        found.append(line(answered, "answer", holder=holder, number=number, token=token))
-    return found
+        lines.append(line(answered, "answer", holder=holder, number=number, token=token))
+    return lines
 
 
 def hold(at: int, end: int | None, token: int, holder: str, until: int = 0) -> list[HistoryLine]:
-    found = [line(at, "held", token=token, holder=holder)]
+    lines = [line(at, "held", token=token, holder=holder)]
     if end is not None:
-        found.append(line(end, "lost", token=token, holder=holder, until_ns=until or None))
-    return found
+        lines.append(line(end, "lost", token=token, holder=holder, until_ns=until or None))
+    return lines
 
 
 SOUND = [
@@ -46,7 +46,7 @@
     *grant(1, 5, 1, "a"), *grant(2, 20, 2, "b"), *grant(3, None, 0, "x"), *grant(21, 35, 4, "c"),
     *hold(5, 19, 1, "a"), *hold(20, 34, 2, "b"), *hold(35, None, 4, "c"), *hold(50, 60, 5, "d"),
 ]  # fmt: skip
-PLANTED = {
+PLANTED_FAULTS = {
     "effects apart": [*effect(10, 25, 1, "a"), *effect(20, 30, 2, "b")],
     "effects apart, one without an end": [*effect(10, None, 1, "a"), *effect(20, 30, 2, "b")],
     "tokens grow": [*effect(10, 15, 2, "b"), *effect(20, 30, 1, "a")],
@@ -57,27 +57,27 @@
 }
 
 
-def ordered(lines: list[HistoryLine]) -> list[HistoryLine]:
+def in_time_order(lines: list[HistoryLine]) -> list[HistoryLine]:
     return sorted(lines, key=lambda each: each.at_ns)
 
 
 def test_a_sound_history_passes_all_checks() -> None:
-    assert not history.breaches(ordered(SOUND))
+    assert not history.breaches(in_time_order(SOUND))
 
 
-@pytest.mark.parametrize("name", PLANTED)
+@pytest.mark.parametrize("name", PLANTED_FAULTS)
 def test_each_checker_finds_its_planted_fault(name: str) -> None:
-    found = history.breaches(ordered(PLANTED[name]))
+    found = history.breaches(in_time_order(PLANTED_FAULTS[name]))
     assert found and all(breach.startswith(name.split(",")[0]) for breach in found), found
 
 
-def test_a_holder_that_was_stopped_lost_it_when_its_time_was_over_not_when_it_woke() -> None:
+def test_a_suspended_holder_held_its_lease_until_it_expired_not_until_it_was_resumed() -> None:
     lines = [*hold(5, 90, 1, "a", until=18), *hold(20, 34, 2, "b")]
-    assert not history.breaches(ordered(lines), ["holders apart"])
+    assert not history.breaches(in_time_order(lines), ["holders apart"])
 
 
 def test_histories_are_read_from_logs_of_many_processes(tmp_path: Path) -> None:
-    told = {
+    record = {
         "event": "history",
         "what": "held",
         "at_ns": 5,
@@ -86,10 +86,10 @@
         "token": 1,
         "holder": "a",
     }
-    (tmp_path / "a.log").write_text(json.dumps({**told, "at_ns": 9}) + "\nnoise\n{}\n{\n")
-    (tmp_path / "b.log").write_text("[1.2] " + json.dumps(told) + "\n")
+    (tmp_path / "a.log").write_text(json.dumps({**record, "at_ns": 9}) + "\nnoise\n{}\n{\n")
+    (tmp_path / "b.log").write_text("[1.2] " + json.dumps(record) + "\n")
     lines = history.read(sorted(tmp_path.glob("*.log")))
-    assert [(x.at_ns, x.source, x["holder"]) for x in lines] == [
+    assert [(each.at_ns, each.source, each["holder"]) for each in lines] == [
         (5, "b.log", "a"),
         (9, "a.log", "a"),
     ]
