--- a/onyxpass/soak/checker.py
+++ b/onyxpass/soak/checker.py
@@ -16,7 +16,7 @@
 ATTEMPT_TIMEOUT_MARGIN_S = 0.15
 # a dispatcher whose view of discovery was disturbed may learn of a drain this much later
 DRAIN_GRACE_S, MAX_NOTICE_DELAY_S = 1.0, 6.0
-# Disturbances of a dispatcher after which it may have to fetch the endpoint list anew.
+# Disturbances of a dispatcher after which it may have to fetch the endpoint list again.
 WATCH_LOSING_CAUSES = (
     "restarted",
     "reloaded",
@@ -29,14 +29,14 @@
 
 
 def timing_slack_s(records: Records) -> float:
-    """Return the error, in seconds, that pauses of this process may have added to a time."""
+    """Return how many seconds this process's own pauses may have added to a recorded time."""
     return 0.1 + 2 * records.lag_s
 
 
 def dispatcher_killed(records: Records, request: ClientRequest) -> bool:
     """Return whether the request's dispatcher was killed while the request was open.
 
-    A killed dispatcher cannot be held to its promises.
+    A killed process can neither answer the request nor release its held state.
     """
     return records.dispatcher_disturbed(
         request.dispatcher, request.sent_s, request.ended_s + 1.0, "killed"
@@ -58,7 +58,8 @@
 
     Excused are requests that were never sent, whose dispatcher was killed, or that no process could
     take; late answers of a dispatcher that the machine did not run; connections that forced system
-    calls may have broken; and new connections that may have been closed to make room for others.
+    calls may have broken; new connections that may have been closed to make room for others; and
+    streams that a recorded disturbance may have broken.
     """
     for request in records.requests.values():
         if not request.sent_s or request.disconnected_s or dispatcher_killed(records, request):
@@ -144,7 +145,7 @@
 
 
 def attempts_after_disconnect(records: Records, slack_s: float) -> Iterator[str]:
-    """Yield attempts that began after their client had disconnected.
+    """Yield attempts that a server received after their client had disconnected.
 
     Attempts over a link that delays, or by a dispatcher that the machine did not run, are excused.
     """
@@ -234,7 +235,7 @@
     long ago the server ended it. In that case, and where the machine did not run the dispatcher,
     only state that is never released counts.
     """
-    never = {
+    never_released = {
         request_id for request_id, released_s in _last_releases(records).items() if not released_s
     }
     for breach in trace_rules.overlong_holds(records.trace, 0.3 + slack_s):
@@ -245,7 +246,7 @@
         late_excused = _prefill_answer_lost(records, request) or dispatcher_descheduled(
             records, request
         )
-        if request_id in never or not late_excused:
+        if request_id in never_released or not late_excused:
             yield breach
 
 
--- a/onyxpass/soak/cli.py
+++ b/onyxpass/soak/cli.py
@@ -40,7 +40,7 @@
     ] = False,
     keep: Annotated[Path | None, typer.Option(help="A folder for the logs of the soaks.")] = None,
 ) -> None:
-    """Run soaks whose faults are drawn from seeds; exit code 1 if any soak broke a rule."""
+    """Run soaks with faults drawn from seeds, the same for each seed; exit code 1 if a rule broke."""
     structlog.configure(logger_factory=structlog.ReturnLoggerFactory())
     failed = [
         number
--- a/onyxpass/soak/dispatchers.py
+++ b/onyxpass/soak/dispatchers.py
@@ -102,7 +102,7 @@
         self.fault_control: Control | None = None
         self.process: asyncio.subprocess.Process | None = None
         self.accepts_clients = False  # whether clients open connections to it
-        self.terminating = False  # whether its present process was told to end
+        self.terminating = False  # whether SIGTERM was sent to its present process
         self.starts = 0
         self.unserved_since_s = 0.0  # since when no process accepts connections; 0: one does
         self._log_offset = 0  # where the log of the present process begins, in bytes
@@ -155,7 +155,7 @@
         due_s = time.monotonic() + READY_TIMEOUT_S
         while not self._logged(b'"listening"', b'"form": "full"'):
             if process.returncode is not None and self.terminating:
-                return  # it was told to end while it was starting
+                return  # it was terminated while it was starting
             if process.returncode is not None or time.monotonic() > due_s:
                 state = (
                     f"exit code {process.returncode}"
@@ -248,7 +248,7 @@
             await process.wait()
 
     def check_running(self) -> None:
-        """Record a problem if the process ended although nobody told it to."""
+        """Record a problem if the process ended without being terminated by the soak."""
         if (
             self.process is not None
             and self.process.returncode is not None
--- a/onyxpass/soak/injector.py
+++ b/onyxpass/soak/injector.py
@@ -27,7 +27,7 @@
 DELAY_PAUSE_S = 0.3
 RELOADS = 3
 # How long the effects of a fault may last after its start or its end:
-RESTART_EFFECT_S = 6.0  # a new process may not know what the process before it was told
+RESTART_EFFECT_S = 6.0  # a new process may not know changes that the previous one was sent
 RELOAD_EFFECT_S = 4.0  # changes may not be known yet after discovery's address changed
 CALLS_EFFECT_S = 0.5  # work that failed or delayed system calls began still goes on
 IDLE_CONNECTIONS_EFFECT_S = 1.0  # displaced connections are still being closed
--- a/onyxpass/soak/records.py
+++ b/onyxpass/soak/records.py
@@ -9,6 +9,7 @@
 
 # A stream that was requested up to this long after SIGTERM may be cut by SIGKILL.
 LAST_REQUEST_AFTER_SIGTERM_S = 0.7
+# the cause of an interval in which the machine did not run a dispatcher
 DESCHEDULED = "not run by the machine"
 MAX_STREAM_S = 30.0  # no stream of a soak takes longer
 # Faults of a replica or of the link to it, by their possible effect on what is sent.
