--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -38,7 +38,7 @@
 from onyxpass.emulator import capacity, full_scale
 from onyxpass.emulator.decision_cost import measure_decision_cost
 from onyxpass.emulator.topology import InjectedFault
-from onyxpass.history_checkers.configuration import latency_s
+from onyxpass.history_checkers.configuration import propagation_times_s
 from onyxpass.hollow.dispatchers import HollowFleet
 from onyxpass.testbed.configuration import ConfigurationTrial
 from onyxpass.testbed.settings import SETTINGS
@@ -308,7 +308,9 @@
             spaced_bytes = loopback_bytes() - bytes_before - rest * spaced_duration_s
             for number in range(CHANGES):
                 await trial.set_values("north-c1", burst=number)
-            await trial.wait_until_in_force(names, lambda values: values.get("burst") == CHANGES - 1)
+            await trial.wait_until_in_force(
+                names, lambda values: values.get("burst") == CHANGES - 1
+            )
             stopped_hosts = names[:: max(1, len(names) // max(1, len(names) // 10))][
                 : max(1, len(names) // 10)
             ]
@@ -335,8 +337,8 @@
             heal_s = time.monotonic() - began_s
             mb = memory_mb(trial.pid_of(names[0]))
             records = trial.log_entries()
-            times = sorted(latency_s(records, names))
-            spaced_latencies = latency_s(
+            times = sorted(propagation_times_s(records, names))
+            spaced_latencies = propagation_times_s(
                 [record for record in records if began_ns <= record.at_ns <= ended_ns], names
             )
             return {
--- a/benchmarks/guard.py
+++ b/benchmarks/guard.py
@@ -68,17 +68,17 @@
         drain = asyncio.create_task(process.stdout.read())
         slots = asyncio.Semaphore(MAX_CONCURRENT)
 
-        async def send_request(number: int) -> str:
+        async def send_numbered(number: int) -> str:
             async with slots:
                 answer = await send_request(
                     fleet.trace, ("127.0.0.1", port), f"r{number}", "part-lookup", f"s{number % 50}"
                 )
                 return answer.outcome
 
-        await asyncio.gather(*(send_request(number) for number in range(100)))
+        await asyncio.gather(*(send_numbered(number) for number in range(100)))
         before_s = cpu_s(process.pid)
         ends = await asyncio.gather(
-            *(send_request(number) for number in range(100, 100 + requests))
+            *(send_numbered(number) for number in range(100, 100 + requests))
         )
         used_s = cpu_s(process.pid) - before_s
         process.terminate()
--- a/benchmarks/schedules.py
+++ b/benchmarks/schedules.py
@@ -22,7 +22,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-async def run_schedule(seed: int, slots: asyncio.Semaphore, seen: Counter[str]) -> str:
+async def run_seed(seed: int, slots: asyncio.Semaphore, seen: Counter[str]) -> str:
     async with slots:
         with tempfile.TemporaryDirectory() as folder:
             try:
@@ -32,7 +32,7 @@
             except Exception as found:
                 problem = f"{type(found).__name__}: {found}"
             for line in history.read(sorted(Path(folder).glob("*.log"))):
-                seen[line.what] += 1
+                seen[line.kind] += 1
     if problem:
         print(
             f"seed {seed}: {problem}",
@@ -46,7 +46,7 @@
 async def measure(count: int, first: int, concurrency: int) -> str:
     slots, seen, began_s = asyncio.Semaphore(concurrency), Counter[str](), time.monotonic()
     ends = await asyncio.gather(
-        *(run_schedule(seed, slots, seen) for seed in range(first, first + count))
+        *(run_seed(seed, slots, seen) for seed in range(first, first + count))
     )
     failed = [first + i for i, problem in enumerate(ends) if problem]
     strikes = Counter(
--- a/onyxpass/emulator/simulation.py
+++ b/onyxpass/emulator/simulation.py
@@ -10,7 +10,7 @@
 from onyxpass.emulator.servers import PrefillState, Server, ServerAttempt, ServerRequest
 from onyxpass.emulator.topology import InjectedFault, Site
 from onyxpass.emulator.traffic import Turn, draw_turns
-from onyxpass.history_checkers.trace import Trace, What
+from onyxpass.history_checkers.trace import EventKind, Trace
 from onyxpass.scheduling import contract
 from onyxpass.scheduling.contract import AttemptStatus
 
@@ -323,8 +323,8 @@
         if attempt.closed:
             return
         if self.traced:
-            self.trace.put(
-                What.RECEIVED, attempt.request.key, server.endpoint.id, server.kind.role.value
+            self.trace.record(
+                EventKind.RECEIVED, attempt.request.key, server.endpoint.id, server.kind.role.value
             )
         server.receive(attempt)
 
@@ -336,12 +336,12 @@
 
     def record_closed(self, server: Server, attempt: ServerAttempt) -> None:
         if self.traced:
-            self.trace.put(What.CLOSED, attempt.request.key, server.endpoint.id)
+            self.trace.record(EventKind.CLOSED, attempt.request.key, server.endpoint.id)
 
     def record_running(self, server: Server, attempt: ServerAttempt) -> None:
         if self.traced:
-            self.trace.put(
-                What.RAN, attempt.request.key, server.endpoint.id, server.kind.role.value
+            self.trace.record(
+                EventKind.RAN, attempt.request.key, server.endpoint.id, server.kind.role.value
             )
 
     def deliver_reply(
@@ -398,7 +398,7 @@
             self.tally.retried += 1
         if self.traced:
             self.trace.classes[key] = traffic_class.name
-            self.trace.put(What.ASKED, key)
+            self.trace.record(EventKind.SENT, key)
         dispatcher.open_requests[request_id] = request
         request.withdrawal_timer = self.queue.schedule_after(
             wait_us, Rank.CLIENT, lambda: dispatcher.withdraw(request)
@@ -445,7 +445,7 @@
             request.withdrawal_timer.cancel()
         dispatcher.open_requests.pop(request.arrival.id, None)
         if self.traced:
-            self.trace.put(What.ANSWERED, request.server_request.key, detail=end)
+            self.trace.record(EventKind.ANSWERED, request.server_request.key, detail=end)
 
     def _add_worth(self, request: ClientRequest) -> None:
         """Add the worth of a served request: all of it on time, else the class's share for late ones.
--- a/onyxpass/testbed/client.py
+++ b/onyxpass/testbed/client.py
@@ -6,7 +6,7 @@
 
 import h11
 
-from onyxpass.history_checkers.trace import Trace, What
+from onyxpass.history_checkers.trace import EventKind, Trace
 
 CLASSES = ("part-lookup", "shift-summary", "stock-booking")
 CLIENT_TIMEOUT_S = 20.0
@@ -49,7 +49,7 @@
     ]
     status, events, outcome = 0, 0, "broken"
     writer: asyncio.StreamWriter | None = None
-    trace.put(What.ASKED, request)
+    trace.record(EventKind.SENT, request)
     try:
         async with asyncio.timeout(CLIENT_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(*address)
@@ -85,5 +85,5 @@
     finally:
         if writer is not None:
             writer.close()
-        trace.put(What.ANSWERED, request, detail=outcome)
+        trace.record(EventKind.ANSWERED, request, detail=outcome)
     return ClientResult(request, outcome, status, events)
--- a/onyxpass/testbed/configuration.py
+++ b/onyxpass/testbed/configuration.py
@@ -218,13 +218,13 @@
                 return
             await asyncio.sleep(0.05)
 
-    def log_entries(self) -> list[rules.Word]:
+    def log_entries(self) -> list[rules.NodeEvent]:
         return rules.read(self.folder.glob("*.log"))
 
     def breaches(self) -> list[str]:
         entries = self.log_entries()
-        found = [*rules.never_back(entries), *rules.one_digest(entries)]
-        return [*found, *rules.in_force_everywhere(entries, self.host_names)]
+        found = [*rules.regressions(entries), *rules.digest_conflicts(entries)]
+        return [*found, *rules.outdated_hosts(entries, self.host_names)]
 
     def cut(self) -> None:
         for link in self.links:
--- a/onyxpass/testbed/replicas.py
+++ b/onyxpass/testbed/replicas.py
@@ -11,7 +11,7 @@
 
 import h11
 
-from onyxpass.history_checkers.trace import Trace, What
+from onyxpass.history_checkers.trace import EventKind, Trace
 from onyxpass.net.http import HttpConnection, HttpError, header, read_body
 from onyxpass.testbed.server import Server
 
@@ -94,7 +94,7 @@
         if not request:
             self._send_answer(connection, 404)
             return True
-        self.trace.put(What.RECEIVED, request, self.name, self.role)
+        self.trace.record(EventKind.RECEIVED, request, self.name, self.role)
         self.open_attempts.add(request)
         closed = asyncio.ensure_future(connection.reader.read(1))
         work = asyncio.ensure_future(self._work(connection, request, text))
@@ -118,7 +118,7 @@
         """
         if request in self.open_attempts:
             self.open_attempts.discard(request)
-            self.trace.put(What.CLOSED, request, self.name)
+            self.trace.record(EventKind.CLOSED, request, self.name)
 
     def _send_answer(
         self,
@@ -137,7 +137,7 @@
 
     def _release_state(self, request: str) -> None:
         if self.states.holders.pop(request, None) is not None:
-            self.trace.put(What.FREED, request, self.name)
+            self.trace.record(EventKind.RELEASED, request, self.name)
 
     async def _work(self, connection: HttpConnection, request: str, text: bytes) -> bool:
         fault = self.faults.pop(0) if self.faults else None
@@ -160,7 +160,7 @@
             self._send_answer(connection, 500, request=request)
             return True
         self.states.holders[request] = self.name
-        self.trace.put(What.HELD, request, self.name)
+        self.trace.record(EventKind.HELD, request, self.name)
         self._send_answer(connection, 202, text=b'{"cached_tokens":0}', request=request)
         return True
 
@@ -174,7 +174,7 @@
             )
             return True
         self._release_state(request)
-        self.trace.put(What.RAN, request, self.name, self.role)
+        self.trace.record(EventKind.RAN, request, self.name, self.role)
         if fault is not None and fault.kind == "error":
             self._send_answer(connection, 500, request=request)
             return True
@@ -260,7 +260,9 @@
         )
         for queue in self.watches:
             queue.put_nowait(line)
-        self.trace.put(What.DRAIN_TOLD, server=name, detail="up" if health == "active" else "")
+        self.trace.record(
+            EventKind.DRAIN_ANNOUNCED, server=name, detail="up" if health == "active" else ""
+        )
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         connection = HttpConnection(h11.SERVER, reader, writer)
--- a/tests/test_desired.py
+++ b/tests/test_desired.py
@@ -32,7 +32,7 @@
 )
 from onyxpass.desired.upstream_selection import PREFERRED_RETRY_S, UpstreamSelector
 from onyxpass.history_checkers import configuration as rules
-from onyxpass.history_checkers.configuration import Word
+from onyxpass.history_checkers.configuration import NodeEvent
 from onyxpass.testbed.configuration import ConfigurationTrial
 from onyxpass.testbed.replicas import StandinDiscovery, StandinFleet
 from onyxpass.testbed.settings import SETTINGS
@@ -193,28 +193,28 @@
 # The checkers, each with a planted violation
 
 
-def event(node: str, what: str, digest: str, **seen: int) -> Word:
-    return Word(sum(seen.values()), node, what, digest, seen)
+def event(node: str, what: str, digest: str, **seen: int) -> NodeEvent:
+    return NodeEvent(sum(seen.values()), node, what, digest, seen)
 
 
 def test_each_checker_reports_its_planted_violation() -> None:
     good = [event("c", "ordered", "x", o=1), event("h", "configuration_in_force", "x", o=1)]
     assert not [
-        *rules.never_back(good),
-        *rules.one_digest(good),
-        *rules.in_force_everywhere(good, ["h"]),
+        *rules.regressions(good),
+        *rules.digest_conflicts(good),
+        *rules.outdated_hosts(good, ["h"]),
     ]
-    assert rules.latency_s(good, ["h"]) == [0.0]
+    assert rules.propagation_times_s(good, ["h"]) == [0.0]
     back = [
         event("h", "configuration_in_force", "y", o=2, p=1),
         event("h", "configuration_in_force", "x", o=9),
     ]
-    assert [*rules.never_back(back)] and not [*rules.never_back(back[::-1][:1])]
-    assert [*rules.one_digest([*good, event("g", "merged", "other", o=1)])]
-    assert [*rules.in_force_everywhere(good, ["h", "absent"])]
-    assert [*rules.in_force_everywhere([*good, event("c", "ordered", "z", o=2)], ["h"])]
+    assert [*rules.regressions(back)] and not [*rules.regressions(back[::-1][:1])]
+    assert [*rules.digest_conflicts([*good, event("g", "merged", "other", o=1)])]
+    assert [*rules.outdated_hosts(good, ["h", "absent"])]
+    assert [*rules.outdated_hosts([*good, event("c", "ordered", "z", o=2)], ["h"])]
     differ = [*good, event("g", "configuration_in_force", "w", o=1)]
-    assert [*rules.in_force_everywhere(differ, ["g", "h"])]
+    assert [*rules.outdated_hosts(differ, ["g", "h"])]
 
 
 OBJECTIVE_KEY = "settings.grades.part-lookup.promiseUs"
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -16,12 +16,12 @@
 from onyxpass.fleet.rollout import ChangeMethod
 from onyxpass.fleet.runner import ChangeOrder
 from onyxpass.history_checkers import history
-from onyxpass.history_checkers.history import Line
+from onyxpass.history_checkers.history import HistoryLine
 from onyxpass.testbed.process_trial import ProcessTrial, draw_schedule, process_trial, run_schedule
 
 
-def count_changes(lines: list[Line], holder: str) -> int:
-    return sum(line.what == "begin" and str(line["holder"]) == holder for line in lines)
+def count_changes(lines: list[HistoryLine], holder: str) -> int:
+    return sum(line.kind == "begin" and str(line["holder"]) == holder for line in lines)
 
 
 def test_a_tool_that_resumes_after_losing_its_lease_changes_nothing(tmp_path: Path) -> None:
@@ -44,7 +44,7 @@
             second_start = next(
                 i
                 for i, line in enumerate(lines)
-                if line.what == "held" and line["holder"] == second
+                if line.kind == "held" and line["holder"] == second
             )
             assert (
                 count_changes(lines, first) >= 1 and count_changes(lines[second_start:], first) == 0
