--- a/onyxpass/testbed/agents.py
+++ b/onyxpass/testbed/agents.py
@@ -25,7 +25,9 @@
         self.silent = False
         self.digests = dict.fromkeys(names, DIGEST_OLD)
         self.operations: dict[str, dict[str, Any]] = {}
-        self.orders: list[tuple[str, str]] = []  # instance and kind, in the order of arrival
+        self.received_operations: list[
+            tuple[str, str]
+        ] = []  # instance and kind, in the order of arrival
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         connection = HttpConnection(h11.SERVER, reader, writer)
@@ -89,7 +91,7 @@
 
     def _start_operation(self, name: str, kind: str, id: str) -> dict[str, Any]:
         if id not in self.operations:
-            self.orders.append((name, kind))
+            self.received_operations.append((name, kind))
             self.operations[id] = {"instance": name, "due_s": time.monotonic() + self.operation_s}
         return self._operation_status(self.operations[id])
 
--- a/onyxpass/testbed/cli.py
+++ b/onyxpass/testbed/cli.py
@@ -9,7 +9,7 @@
 standin_app = typer.Typer(
     no_args_is_help=True, help="Stand-ins for trials, on loopback addresses only."
 )
-Port = Annotated[int, typer.Option("--port", min=0, max=65535, help="0: a free one.")]
+Port = Annotated[int, typer.Option("--port", min=0, max=65535, help="0 chooses a free port.")]
 
 
 async def _wait_forever() -> None:
@@ -18,7 +18,7 @@
 
 @standin_app.command("store")
 def store(port: Port = 6379) -> None:
-    """A stand-in for Redis: keys that expire, nothing kept beyond its end."""
+    """Run a stand-in for Redis, with keys that expire and without persistence."""
     from onyxpass.testbed.store import RespStore
 
     async def serve() -> None:
@@ -36,13 +36,17 @@
     port: Port = 8500,
     token_ms: Annotated[float, typer.Option(min=0, max=1000, help="Time for each token.")] = 1.0,
 ) -> None:
-    """Readers, writers and their discovery, for dispatchers to serve from."""
+    """Run stand-in readers, writers and their discovery, for dispatchers to serve from."""
     from onyxpass.testbed.replicas import Speed, StandinFleet
 
     async def serve() -> None:
-        made = StandinFleet(readers, writers, speed=Speed(token_s=token_ms / 1000), port=port)
-        await made.start()
-        typer.echo(f"discovery: {made.discovery.address}; {readers} readers, {writers} writers")
+        standin_fleet = StandinFleet(
+            readers, writers, speed=Speed(token_s=token_ms / 1000), port=port
+        )
+        await standin_fleet.start()
+        typer.echo(
+            f"discovery: {standin_fleet.discovery.address}; {readers} readers, {writers} writers"
+        )
         await _wait_forever()
 
     _run(serve())
@@ -52,7 +56,7 @@
 def demo(
     requests: Annotated[int, typer.Option(min=1, max=100_000)] = 300,
 ) -> None:
-    """Two dispatchers under an agent, real requests of all classes, every answer counted."""
+    """Run two dispatchers under an agent, send requests of all classes and count every answer."""
     from onyxpass.testbed.demo import demonstrate
 
     raise typer.Exit(asyncio.run(demonstrate(requests)))
--- a/onyxpass/testbed/process_trial.py
+++ b/onyxpass/testbed/process_trial.py
@@ -38,6 +38,8 @@
 
 
 class ProcessTrial:
+    """The agents of a site, a store, operators' tools, and the links between them."""
+
     def __init__(self, site: Site, store: RespStore, tools: str) -> None:
         self.site, self.store = site, store
         self.store_links = {name: Link(store.port) for name in tools}
@@ -103,12 +105,12 @@
     def history_lines(self) -> list[Line]:
         return history.read(sorted(self.site.folder.glob("*.log")))
 
-    def find_lines(self, what: str, of: str = "", **fields: Any) -> list[Line]:
+    def find_lines(self, what: str, source_prefix: str = "", **fields: Any) -> list[Line]:
         return [
             line
             for line in self.history_lines()
             if line.what == what
-            and line.source.startswith(of)
+            and line.source.startswith(source_prefix)
             and all(line[name] == value for name, value in fields.items())
         ]
 
--- a/onyxpass/toolcalls/front.py
+++ b/onyxpass/toolcalls/front.py
@@ -103,6 +103,8 @@
 
 @dataclass(slots=True)
 class Connection:
+    """One client connection and its requests, by JSON-RPC id."""
+
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
     clients: dict[rpc.Id, RpcClient]
@@ -118,6 +120,8 @@
 
 
 class RpcFront:
+    """Accepts JSON-RPC clients and submits their requests to the core."""
+
     def __init__(
         self, core: RequestDispatcher, relay: ToolCallRelay, listen: Address, max_connections: int
     ) -> None:
--- a/onyxpass/toolcalls/rpc.py
+++ b/onyxpass/toolcalls/rpc.py
@@ -9,6 +9,7 @@
 LINE_LIMIT = 256 * 1024  # bytes
 Id = str | int
 
+# Defined by JSON-RPC 2.0.
 PARSE_ERROR, INVALID_REQUEST, METHOD_NOT_FOUND, INVALID_PARAMS, INTERNAL_ERROR = (
     -32700,
     -32600,
@@ -16,6 +17,7 @@
     -32602,
     -32603,
 )
+# Defined by this front end and its servers.
 REFUSED, FAILED, DEADLINE_EXCEEDED, OUTCOME_UNKNOWN, CANCELLED = (
     -32001,
     -32002,
--- a/onyxpass/toolcalls/service.py
+++ b/onyxpass/toolcalls/service.py
@@ -146,6 +146,8 @@
 
 
 class ToolcallService:
+    """The JSON-RPC front end with its servers, its store and its tool server."""
+
     kind = "toolcalls"
 
     def __init__(
--- a/tests/test_faults_calls.py
+++ b/tests/test_faults_calls.py
@@ -70,13 +70,13 @@
         async with faulty_dispatcher(tmp_path) as s:
             s.faults.force(ForcedFault(SystemCall.ACCEPT, errno.ENFILE))
             s.process.child.terminate()
-            asked = [asyncio.create_task(s.ask(f"a{n}")) for n in range(CLIENTS)]
+            requests = [asyncio.create_task(s.ask(f"a{n}")) for n in range(CLIENTS)]
             # By then the second pass over the accept queue has failed as well.
             while s.faults.count(SystemCall.ACCEPT) < 4:
                 await asyncio.sleep(0.05)
             await asyncio.sleep(0.5)
             s.faults.force()
-            answers = await asyncio.gather(*asked)
+            answers = await asyncio.gather(*requests)
             assert all(a.startswith(b"HTTP/1.1") for a in answers), answers.count(b"")
 
     run(go())
