--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -469,7 +469,7 @@
             data_path.write_text(json.dumps({"machine": machine, "runs": runs}, indent=1) + "\n")
         case _:
             raise SystemExit(__doc__)
-    (ROOT / capacity.PAGE).write_text(capacity.page(ROOT))
+    (ROOT / capacity.PAGE).write_text(capacity.render_page(ROOT))
 
 
 if __name__ == "__main__":
--- a/onyxpass/emulator/experiment.py
+++ b/onyxpass/emulator/experiment.py
@@ -42,7 +42,7 @@
 PositiveNumber = Annotated[float, Field(gt=0, le=1e6)]
 
 
-class FaultTable(toml_config.Model):
+class TroubleTable(toml_config.Model):
     what: str
     at_s: float
     for_s: float = 0.0
@@ -60,7 +60,7 @@
     axes: dict[str, Annotated[list[PositiveNumber], Field(min_length=1)]] = Field(
         default_factory=dict
     )
-    troubles: list[FaultTable] = Field(default_factory=list)
+    troubles: list[TroubleTable] = Field(default_factory=list)
 
     def faults(self) -> Iterable[tuple[tuple[toml_config.PathPart, ...], str]]:
         known = [*POLICIES, FULL_KNOWLEDGE]
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -104,8 +104,10 @@
         now_us += float(generator.exponential(service_us / rho))
         starts[f"q{n}"] = now_us
         fixture.queue.schedule_at(
-            round(now_us), Rank.CLIENT, lambda n=n: fixture.server.receive(fixture.attempt(f"q{n}"))
-        )  # type: ignore[misc]
+            round(now_us),
+            Rank.CLIENT,
+            lambda n=n: fixture.server.receive(fixture.attempt(f"q{n}")),  # type: ignore[misc]
+        )
     fixture.queue.run(round(now_us) + 10**9)
     waits = [fixture.ends[key][1] - start - service_us for key, start in starts.items()]
     assert sum(waits) / count == pytest.approx(rho * service_us / (2 * (1 - rho)), rel=0.06)
