--- a/onyxpass/soak/cli.py
+++ b/onyxpass/soak/cli.py
@@ -40,7 +40,7 @@
     ] = False,
     keep: Annotated[Path | None, typer.Option(help="A folder for the logs of the soaks.")] = None,
 ) -> None:
-    """Run soaks with faults drawn from seeds, the same for each seed; exit code 1 if a rule broke."""
+    """Run soaks with faults drawn from seeds, repeatable by seed; exit code 1 on a broken rule."""
     structlog.configure(logger_factory=structlog.ReturnLoggerFactory())
     failed = [
         number
