--- a/tests/world.py
+++ b/tests/cluster.py
@@ -15,10 +15,12 @@
 from onyxpass.scheduling import contract
 from onyxpass.serve import DispatcherProcess
 
-Answer = Callable[["Replica", asyncio.StreamReader, asyncio.StreamWriter, bytes], Awaitable[None]]
+Responder = Callable[
+    ["Replica", asyncio.StreamReader, asyncio.StreamWriter, bytes], Awaitable[None]
+]
 
 
-async def message(reader: asyncio.StreamReader) -> tuple[bytes, bytes]:
+async def read_message(reader: asyncio.StreamReader) -> tuple[bytes, bytes]:
     """Head and body of one HTTP message that tells its length."""
     head = await reader.readuntil(b"\r\n\r\n")
     size = 0
@@ -31,21 +33,21 @@
 class Replica(Server):
     """Answers each request with the next of ``answers``, the last one again and again."""
 
-    def __init__(self, *answers: Answer) -> None:
+    def __init__(self, *answers: Responder) -> None:
         super().__init__()
         self.answers, self.heads, self.leases = list(answers), [], []  # type: ignore[var-annotated]
         self.eof = 0
-        self.lets_go = True  # or says nothing when asked to
+        self.answers_deletes = True  # or says nothing when asked to
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             try:
-                head, _ = await message(reader)
+                head, _ = await read_message(reader)
             except asyncio.IncompleteReadError:
                 self.eof += 1
                 return
             if head.startswith(b"DELETE"):
-                if not self.lets_go:
+                if not self.answers_deletes:
                     continue
                 self.leases.append(head.split()[1].decode())
                 writer.write(b"HTTP/1.1 204 No Content\r\n\r\n")
@@ -56,7 +58,7 @@
             )
 
 
-def says(text: bytes) -> Answer:
+def respond_with(text: bytes) -> Responder:
     async def answer(
         self: Replica, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, _: bytes
     ) -> None:
@@ -65,7 +67,7 @@
     return answer
 
 
-def ends_with(hold: asyncio.Event) -> Answer:
+def hold_last_chunk(hold: asyncio.Event) -> Responder:
     """A stream whose last chunk waits for the test."""
 
     async def answer(
@@ -78,7 +80,7 @@
     return answer
 
 
-def breaks(text: bytes = b"") -> Answer:
+def break_connection(text: bytes = b"") -> Responder:
     async def answer(
         self: Replica, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, _: bytes
     ) -> None:
@@ -90,7 +92,7 @@
     return answer
 
 
-async def silence(
+async def never_answer(
     self: Replica, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, _: bytes
 ) -> None:
     await reader.read(1)
@@ -98,17 +100,17 @@
     raise ConnectionResetError
 
 
-def status(code: int, *headers: str, text: str = "") -> Answer:
+def status_response(code: int, *headers: str, text: str = "") -> Responder:
     lines = [f"HTTP/1.1 {code} X", f"Content-Length: {len(text)}", *headers, "", text]
-    return says("\r\n".join(lines).encode())
+    return respond_with("\r\n".join(lines).encode())
 
 
-READ = status(202, text='{"cached_tokens":12}')
-FULL = status(503, "X-Not-Processed: 1")
+PREFILLED = status_response(202, text='{"cached_tokens":12}')
+SERVER_FULL = status_response(503, "X-Not-Processed: 1")
 EVENTS = [b'data: {"choices":[]}\n\n', b"data: [DONE]\n\n"]
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 CHUNKS = b"".join(b"%x\r\n%b\r\n" % (len(e), e) for e in EVENTS)
-STREAM = says(HEAD + CHUNKS + b"0\r\n\r\n")
+STREAM = respond_with(HEAD + CHUNKS + b"0\r\n\r\n")
 
 
 class Discovery(Server):
@@ -117,7 +119,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.hosts: list[dict[str, Any]] = []
-        self.seq, self.asked = 41, []  # type: ignore[var-annotated]
+        self.seq, self.requested_targets = 41, []  # type: ignore[var-annotated]
         self.delay_s = 0.0
         self.changes: asyncio.Queue[bytes] = asyncio.Queue()
 
@@ -134,9 +136,9 @@
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            head, _ = await message(reader)
+            head, _ = await read_message(reader)
             target = head.split()[1].decode()
-            self.asked.append(target)
+            self.requested_targets.append(target)
             await asyncio.sleep(self.delay_s)
             if "watch" not in target:
                 text = json.dumps({"seq": self.seq, "whole": True, "hosts": self.hosts}).encode()
@@ -160,7 +162,7 @@
         self.changes.put_nowait(line)
 
 
-class World:
+class Cluster:
     def __init__(
         self, readers: list[Replica], writers: list[Replica], dispatcher: DispatcherProcess
     ) -> None:
@@ -176,9 +178,9 @@
         writer.write(text)
         return reader, writer
 
-    async def ask(self, id: str = "a1", traffic_class: str = "light", ms: int = 3000) -> bytes:
+    async def request(self, id: str = "a1", traffic_class: str = "light", ms: int = 3000) -> bytes:
         """The whole answer, up to its end."""
-        reader, writer = await self.send(ask(id, traffic_class, ms, close=True))
+        reader, writer = await self.send(chat_request(id, traffic_class, ms, close=True))
         try:
             return await reader.read()
         except ConnectionResetError:
@@ -187,7 +189,7 @@
             writer.close()
 
 
-def ask(
+def chat_request(
     id: str, traffic_class: str = "light", ms: int = 3000, close: bool = False, text: bytes = b"{}"
 ) -> bytes:
     lines = ["POST /v1/chat/completions?x=1 HTTP/1.1", "Host: backend.local", f"X-Request-ID: {id}"]
@@ -200,14 +202,14 @@
 
 
 @asynccontextmanager
-async def world(
+async def running_cluster(
     readers: list[Replica],
     writers: list[Replica],
     discovery: Discovery | None = None,
     settings: contract.Settings = SETTINGS,
     made: Callable[[DispatcherProcess], None] = lambda _: None,
     **more: Any,
-) -> AsyncIterator[World]:
+) -> AsyncIterator[Cluster]:
     """``made`` is told of the dispatcher before it starts."""
     discovery = discovery or Discovery()
     parts: list[Server] = [discovery, *readers, *writers]
@@ -222,11 +224,11 @@
     dispatcher = DispatcherProcess(config)
     made(dispatcher)
     await dispatcher.start()
-    world = World(readers, writers, dispatcher)
-    world.discovery = discovery
+    cluster = Cluster(readers, writers, dispatcher)
+    cluster.discovery = discovery
     await until(lambda: dispatcher.endpoint_watcher.ready)
     try:
-        yield world
+        yield cluster
     finally:
         for task in dispatcher.tasks:
             task.cancel()
@@ -236,5 +238,5 @@
         dispatcher.process_registry.end()
 
 
-def run(test: Callable[[], Coroutine[Any, Any, None]]) -> None:
+def run_async(test: Callable[[], Coroutine[Any, Any, None]]) -> None:
     asyncio.run(asyncio.wait_for(test(), 30))
--- a/tests/shimmed.py
+++ b/tests/fault_injection.py
@@ -10,40 +10,42 @@
 from pathlib import Path
 from typing import Any, ClassVar
 
+from cluster import Discovery, Replica
 from test_program import RAW
-from world import Discovery, Replica
 
 from onyxpass.faultshim.control import FaultControl, build_library
 
 ROOT = Path(__file__).parent.parent
-LIMIT_S = 60.0  # only ends what has failed already
+TEST_TIMEOUT_S = 60.0  # only ends what has failed already
 LIBRARY_FOLDER = Path(tempfile.gettempdir()) / f"onyxpass-faultshim-{os.getpid()}"
 
 
-def control(folder: Path, name: str = "faults", seed: int = 1) -> FaultControl:
+def fault_control(folder: Path, name: str = "faults", seed: int = 1) -> FaultControl:
     """The faults of one process that is yet to start."""
     LIBRARY_FOLDER.mkdir(exist_ok=True)
     return FaultControl(build_library(LIBRARY_FOLDER), folder / f"{name}.block", seed)
 
 
-def run(work: Coroutine[Any, Any, Any]) -> Any:
+def run_async(work: Coroutine[Any, Any, Any]) -> Any:
     """Run a test's work; children that it leaves behind, having failed, are killed."""
     return asyncio.run(_and_clean_up(work))
 
 
 async def _and_clean_up(work: Coroutine[Any, Any, Any]) -> Any:
     try:
-        return await asyncio.wait_for(work, LIMIT_S)
+        return await asyncio.wait_for(work, TEST_TIMEOUT_S)
     finally:
         # Left to the garbage collector, what they hold would be closed in the middle of pytest's
         # own report.
-        for process in Process.started:
+        for process in ChildProcess.started:
             await process.kill()
-        Process.started.clear()
+        ChildProcess.started.clear()
 
 
 @contextlib.asynccontextmanager
-async def connection(port: int) -> AsyncIterator[tuple[asyncio.StreamReader, asyncio.StreamWriter]]:
+async def open_connection(
+    port: int,
+) -> AsyncIterator[tuple[asyncio.StreamReader, asyncio.StreamWriter]]:
     """Closed at the end, however the test ends: left to the garbage collector it spoils pytest's
     report.
     """
@@ -56,7 +58,7 @@
 
 
 @contextlib.asynccontextmanager
-async def parties(
+async def servers_and_config(
     folder: Path, readers: Sequence[Replica], writers: Sequence[Replica], **told: object
 ) -> AsyncIterator[tuple[Path, Discovery]]:
     """Servers with their discovery, and the file of a dispatcher before them; ``told``: keys of
@@ -75,23 +77,23 @@
         await part.stop()
 
 
-class Process:
+class ChildProcess:
     """One of our programs as a child process; ``lines`` are the objects of its log so far."""
 
-    started: ClassVar[list["Process"]] = []
+    started: ClassVar[list["ChildProcess"]] = []
 
     def __init__(self, child: asyncio.subprocess.Process) -> None:
         self.started.append(self)
         self.child = child
         self.lines: list[dict[str, Any]] = []
-        self.rest = ""  # whatever else it wrote
+        self.other_output = ""  # whatever else it wrote
         self._told = asyncio.Event()
         self._reading = asyncio.create_task(self._read())
 
     @classmethod
     async def start(
         cls, *arguments: str, control: FaultControl | None = None, **more: Any
-    ) -> "Process":
+    ) -> "ChildProcess":
         environment: Mapping[str, str] = more.pop("environment", {})
         forced = control.environment if control is not None else {}
         stdout = more.pop("stdout", asyncio.subprocess.PIPE)
@@ -112,11 +114,11 @@
             try:
                 self.lines.append(json.loads(line))
             except ValueError:
-                self.rest += line.decode(errors="replace")
+                self.other_output += line.decode(errors="replace")
             told, self._told = self._told, asyncio.Event()
             told.set()
 
-    def of(self, event: str, **fields: object) -> list[dict[str, Any]]:
+    def events(self, event: str, **fields: object) -> list[dict[str, Any]]:
         """The lines of this event with these fields."""
         return [
             line
@@ -124,10 +126,12 @@
             if line.get("event") == event and all(line.get(k) == v for k, v in fields.items())
         ]
 
-    async def line(self, event: str, **fields: object) -> dict[str, Any]:
+    async def wait_for_event(self, event: str, **fields: object) -> dict[str, Any]:
         """The first such line, once it has come."""
-        while not (found := self.of(event, **fields)):
-            assert not self._reading.done(), f"ended without {event}: {self.rest}{self.lines[-3:]}"
+        while not (found := self.events(event, **fields)):
+            assert not self._reading.done(), (
+                f"ended without {event}: {self.other_output}{self.lines[-3:]}"
+            )
             told = asyncio.ensure_future(self._told.wait())
             await asyncio.wait([told, self._reading], return_when=asyncio.FIRST_COMPLETED)
             told.cancel()
@@ -135,10 +139,10 @@
 
     async def port(self) -> int:
         """Where it listens, once it has the whole list."""
-        await self.line("list", form="full")
-        return int((await self.line("listening"))["listen"].rpartition(":")[2])
+        await self.wait_for_event("list", form="full")
+        return int((await self.wait_for_event("listening"))["listen"].rpartition(":")[2])
 
-    async def end(self) -> int:
+    async def terminate(self) -> int:
         """SIGTERM, where it still runs; its exit code."""
         if self.child.returncode is None:
             self.child.terminate()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -37,15 +37,17 @@
 )
 
 
-def fleet(readers: int = 4, writers: int = 4, mixed: int = 0) -> tuple[contract.Endpoint, ...]:
+def make_endpoints(
+    prefill_servers: int = 4, decode_servers: int = 4, mixed_servers: int = 0
+) -> tuple[contract.Endpoint, ...]:
     made = []
-    for kind, count in (("r", readers), ("w", writers), ("m", mixed)):
+    for kind, count in (("r", prefill_servers), ("w", decode_servers), ("m", mixed_servers)):
         for i in range(count):
             made.append(contract.Endpoint(id=f"{kind}{i}", kind=kind, zone=f"z{i % 2}", cell=i % 2))
     return tuple(made)
 
 
-class Drive:
+class RouterDriver:
     """Feeds one router; ``sent`` maps a request to its sends, ``answers`` to its final answers."""
 
     def __init__(self, servers: Sequence[contract.Endpoint] = (), **settings: object) -> None:
@@ -54,24 +56,24 @@
         self.now = 1_000 * S
         self.sent: dict[int, list[str]] = {}
         self.answers: dict[int, list[contract.Action]] = {}
-        self.last: list[contract.Action] = []
-        self.give(
+        self.last_actions: list[contract.Action] = []
+        self.deliver(
             contract.EndpointUpdate(
-                contract.EndpointUpdateForm.PERSISTED, tuple(servers or fleet())
+                contract.EndpointUpdateForm.PERSISTED, tuple(servers or make_endpoints())
             )
         )
 
-    def give(self, event: contract.Event, after_us: int = 0) -> list[contract.Action]:
+    def deliver(self, event: contract.Event, after_us: int = 0) -> list[contract.Action]:
         self.now += after_us
-        self.last = self.router.handle(self.now, event)
-        for action in self.last:
+        self.last_actions = self.router.handle(self.now, event)
+        for action in self.last_actions:
             if isinstance(action, contract.SendAttempt):
                 self.sent.setdefault(action.id, []).append(action.server)
             elif isinstance(action, contract.Reject | contract.Fail):
                 self.answers.setdefault(action.id, []).append(action)
-        return self.last
+        return self.last_actions
 
-    def ask(
+    def submit(
         self, number: int, session: str = "s", prefix: str | None = "p", **more: object
     ) -> str | None:
         """A request arrives; returns the server it was sent to, if any."""
@@ -83,29 +85,29 @@
             "max_tokens": 300,
         }
         given.update(more)
-        self.give(contract.Arrival(id=number, session=session, prefix=prefix, **given))  # type: ignore[arg-type]
+        self.deliver(contract.Arrival(id=number, session=session, prefix=prefix, **given))  # type: ignore[arg-type]
         return self.sent.get(number, [None])[-1]
 
-    def end(
+    def end_attempt(
         self, number: int, status: contract.AttemptStatus, after_us: int = 50 * MS, **more: object
     ) -> list[contract.Action]:
         """The attempt that is out ends."""
         sends = self.sent[number]
         event = contract.AttemptOutcome(number, len(sends) - 1, sends[-1], status, after_us, **more)  # type: ignore[arg-type]
-        return self.give(event, after_us)
+        return self.deliver(event, after_us)
 
-    def serve(
+    def complete_request(
         self, number: int, session: str = "s", prefix: str | None = "p", **more: object
     ) -> str:
         """A whole good request; returns its reader."""
-        reader = self.ask(number, session, prefix, **more)
+        reader = self.submit(number, session, prefix, **more)
         assert reader is not None
-        self.end(number, contract.AttemptStatus.PREFILLED, note=1_000)
+        self.end_attempt(number, contract.AttemptStatus.PREFILLED, note=1_000)
         writer = self.sent[number][-1]
-        self.give(contract.StreamStarted(number, 1, writer, 30 * MS), 30 * MS)
-        self.end(number, contract.AttemptStatus.COMPLETED, final=True)
+        self.deliver(contract.StreamStarted(number, 1, writer, 30 * MS), 30 * MS)
+        self.end_attempt(number, contract.AttemptStatus.COMPLETED, final=True)
         return reader
 
     def tick(self, times: int = 1) -> None:
         for _ in range(times):
-            self.give(contract.TimerFired(0), 25 * MS)
+            self.deliver(contract.TimerFired(0), 25 * MS)
--- a/tests/hot_restart/test_inherited_listener.py
+++ b/tests/hot_restart/test_inherited_listener.py
@@ -6,8 +6,8 @@
 import time
 from pathlib import Path
 
-from shimmed import Process, connection, parties, run
-from world import READ, STREAM, Replica, ask
+from cluster import PREFILLED, STREAM, Replica, chat_request
+from fault_injection import ChildProcess, open_connection, run_async, servers_and_config
 
 WAITED_S = 1.5
 WAIT_MS = 5_000
@@ -16,22 +16,22 @@
 SLACK_MS = 150
 
 
-async def start_with_socket(path: Path, inherited: socket.socket) -> Process:
+async def start_with_socket(path: Path, inherited: socket.socket) -> ChildProcess:
     """Start a dispatcher that inherits its clients' socket."""
     descriptor = inherited.fileno()
     environment = {"ROUTER_PASSED_SOCKET": str(descriptor)}
-    return await Process.start(
+    return await ChildProcess.start(
         "serve", "--config", str(path), environment=environment, pass_fds=(descriptor,)
     )
 
 
 def test_a_request_that_waited_for_the_next_process_tells_the_time_left(tmp_path: Path) -> None:
     async def go() -> None:
-        reader, writer = Replica(READ), Replica(STREAM)
-        async with parties(tmp_path, [reader], [writer]) as (path, _):
+        reader, writer = Replica(PREFILLED), Replica(STREAM)
+        async with servers_and_config(tmp_path, [reader], [writer]) as (path, _):
             with socket.create_server(("127.0.0.1", 0)) as inherited:
-                async with connection(inherited.getsockname()[1]) as (source, sink):
-                    sink.write(ask("a1", "a", ms=WAIT_MS, close=True))
+                async with open_connection(inherited.getsockname()[1]) as (source, sink):
+                    sink.write(chat_request("a1", "a", ms=WAIT_MS, close=True))
                     sent_s = time.monotonic()
                     await asyncio.sleep(WAITED_S)
                     process = await start_with_socket(path, inherited)
@@ -43,9 +43,9 @@
                         timeout_ms,
                         waited_ms,
                     )
-                assert await process.end() == 0
+                assert await process.terminate() == 0
 
-    run(go())
+    run_async(go())
 
 
 def test_the_time_in_the_queue_counts_for_a_client_that_stopped_within_its_request(
@@ -58,16 +58,19 @@
     """
 
     async def go() -> None:
-        async with parties(tmp_path, [Replica(READ)], [Replica(STREAM)]) as (path, _):
+        async with servers_and_config(tmp_path, [Replica(PREFILLED)], [Replica(STREAM)]) as (
+            path,
+            _,
+        ):
             with socket.create_server(("127.0.0.1", 0)) as inherited:
-                async with connection(inherited.getsockname()[1]) as (source, sink):
-                    sink.write(ask("a1", "a", ms=WAIT_MS)[:-40])
+                async with open_connection(inherited.getsockname()[1]) as (source, sink):
+                    sink.write(chat_request("a1", "a", ms=WAIT_MS)[:-40])
                     await asyncio.sleep(WAITED_S)
                     process = await start_with_socket(path, inherited)
-                    await process.line("listening")
+                    await process.wait_for_event("listening")
                     listening_s = time.monotonic()
                     await source.read()
                     assert time.monotonic() - listening_s <= MAX_END_S
-                assert await process.end() == 0
+                assert await process.terminate() == 0
 
-    run(go())
+    run_async(go())
--- a/tests/hot_restart/test_process_registry.py
+++ b/tests/hot_restart/test_process_registry.py
@@ -13,14 +13,14 @@
 from onyxpass.hot_restart.inherited_listener import inherited_listener
 from onyxpass.hot_restart.process_files import next_process_name
 from onyxpass.hot_restart.process_registry import ProcessRegistry
-from tests.support.dispatcher_bed import HandClock
+from tests.support.dispatcher_bed import ManualClock
 
 
 class ProcessPair:
     """Processes of one dispatcher that share a folder, on a clock that the test controls."""
 
     def __init__(self, folder: Path) -> None:
-        self.clock = HandClock()
+        self.clock = ManualClock()
         self.wheel = TimerWheel(self.clock)
         self.folder = folder
 
@@ -95,7 +95,7 @@
 
 def test_an_unwritable_folder_does_not_prevent_the_start(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("")
-    made = ProcessRegistry(tmp_path / "file", "n1", 256, TimerWheel(HandClock()))
+    made = ProcessRegistry(tmp_path / "file", "n1", 256, TimerWheel(ManualClock()))
     made.start()
     assert asyncio.run(made.set_excluded("r1", True)) and made.exclusions.servers == {"r1"}
 
--- a/tests/scheduling/test_admission_fairness.py
+++ b/tests/scheduling/test_admission_fairness.py
@@ -7,8 +7,8 @@
 import random
 
 import pytest
-from fleets import Fleet
 from helpers import MS, S
+from simulated_fleet import SimulatedFleet
 
 from onyxpass.scheduling import contract
 from onyxpass.scheduling.router import Router
@@ -17,7 +17,7 @@
 PREFILL_OVERHEAD_TOKENS, MEDIAN_TOKENS, SIGMA = 1_500, 4_000, 0.5
 
 
-class QueueingFleet(Fleet):
+class QueueingFleet(SimulatedFleet):
     """Prefill servers that process prompts in order of arrival, at ``us_per_token``.
 
     ``load`` is the mean number of prefills in progress that the traffic asks for.
@@ -41,7 +41,7 @@
         rate = load * S / (us_per_token * mean_tokens)
         super().__init__("none", routers, prefill_servers, rate, seed, classes=self.classes)
 
-    def read_us(self, server: str, tokens: int) -> int:
+    def prefill_us(self, server: str, tokens: int) -> int:
         start = max(self.now, self.free_at_us.get(server, 0))
         self.free_at_us[server] = start + round(
             self.us_per_token * (PREFILL_OVERHEAD_TOKENS + tokens)
@@ -53,8 +53,8 @@
 
     def longest_first(self, traffic_class: str) -> list[int]:
         """Return the requests of a class that have ended, longest prompts first."""
-        ended = [n for n in self.answered if self.asks[n].traffic_class == traffic_class]
-        return sorted(ended, key=lambda n: -self.asks[n].prompt_tokens)
+        ended = [n for n in self.answered if self.arrivals[n].traffic_class == traffic_class]
+        return sorted(ended, key=lambda n: -self.arrivals[n].prompt_tokens)
 
 
 class RandomFleet(QueueingFleet):
@@ -92,10 +92,10 @@
             mean_tokens,
         )
 
-    def ask(self, number: int) -> contract.Arrival:
-        traffic_class = self.chance.choice(self.classes)
-        tokens = min(32_000, round(self.chance.lognormvariate(math.log(MEDIAN_TOKENS), SIGMA)))
-        session, prefix = f"s{self.chance.randrange(30)}", f"p{self.chance.randrange(8)}"
+    def make_arrival(self, number: int) -> contract.Arrival:
+        traffic_class = self.random.choice(self.classes)
+        tokens = min(32_000, round(self.random.lognormvariate(math.log(MEDIAN_TOKENS), SIGMA)))
+        session, prefix = f"s{self.random.randrange(30)}", f"p{self.random.randrange(8)}"
         return contract.Arrival(
             number,
             traffic_class.name,
@@ -140,7 +140,7 @@
     for traffic_class in fleet.classes:
         sessions: dict[str, list[bool]] = {}
         for number in fleet.longest_first(traffic_class.name):
-            sessions.setdefault(fleet.asks[number].session, []).append(fleet.answered[number])
+            sessions.setdefault(fleet.arrivals[number].session, []).append(fleet.answered[number])
         unanswered = sum(not any(turns) for turns in sessions.values())
         rejected_share = 1 - fleet.answered_share(fleet.longest_first(traffic_class.name))
         by_chance = sum(rejected_share ** len(turns) for turns in sessions.values())
@@ -191,12 +191,12 @@
         mean_tokens, prefill_servers = PREFILL_OVERHEAD_TOKENS + 3_000 * math.exp(0.5), 8
         super().__init__(1, 0.4 * prefill_servers, (4, prefill_servers), 130.0, mean_tokens)
 
-    def ask(self, number: int) -> contract.Arrival:
+    def make_arrival(self, number: int) -> contract.Arrival:
         traffic_class, tokens = (
-            self.chance.choice(self.classes),
-            round(self.chance.lognormvariate(math.log(3_000), 1)),
+            self.random.choice(self.classes),
+            round(self.random.lognormvariate(math.log(3_000), 1)),
         )
-        session, prefix = f"s{self.chance.randrange(400)}", f"p{self.chance.randrange(6)}"
+        session, prefix = f"s{self.random.randrange(400)}", f"p{self.random.randrange(6)}"
         deadline_us = self.now + traffic_class.deadline_us
         return contract.Arrival(
             number, traffic_class.name, session, deadline_us, min(32_000, tokens), 200, prefix, 900
--- a/tests/scheduling/test_overload_defences.py
+++ b/tests/scheduling/test_overload_defences.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from dataclasses import replace
 
-from helpers import MS, Drive, S, fleet
+from helpers import MS, RouterDriver, S, make_endpoints
 
 from onyxpass.scheduling import (
     admission,
@@ -22,7 +22,7 @@
 
 
 def serve_requests(
-    drive: Drive,
+    driver: RouterDriver,
     faulty: set[str],
     slowdown: int = 1,
     status: AttemptStatus = AttemptStatus.PREFILLED,
@@ -33,177 +33,182 @@
     Prefills at ``faulty`` servers take ``slowdown`` times as long and end with ``status``.
     """
     used: list[str] = []
-    first = 1_000 + len(drive.sent)
+    first = 1_000 + len(driver.sent)
     for i in range(first, first + n):
-        server = drive.ask(i, f"s{i}", f"p{i}", deadline_us=drive.now + 20 * S)
-        drive.tick()
-        while server and i not in drive.answers and drive.sent[i][-1].startswith("r"):
-            used.append(drive.sent[i][-1])
+        server = driver.submit(i, f"s{i}", f"p{i}", deadline_us=driver.now + 20 * S)
+        driver.tick()
+        while server and i not in driver.answers and driver.sent[i][-1].startswith("r"):
+            used.append(driver.sent[i][-1])
             at_faulty = used[-1] in faulty
-            drive.end(
+            driver.end_attempt(
                 i,
                 status if at_faulty else AttemptStatus.PREFILLED,
                 50 * MS * (slowdown if at_faulty else 1),
             )
-        if server and i not in drive.answers:
-            drive.give(
-                contract.StreamStarted(i, len(drive.sent[i]) - 1, drive.sent[i][-1], 30 * MS),
+        if server and i not in driver.answers:
+            driver.deliver(
+                contract.StreamStarted(i, len(driver.sent[i]) - 1, driver.sent[i][-1], 30 * MS),
                 30 * MS,
             )
-            drive.end(i, AttemptStatus.COMPLETED, final=True)
+            driver.end_attempt(i, AttemptStatus.COMPLETED, final=True)
     return used
 
 
-def ejected(drive: Drive) -> set[str]:
-    return {server.id for server in drive.router.servers.values() if server.ejection_level}
+def ejected(driver: RouterDriver) -> set[str]:
+    return {server.id for server in driver.router.servers.values() if server.ejection_level}
 
 
 def test_no_defence_acts_on_a_healthy_fleet() -> None:
-    drive = Drive()
-    used = serve_requests(drive, set())
-    assert not ejected(drive) and not drive.answers and len(used) == 120
+    driver = RouterDriver()
+    used = serve_requests(driver, set())
+    assert not ejected(driver) and not driver.answers and len(used) == 120
 
 
 def test_a_slow_server_that_answers_is_ejected() -> None:
-    drive = Drive()
-    used = serve_requests(drive, {"r0"}, slowdown=8, n=240)
-    assert used.count("r0") < 40 and ejected(drive) == {"r0"}
+    driver = RouterDriver()
+    used = serve_requests(driver, {"r0"}, slowdown=8, n=240)
+    assert used.count("r0") < 40 and ejected(driver) == {"r0"}
 
 
 def test_servers_that_are_all_slow_are_not_ejected() -> None:
-    drive = Drive()
-    serve_requests(drive, {"r0", "r1", "r2", "r3"}, slowdown=4)
-    assert not ejected(drive)
+    driver = RouterDriver()
+    serve_requests(driver, {"r0", "r1", "r2", "r3"}, slowdown=4)
+    assert not ejected(driver)
 
 
 def test_a_server_with_quick_errors_is_ejected_and_comes_back() -> None:
-    drive = Drive()
-    used = serve_requests(drive, {"r1"}, status=AttemptStatus.ERROR)
-    assert used.count("r1") < 15 and ejected(drive) == {"r1"} and not drive.answers
-    drive.now += outlier_detection.MAX_EJECTION_US
-    later = serve_requests(drive, set(), n=121)
-    assert later.count("r1") > 15 and not ejected(drive)
+    driver = RouterDriver()
+    used = serve_requests(driver, {"r1"}, status=AttemptStatus.ERROR)
+    assert used.count("r1") < 15 and ejected(driver) == {"r1"} and not driver.answers
+    driver.now += outlier_detection.MAX_EJECTION_US
+    later = serve_requests(driver, set(), n=121)
+    assert later.count("r1") > 15 and not ejected(driver)
 
 
 def test_an_attempt_at_a_silent_server_is_cancelled_once_and_the_server_ejected() -> None:
-    drive = Drive()
-    owner = drive.serve(1)
-    drive.router.timeouts.credit = 1.0
-    drive.ask(2)
-    drive.tick(40)
-    assert drive.sent[2] == [owner]
+    driver = RouterDriver()
+    owner = driver.complete_request(1)
+    driver.router.timeouts.credit = 1.0
+    driver.submit(2)
+    driver.tick(40)
+    assert driver.sent[2] == [owner]
     assert (
-        drive.router.requests[2].silence_deadline_us == drive.router.requests[2].arrival.deadline_us
+        driver.router.requests[2].silence_deadline_us
+        == driver.router.requests[2].arrival.deadline_us
     ), "cancelled, once"
-    drive.end(2, AttemptStatus.CANCELLED)
+    driver.end_attempt(2, AttemptStatus.CANCELLED)
     assert (
-        drive.sent[2][1] != owner
-        and ejected(drive) == {owner}
-        and drive.router.servers[owner].is_unresponsive
+        driver.sent[2][1] != owner
+        and ejected(driver) == {owner}
+        and driver.router.servers[owner].is_unresponsive
     )
 
 
 def test_cancellations_have_a_budget() -> None:
     """With 51 routers, cancelled prefills were restarted elsewhere until all servers had queues."""
-    drive = Drive(fleet(4, 8))
+    driver = RouterDriver(make_endpoints(4, 8))
     for i in range(50):
-        drive.ask(i, f"s{i}", f"p{i}", prompt_tokens=9, max_tokens=9)
+        driver.submit(i, f"s{i}", f"p{i}", prompt_tokens=9, max_tokens=9)
     cancelled = 0
     for _ in range(40):
-        drive.tick()
-        cancelled += sum(isinstance(a, contract.CancelAttempt) for a in drive.last)
+        driver.tick()
+        cancelled += sum(isinstance(a, contract.CancelAttempt) for a in driver.last_actions)
     assert 1 <= cancelled <= 50 * attempt_timeouts.CANCELLATIONS_PER_REQUEST + 1
 
 
 def test_an_attempt_at_a_server_that_answers_others_is_not_cancelled() -> None:
     """Timeouts at servers with queues led to repeated prefills that overloaded all servers."""
-    drive = Drive()
-    owner = drive.ask(1)
-    drive.ask(2)
+    driver = RouterDriver()
+    owner = driver.submit(1)
+    driver.submit(2)
     for _ in range(30):
-        drive.router.servers[str(owner)].last_answer_us = drive.now
-        drive.tick()
-        assert not [a for a in drive.last if isinstance(a, contract.CancelAttempt)]
+        driver.router.servers[str(owner)].last_answer_us = driver.now
+        driver.tick()
+        assert not [a for a in driver.last_actions if isinstance(a, contract.CancelAttempt)]
 
 
 def test_ejected_servers_are_used_if_most_servers_are_ejected() -> None:
-    drive = Drive()
+    driver = RouterDriver()
     for name in ("r0", "r1", "r2"):
-        drive.router.servers[name].eject(drive.now, unresponsive=False)
-    assert len({drive.ask(i, f"s{i}", f"p{i}") for i in range(30)} - {None}) == 4
+        driver.router.servers[name].eject(driver.now, unresponsive=False)
+    assert len({driver.submit(i, f"s{i}", f"p{i}") for i in range(30)} - {None}) == 4
 
 
 def test_full_decode_servers_make_requests_wait_and_then_be_rejected_with_advice() -> None:
-    drive = Drive(load_report_mode=contract.LoadReportMode.INLINE)
-    for server in drive.router.servers.values():
-        server.memory_utilization, server.utilization_reported_us = 0.85, drive.now + 3 * S
-    assert drive.ask(1, traffic_class="light") is None, "the lowest priority waits first"
-    assert drive.ask(2, "t", traffic_class="heavy", deadline_us=drive.now + 9 * S) is not None
-    drive.tick(60)
-    assert drive.answers[1] == [contract.Reject(1, drive.settings.max_retry_after_us)]
+    driver = RouterDriver(load_report_mode=contract.LoadReportMode.INLINE)
+    for server in driver.router.servers.values():
+        server.memory_utilization, server.utilization_reported_us = 0.85, driver.now + 3 * S
+    assert driver.submit(1, traffic_class="light") is None, "the lowest priority waits first"
+    assert driver.submit(2, "t", traffic_class="heavy", deadline_us=driver.now + 9 * S) is not None
+    driver.tick(60)
+    assert driver.answers[1] == [contract.Reject(1, driver.settings.max_retry_after_us)]
 
 
 def test_a_request_that_cannot_be_in_time_is_rejected_early() -> None:
-    drive = Drive()
-    assert drive.ask(49, "v", "w") is not None
-    for server in drive.router.servers.values():
-        server.us_per_token, server.last_answer_us = 1 * MS, drive.now
-    assert drive.ask(50, "x", "y") is None
-    drive.tick(60)
-    assert drive.answers[50]
-    drive.now += 10 * S
-    assert drive.ask(51, "x", "y") is not None, "an old measurement counts less and less"
+    driver = RouterDriver()
+    assert driver.submit(49, "v", "w") is not None
+    for server in driver.router.servers.values():
+        server.us_per_token, server.last_answer_us = 1 * MS, driver.now
+    assert driver.submit(50, "x", "y") is None
+    driver.tick(60)
+    assert driver.answers[50]
+    driver.now += 10 * S
+    assert driver.submit(51, "x", "y") is not None, "an old measurement counts less and less"
 
 
 def test_with_many_routers_decode_servers_near_the_prefill_server_are_checked_first() -> None:
     """With 145 routers, each got a report per server once a minute, and overloaded near servers."""
-    drive = Drive(
-        fleet(4, 12),
+    driver = RouterDriver(
+        make_endpoints(4, 12),
         routers=150,
         health_checks_allowed=True,
         load_report_mode=contract.LoadReportMode.ON_HEALTH_CHECK,
     )
     checked = []
     for i in range(4):
-        near = drive.router.servers[str(drive.ask(i, f"s{i}", f"p{i}"))].endpoint
-        checked += [a.server for a in drive.last if isinstance(a, contract.HealthCheck)]
+        near = driver.router.servers[str(driver.submit(i, f"s{i}", f"p{i}"))].endpoint
+        checked += [a.server for a in driver.last_actions if isinstance(a, contract.HealthCheck)]
         if i == 0:
-            assert drive.router.servers[checked[0]].endpoint.cell == near.cell
+            assert driver.router.servers[checked[0]].endpoint.cell == near.cell
     assert len(checked) == len(set(checked)) and 4 <= len(checked) <= 8, "within the budget"
-    assert not [a for a in Drive(routers=150).last if isinstance(a, contract.HealthCheck)]
+    assert not [
+        a for a in RouterDriver(routers=150).last_actions if isinstance(a, contract.HealthCheck)
+    ]
 
 
 def test_a_server_that_rejects_one_class_is_passed_over_for_that_class_and_not_ejected() -> None:
     """Servers rejected one class above a rate, late, and accepted the others."""
-    drive = Drive()
-    owner = drive.ask(1, traffic_class="light")
-    drive.end(1, AttemptStatus.OVERLOADED)
-    assert drive.sent[1][1] != owner and not ejected(drive)
-    assert drive.ask(2, traffic_class="light") != owner, "the class avoids the server for a while"
-    assert drive.ask(3, traffic_class="heavy") == owner, "other classes do not"
-    drive.now += candidates.OVERLOAD_COOLDOWN_US
-    assert drive.ask(4, traffic_class="light") == owner
+    driver = RouterDriver()
+    owner = driver.submit(1, traffic_class="light")
+    driver.end_attempt(1, AttemptStatus.OVERLOADED)
+    assert driver.sent[1][1] != owner and not ejected(driver)
+    assert driver.submit(2, traffic_class="light") != owner, (
+        "the class avoids the server for a while"
+    )
+    assert driver.submit(3, traffic_class="heavy") == owner, "other classes do not"
+    driver.now += candidates.OVERLOAD_COOLDOWN_US
+    assert driver.submit(4, traffic_class="light") == owner
 
 
 def test_no_new_prefill_is_sent_after_the_latency_objective() -> None:
     """With 51 routers, prefills that were late already were repeated and lengthened the queues."""
-    drive = Drive()
-    drive.ask(1)
-    drive.end(1, AttemptStatus.TIMED_OUT, 1 * S)
-    assert len(drive.sent[1]) == 2, "in time: another prefill server is tried"
-    drive.end(1, AttemptStatus.TIMED_OUT, 1 * S)
-    assert len(drive.sent[1]) == 2 and drive.answers[1]
-    drive.ask(2, "t", "q")
-    drive.end(2, AttemptStatus.PREFILLED, 2 * S)
-    drive.end(2, AttemptStatus.OVERLOADED)
-    assert len(drive.sent[2]) == 3, "an existing state is still fetched"
+    driver = RouterDriver()
+    driver.submit(1)
+    driver.end_attempt(1, AttemptStatus.TIMED_OUT, 1 * S)
+    assert len(driver.sent[1]) == 2, "in time: another prefill server is tried"
+    driver.end_attempt(1, AttemptStatus.TIMED_OUT, 1 * S)
+    assert len(driver.sent[1]) == 2 and driver.answers[1]
+    driver.submit(2, "t", "q")
+    driver.end_attempt(2, AttemptStatus.PREFILLED, 2 * S)
+    driver.end_attempt(2, AttemptStatus.OVERLOADED)
+    assert len(driver.sent[2]) == 3, "an existing state is still fetched"
 
 
 def test_with_many_routers_the_first_ejection_is_long() -> None:
     """An ejection of 1.5 s has no effect where a router uses a server twice a minute."""
-    few, many = Drive(), Drive(routers=60)
-    for drive in (few, many):
-        drive.router.servers["r0"].eject(drive.now, unresponsive=False)
+    few, many = RouterDriver(), RouterDriver(routers=60)
+    for driver in (few, many):
+        driver.router.servers["r0"].eject(driver.now, unresponsive=False)
     assert (
         many.router.servers["r0"].ejected_until_us - few.router.servers["r0"].ejected_until_us
         > 5 * S
@@ -211,78 +216,81 @@
 
 
 def test_requests_of_a_tenant_over_its_quota_have_a_lower_priority() -> None:
-    drive = Drive(
+    driver = RouterDriver(
         tenants=(contract.Tenant("a", 2.0), contract.Tenant("b", 2.0)), over_quota_weight=0.05
     )
     for i in range(10):
-        drive.ask(i, f"s{i}", f"p{i}", tenant="a")
-    drive.ask(20, "s", tenant="b")
-    requests = drive.router.requests
+        driver.submit(i, f"s{i}", f"p{i}", tenant="a")
+    driver.submit(20, "s", tenant="b")
+    requests = driver.router.requests
     assert requests[0].priority == requests[20].priority == 0.5
     assert requests[9].priority < 0.05
 
 
 def test_streams_are_projected_where_reports_are_late_or_missing() -> None:
-    drive = Drive(fleet(4, 2), load_report_mode=contract.LoadReportMode.INLINE, routers=1)
-    w0, w1 = drive.router.servers["w0"], drive.router.servers["w1"]
+    driver = RouterDriver(
+        make_endpoints(4, 2), load_report_mode=contract.LoadReportMode.INLINE, routers=1
+    )
+    w0, w1 = driver.router.servers["w0"], driver.router.servers["w1"]
     w0.memory_utilization, w0.utilization_reported_us = (
         0.1,
-        drive.now - memory_projection.REPORT_HALF_LIFE_US - 1,
+        driver.now - memory_projection.REPORT_HALF_LIFE_US - 1,
     )
-    w0.streams = dict.fromkeys(range(3), (drive.now - S, 30000))
-    projected = memory_projection.projected_utilization([w0, w1], drive.settings, drive.now)
+    w0.streams = dict.fromkeys(range(3), (driver.now - S, 30000))
+    projected = memory_projection.projected_utilization([w0, w1], driver.settings, driver.now)
     assert projected[w0] > 0.5 and abs(projected[w1] - 0.1) < 1e-9
 
 
 def test_a_restarted_server_has_no_history() -> None:
-    drive = Drive()
-    server = drive.serve(1)
-    drive.give(
+    driver = RouterDriver()
+    server = driver.complete_request(1)
+    driver.deliver(
         contract.EndpointUpdate(
-            contract.EndpointUpdateForm.DELTA, (contract.Endpoint(server, "r", "z0", 0, drive.now),)
+            contract.EndpointUpdateForm.DELTA,
+            (contract.Endpoint(server, "r", "z0", 0, driver.now),),
         )
     )
     assert (
-        drive.router.servers[server].slow_start_factor(drive.now)
-        == drive.settings.slow_start_initial_factor
+        driver.router.servers[server].slow_start_factor(driver.now)
+        == driver.settings.slow_start_initial_factor
     )
-    drive.ask(2)
-    assert "s|s" not in drive.router.affinity.entries
+    driver.submit(2)
+    assert "s|s" not in driver.router.affinity.entries
 
 
 def test_a_health_check_must_pass_before_a_trial() -> None:
-    drive = Drive(health_checks_allowed=True)
-    server = drive.router.servers["r0"]
-    server.eject(drive.now, unresponsive=True)
-    drive.now += outlier_detection.EJECTION_US
-    drive.tick()
-    assert contract.HealthCheck("r0") in drive.last and not server.is_healthy(drive.now)
-    drive.give(contract.HealthCheckResult("r0", True, 1 * MS))
-    assert server.is_healthy(drive.now)
+    driver = RouterDriver(health_checks_allowed=True)
+    server = driver.router.servers["r0"]
+    server.eject(driver.now, unresponsive=True)
+    driver.now += outlier_detection.EJECTION_US
+    driver.tick()
+    assert contract.HealthCheck("r0") in driver.last_actions and not server.is_healthy(driver.now)
+    driver.deliver(contract.HealthCheckResult("r0", True, 1 * MS))
+    assert server.is_healthy(driver.now)
 
 
 def test_a_replacement_that_leaves_no_warm_server_still_gets_work() -> None:
     """Incident ic9ca78: all replacements were in slow start, and each got one send per window."""
-    drive = Drive(fleet(3, 8), overload_window_us=3 * S)
+    driver = RouterDriver(make_endpoints(3, 8), overload_window_us=3 * S)
     for i in range(60):
-        drive.serve(i, f"s{i}", f"p{i}")
+        driver.complete_request(i, f"s{i}", f"p{i}")
         if i == 40:
-            fresh = contract.Endpoint("r1", "r", "z0", 0, drive.now)
-            drive.give(contract.EndpointUpdate(contract.EndpointUpdateForm.DELTA, (fresh,)))
-    drive.now += 3 * S
-    fresh_all = tuple(contract.Endpoint(f"r{i}", "r", "z0", 0, drive.now) for i in range(3))
-    drive.give(contract.EndpointUpdate(contract.EndpointUpdateForm.DELTA, fresh_all))
-    sent = sum(drive.ask(i, f"s{i}", f"p{i}") is not None for i in range(100, 130))
+            fresh = contract.Endpoint("r1", "r", "z0", 0, driver.now)
+            driver.deliver(contract.EndpointUpdate(contract.EndpointUpdateForm.DELTA, (fresh,)))
+    driver.now += 3 * S
+    fresh_all = tuple(contract.Endpoint(f"r{i}", "r", "z0", 0, driver.now) for i in range(3))
+    driver.deliver(contract.EndpointUpdate(contract.EndpointUpdateForm.DELTA, fresh_all))
+    sent = sum(driver.submit(i, f"s{i}", f"p{i}") is not None for i in range(100, 130))
     assert 3 < sent <= 30
 
 
 def test_a_state_in_an_unreachable_zone_is_released_when_no_decode_server_can_fetch_it() -> None:
     """With a zone cut off, a state stayed reserved after its fetch failed and its request ended."""
-    drive = Drive(max_attempts=3)
-    drive.ask(1)
-    drive.end(1, AttemptStatus.PREFILLED)
-    actions = drive.end(1, AttemptStatus.OVERLOADED, note=1)
-    assert contract.ReleaseState(1) in actions and drive.answers[1]
+    driver = RouterDriver(max_attempts=3)
+    driver.submit(1)
+    driver.end_attempt(1, AttemptStatus.PREFILLED)
+    actions = driver.end_attempt(1, AttemptStatus.OVERLOADED, note=1)
+    assert contract.ReleaseState(1) in actions and driver.answers[1]
 
 
 def cells(*sizes: tuple[int, int]) -> tuple[contract.Endpoint, ...]:
@@ -299,21 +307,26 @@
     sizes: list[tuple[int, int]], cell: int, interval_us: int, n: int = 400
 ) -> float:
     """Return the share of a cell's states placed in that cell, with 191 routers without reports."""
-    drive = Drive(cells(*sizes), routers=191)
+    driver = RouterDriver(cells(*sizes), routers=191)
     near = prefilled = 0
     for i in range(n):
-        drive.ask(
-            i, f"s{i}", f"p{i}", prompt_tokens=6_000, max_tokens=200, deadline_us=drive.now + 60 * S
+        driver.submit(
+            i,
+            f"s{i}",
+            f"p{i}",
+            prompt_tokens=6_000,
+            max_tokens=200,
+            deadline_us=driver.now + 60 * S,
         )
-        drive.end(i, AttemptStatus.PREFILLED, 20 * MS)
-        drive.give(contract.StreamStarted(i, 1, drive.sent[i][1], 30 * MS), interval_us)
+        driver.end_attempt(i, AttemptStatus.PREFILLED, 20 * MS)
+        driver.deliver(contract.StreamStarted(i, 1, driver.sent[i][1], 30 * MS), interval_us)
         if i >= 6:  # six streams run at a time
-            drive.end(i - 6, AttemptStatus.COMPLETED, final=True)
-        prefill_cell = drive.router.servers[drive.sent[i][0]].endpoint.cell
+            driver.end_attempt(i - 6, AttemptStatus.COMPLETED, final=True)
+        prefill_cell = driver.router.servers[driver.sent[i][0]].endpoint.cell
         if prefill_cell == cell:
             prefilled, near = (
                 prefilled + 1,
-                near + (drive.router.servers[drive.sent[i][1]].endpoint.cell == cell),
+                near + (driver.router.servers[driver.sent[i][1]].endpoint.cell == cell),
             )
     return near / prefilled
 
@@ -332,7 +345,7 @@
 
 
 def rejected_at_once(
-    drive: Drive,
+    driver: RouterDriver,
     first: int,
     n: int,
     interval_us: int,
@@ -342,15 +355,15 @@
     """Send requests at a fixed interval; return how many were rejected at once."""
     rejected = 0
     for i in range(first, first + n):
-        server = drive.ask(
-            i, f"s{i}", f"p{i}", traffic_class=traffic_class, deadline_us=drive.now + 8 * S
+        server = driver.submit(
+            i, f"s{i}", f"p{i}", traffic_class=traffic_class, deadline_us=driver.now + 8 * S
         )
-        rejected += server is None and i in drive.answers
+        rejected += server is None and i in driver.answers
         if server:
-            drive.end(i, AttemptStatus.PREFILLED, prefill_us)
-            drive.give(contract.StreamStarted(i, 1, drive.sent[i][1], 30 * MS), 30 * MS)
-            drive.end(i, AttemptStatus.COMPLETED, final=True)
-        drive.now += interval_us
+            driver.end_attempt(i, AttemptStatus.PREFILLED, prefill_us)
+            driver.deliver(contract.StreamStarted(i, 1, driver.sent[i][1], 30 * MS), 30 * MS)
+            driver.end_attempt(i, AttemptStatus.COMPLETED, final=True)
+        driver.now += interval_us
     return rejected
 
 
@@ -359,14 +372,14 @@
 
     No load report showed it.
     """
-    drive = Drive(routers=191)
-    assert rejected_at_once(drive, 0, 30, 500 * MS, 40 * MS) == 0, "inactive on a healthy fleet"
-    for server in drive.router.servers.values():
+    driver = RouterDriver(routers=191)
+    assert rejected_at_once(driver, 0, 30, 500 * MS, 40 * MS) == 0, "inactive on a healthy fleet"
+    for server in driver.router.servers.values():
         server.sample_count = 0  # only the outcomes of requests count, not the measured times
-    rejected = rejected_at_once(drive, 100, 60, 100 * MS, 2 * S)
+    rejected = rejected_at_once(driver, 100, 60, 100 * MS, 2 * S)
     assert rejected > 20, "requests that would be late cause no more work"
-    rejected_at_once(drive, 200, 120, 500 * MS, 40 * MS)
-    assert rejected_at_once(drive, 400, 30, 500 * MS, 40 * MS) == 0, "the rejections end"
+    rejected_at_once(driver, 200, 120, 500 * MS, 40 * MS)
+    assert rejected_at_once(driver, 400, 30, 500 * MS, 40 * MS) == 0, "the rejections end"
 
 
 def test_the_highest_priority_is_throttled_less_and_no_class_for_outcomes_of_another() -> None:
@@ -375,22 +388,22 @@
     for i in range(20):
         throttle.record(i, in_time=i % 2 == 1)
     assert throttle.shed_probability(20, 0.1) > 0.3 and throttle.shed_probability(20, 1.0) <= 0
-    drive = Drive(routers=191)
+    driver = RouterDriver(routers=191)
     for _ in range(20):
-        drive.router.admission.throttles["light"].record(drive.now, in_time=False)
-    assert drive.ask(1, traffic_class="heavy") is not None
+        driver.router.admission.throttles["light"].record(driver.now, in_time=False)
+    assert driver.submit(1, traffic_class="heavy") is not None
 
 
 def test_a_throttled_class_is_tried_again_within_seconds() -> None:
-    drive = Drive(routers=191)
-    drive.router.admission.throttles["light"].objective_share = 1.0
+    driver = RouterDriver(routers=191)
+    driver.router.admission.throttles["light"].objective_share = 1.0
     for _ in range(50):
-        drive.router.admission.throttles["light"].record(drive.now, in_time=False)
+        driver.router.admission.throttles["light"].record(driver.now, in_time=False)
     assert (
-        drive.router.admission.throttles["light"].shed_probability(drive.now, 0.5)
+        driver.router.admission.throttles["light"].shed_probability(driver.now, 0.5)
         == admission.MAX_SHED_PROBABILITY
     )
-    assert sum(drive.ask(i, f"s{i}") is not None for i in range(60)) >= 2, (
+    assert sum(driver.submit(i, f"s{i}") is not None for i in range(60)) >= 2, (
         "some requests are sent in the worst overload"
     )
 
@@ -404,27 +417,27 @@
     assert throttle.shed_probability(40, 0.1) <= 0
 
 
-def owner_count(drive: Drive, prefix: str, first: int) -> int:
+def owner_count(driver: RouterDriver, prefix: str, first: int) -> int:
     """Return the number of prefill servers used by new sessions with this prefix."""
     servers = set()
     for i in range(first, first + 60):
-        servers.add(drive.ask(i, f"t{i}", prefix, prompt_tokens=100))
-        drive.end(i, AttemptStatus.ERROR, 1 * MS, final=True)
-        drive.router.servers[drive.sent[i][0]].failure_rate = 0.0  # the failure is not under test
-        drive.router.affinity.recent_prefixes.pop()
+        servers.add(driver.submit(i, f"t{i}", prefix, prompt_tokens=100))
+        driver.end_attempt(i, AttemptStatus.ERROR, 1 * MS, final=True)
+        driver.router.servers[driver.sent[i][0]].failure_rate = 0.0  # the failure is not under test
+        driver.router.affinity.recent_prefixes.pop()
     return len(servers)
 
 
 def test_a_prefix_that_is_certainly_popular_has_more_owners_and_others_have_four() -> None:
     """With 145 routers, two owners of one prefix were overloaded while other servers were idle."""
-    drive = Drive(fleet(24, 4), routers=145)
-    drive.router.affinity.recent_prefixes.extend(["hot"] * 10 + [f"p{i % 12}" for i in range(20)])
-    assert owner_count(drive, "hot", 0) == 8, (
+    driver = RouterDriver(make_endpoints(24, 4), routers=145)
+    driver.router.affinity.recent_prefixes.extend(["hot"] * 10 + [f"p{i % 12}" for i in range(20)])
+    assert owner_count(driver, "hot", 0) == 8, (
         "a third of all requests: each owner gets an even share of all"
     )
-    assert owner_count(drive, "p1", 100) == prefix_affinity.MIN_OWNERS
-    assert owner_count(drive, "unheard", 200) == prefix_affinity.MIN_OWNERS
-    few = Drive(fleet(24, 4))
+    assert owner_count(driver, "p1", 100) == prefix_affinity.MIN_OWNERS
+    assert owner_count(driver, "unheard", 200) == prefix_affinity.MIN_OWNERS
+    few = RouterDriver(make_endpoints(24, 4))
     few.router.affinity.recent_prefixes.extend(["hot"] * 10)
     assert owner_count(few, "hot", 0) == 1
 
@@ -436,11 +449,11 @@
     """
     owner_counts = set()
     for count in range(6):  # of 30 recent requests, where a tenth is expected
-        drive = Drive(fleet(24, 4), routers=40)
-        drive.router.affinity.recent_prefixes.extend(
+        driver = RouterDriver(make_endpoints(24, 4), routers=40)
+        driver.router.affinity.recent_prefixes.extend(
             ["warm"] * count + [f"p{i}" for i in range(30 - count)]
         )
-        owner_counts.add(owner_count(drive, "warm", 0))
+        owner_counts.add(owner_count(driver, "warm", 0))
     assert owner_counts == {prefix_affinity.MIN_OWNERS}
 
 
@@ -454,11 +467,11 @@
         (AttemptStatus.TIMED_OUT, 2),
         (AttemptStatus.ERROR, 4),
     ):
-        drive = Drive(fleet(8, 4), max_attempts=5)
-        drive.ask(1)
-        while 1 not in drive.answers:
-            drive.end(1, status, 1 * MS)
-        assert len(drive.sent[1]) == attempts
+        driver = RouterDriver(make_endpoints(8, 4), max_attempts=5)
+        driver.submit(1)
+        while 1 not in driver.answers:
+            driver.end_attempt(1, status, 1 * MS)
+        assert len(driver.sent[1]) == attempts
 
 
 def test_a_throttle_acts_on_few_recorded_requests() -> None:
@@ -478,79 +491,81 @@
 
 def test_mixed_servers_own_no_more_prefixes_than_their_share_of_the_answers() -> None:
     """Four mixed servers took half of all requests although there were seven decode servers."""
-    owners = [Drive(fleet(3, 6, 3)).ask(1, "s", f"p{i}") for i in range(300)]
+    owners = [RouterDriver(make_endpoints(3, 6, 3)).submit(1, "s", f"p{i}") for i in range(300)]
     assert 0.22 < sum(str(owner).startswith("m") for owner in owners) / 300 < 0.44
 
 
 def test_a_mixed_server_fuller_than_the_decode_servers_gets_no_new_prefill() -> None:
     """The owner of a popular prefix was a mixed server, and its streams began far too late."""
-    drive = Drive(fleet(2, 4, 2))
+    driver = RouterDriver(make_endpoints(2, 4, 2))
     prefix = next(
-        f"p{i}" for i in range(99) if str(Drive(fleet(2, 4, 2)).ask(1, "s", f"p{i}")) == "m0"
+        f"p{i}"
+        for i in range(99)
+        if str(RouterDriver(make_endpoints(2, 4, 2)).submit(1, "s", f"p{i}")) == "m0"
     )
-    servers = drive.router.servers
-    servers["m0"].streams = {900 + i: (drive.now, 3_000) for i in range(20)}
-    assert drive.ask(1, "s", prefix) != "m0"
+    servers = driver.router.servers
+    servers["m0"].streams = {900 + i: (driver.now, 3_000) for i in range(20)}
+    assert driver.submit(1, "s", prefix) != "m0"
     for name in ("w0", "w1", "w2", "w3"):
-        servers[name].streams = {900 + i: (drive.now, 3_000) for i in range(20)}
-    assert drive.ask(2, "t", prefix) == "m0", "all are as full: the owner is kept"
+        servers[name].streams = {900 + i: (driver.now, 3_000) for i in range(20)}
+    assert driver.submit(2, "t", prefix) == "m0", "all are as full: the owner is kept"
 
 
 def test_a_broken_answer_shows_that_its_state_is_gone() -> None:
     """Guards against an attempt for a state that was fetched already, which is rejected as full."""
-    drive = Drive()
-    drive.ask(1)
-    drive.end(1, AttemptStatus.PREFILLED)
-    drive.end(1, AttemptStatus.RESET, note=1)
-    assert drive.sent[1][2].startswith("r"), "the prompt is prefilled again"
-    drive.end(1, AttemptStatus.PREFILLED)
-    assert drive.sent[1][3].startswith("w")
+    driver = RouterDriver()
+    driver.submit(1)
+    driver.end_attempt(1, AttemptStatus.PREFILLED)
+    driver.end_attempt(1, AttemptStatus.RESET, note=1)
+    assert driver.sent[1][2].startswith("r"), "the prompt is prefilled again"
+    driver.end_attempt(1, AttemptStatus.PREFILLED)
+    assert driver.sent[1][3].startswith("w")
 
 
 def test_expired_prefixes_are_removed_from_the_table() -> None:
     """The keys of all sessions stayed up to the table's limit, although expired keys are unused."""
-    drive = Drive()
+    driver = RouterDriver()
     for i in range(200):
-        drive.serve(i, f"s{i}", f"p{i}")
-        drive.now += S
-    assert len(drive.router.affinity.entries) <= 2 * (prefix_affinity.ENTRY_TTL_US // S + 1)
+        driver.complete_request(i, f"s{i}", f"p{i}")
+        driver.now += S
+    assert len(driver.router.affinity.entries) <= 2 * (prefix_affinity.ENTRY_TTL_US // S + 1)
 
 
 def test_invalid_requests_eject_no_server() -> None:
     """With faulty clients, 5,607 attempts ended with 400, and prefill servers were ejected."""
-    drive = Drive()
+    driver = RouterDriver()
     for i in range(20):
-        drive.ask(i)
-        drive.end(i, AttemptStatus.INVALID_REQUEST)
-        assert [type(a) for a in drive.answers[i]] == [contract.Fail] and len(drive.sent[i]) == 1
-    assert not ejected(drive)
+        driver.submit(i)
+        driver.end_attempt(i, AttemptStatus.INVALID_REQUEST)
+        assert [type(a) for a in driver.answers[i]] == [contract.Fail] and len(driver.sent[i]) == 1
+    assert not ejected(driver)
 
 
 def test_broken_answers_eject_one_faulty_server_but_not_all_servers_alike() -> None:
     """With broken streams everywhere, three of fourteen healthy servers were ejected at a time."""
-    drive, answers_by_server = Drive(), Counter[str]()
+    driver, answers_by_server = RouterDriver(), Counter[str]()
     for i in range(200):
-        drive.ask(i, f"s{i}", f"p{i}")
-        drive.end(i, AttemptStatus.PREFILLED)
-        answers_by_server[drive.sent[i][-1]] += 1
-        if answers_by_server[drive.sent[i][-1]] % 10 < 2:
-            drive.end(i, AttemptStatus.RESET, note=1)
-            drive.give(contract.RequestWithdrawn(i))
+        driver.submit(i, f"s{i}", f"p{i}")
+        driver.end_attempt(i, AttemptStatus.PREFILLED)
+        answers_by_server[driver.sent[i][-1]] += 1
+        if answers_by_server[driver.sent[i][-1]] % 10 < 2:
+            driver.end_attempt(i, AttemptStatus.RESET, note=1)
+            driver.deliver(contract.RequestWithdrawn(i))
         else:
-            drive.give(contract.StreamStarted(i, 1, drive.sent[i][-1], 30 * MS), 30 * MS)
-            drive.end(i, AttemptStatus.COMPLETED, final=True)
-        assert not ejected(drive)
-    faulty = drive.sent[199][-1]
+            driver.deliver(contract.StreamStarted(i, 1, driver.sent[i][-1], 30 * MS), 30 * MS)
+            driver.end_attempt(i, AttemptStatus.COMPLETED, final=True)
+        assert not ejected(driver)
+    faulty = driver.sent[199][-1]
     for i in range(200, 280):
-        drive.ask(i, f"s{i}", f"p{i}")
-        drive.end(i, AttemptStatus.PREFILLED)
-        if drive.sent[i][-1] == faulty:
-            drive.end(i, AttemptStatus.RESET, note=1)
-            drive.give(contract.RequestWithdrawn(i))
+        driver.submit(i, f"s{i}", f"p{i}")
+        driver.end_attempt(i, AttemptStatus.PREFILLED)
+        if driver.sent[i][-1] == faulty:
+            driver.end_attempt(i, AttemptStatus.RESET, note=1)
+            driver.deliver(contract.RequestWithdrawn(i))
         else:
-            drive.give(contract.StreamStarted(i, 1, drive.sent[i][-1], 30 * MS), 30 * MS)
-            drive.end(i, AttemptStatus.COMPLETED, final=True)
-    assert ejected(drive) == {faulty}
+            driver.deliver(contract.StreamStarted(i, 1, driver.sent[i][-1], 30 * MS), 30 * MS)
+            driver.end_attempt(i, AttemptStatus.COMPLETED, final=True)
+    assert ejected(driver) == {faulty}
 
 
 def test_a_prefill_overtaken_by_later_ones_is_cancelled_and_a_queued_one_is_not() -> None:
@@ -566,25 +581,27 @@
         (200, outlier_detection.OVERTAKEN_LIMIT - 1, False),
         (200, outlier_detection.OVERTAKEN_LIMIT, True),
     ):
-        drive = Drive(fleet(readers=1))
+        driver = RouterDriver(make_endpoints(prefill_servers=1))
 
-        def serve(number: int, drive: Drive = drive, prefill_ms: int = prefill_ms) -> None:
-            drive.ask(number, f"w{number}")
-            drive.end(number, AttemptStatus.PREFILLED, prefill_ms * MS, note=1_000)
-            decode_server = drive.sent[number][-1]
-            drive.give(contract.StreamStarted(number, 1, decode_server, 30 * MS), 30 * MS)
-            drive.end(number, AttemptStatus.COMPLETED, final=True)
+        def serve(number: int, driver: RouterDriver = driver, prefill_ms: int = prefill_ms) -> None:
+            driver.submit(number, f"w{number}")
+            driver.end_attempt(number, AttemptStatus.PREFILLED, prefill_ms * MS, note=1_000)
+            decode_server = driver.sent[number][-1]
+            driver.deliver(contract.StreamStarted(number, 1, decode_server, 30 * MS), 30 * MS)
+            driver.end_attempt(number, AttemptStatus.COMPLETED, final=True)
 
         for i in range(60):
             serve(i)
-        drive.ask(100, "s")
+        driver.submit(100, "s")
         for i in range(later):
-            drive.now += MS
+            driver.now += MS
             serve(101 + i)
         cancelled = []
         for _ in range(60):
-            drive.tick()
-            cancelled += [a.id for a in drive.last if isinstance(a, contract.CancelAttempt)]
+            driver.tick()
+            cancelled += [
+                a.id for a in driver.last_actions if isinstance(a, contract.CancelAttempt)
+            ]
         assert cancelled == ([100] if expected else []), (prefill_ms, later)
 
 
@@ -593,19 +610,19 @@
 
     A long ejection would lose the prefixes that the owner has cached for its sessions.
     """
-    drive = Drive(routers=40, health_checks_allowed=True)
-    owner = drive.serve(1)
-    drive.ask(2)
-    drive.end(2, AttemptStatus.CANCELLED, 600 * MS)
-    server = drive.router.servers[owner]
-    assert server.ejection_level and not server.is_healthy(drive.now)
-    drive.now += outlier_detection.EJECTION_US
-    drive.tick()
-    assert contract.HealthCheck(owner) in drive.last
-    drive.give(contract.HealthCheckResult(owner, True, 1 * MS))
-    assert server.is_healthy(drive.now) and drive.ask(3) == owner
-    drive.end(3, AttemptStatus.TIMED_OUT, 600 * MS)
-    assert not server.is_healthy(drive.now + outlier_detection.MAX_EJECTION_US - 1 * S), (
+    driver = RouterDriver(routers=40, health_checks_allowed=True)
+    owner = driver.complete_request(1)
+    driver.submit(2)
+    driver.end_attempt(2, AttemptStatus.CANCELLED, 600 * MS)
+    server = driver.router.servers[owner]
+    assert server.ejection_level and not server.is_healthy(driver.now)
+    driver.now += outlier_detection.EJECTION_US
+    driver.tick()
+    assert contract.HealthCheck(owner) in driver.last_actions
+    driver.deliver(contract.HealthCheckResult(owner, True, 1 * MS))
+    assert server.is_healthy(driver.now) and driver.submit(3) == owner
+    driver.end_attempt(3, AttemptStatus.TIMED_OUT, 600 * MS)
+    assert not server.is_healthy(driver.now + outlier_detection.MAX_EJECTION_US - 1 * S), (
         "after a timeout the server may be gone: a long ejection"
     )
 
@@ -614,10 +631,10 @@
     None
 ):
     """Sampling by request would alternate a session's turns, each prefilled again at its server."""
-    slow_start_duration_us, endpoints = 13 * S, fleet(4, 4)
+    slow_start_duration_us, endpoints = 13 * S, make_endpoints(4, 4)
     servers = [replace(s, started_us=1_000 * S) if s.id == "r0" else s for s in endpoints]
     drives = [
-        Drive(
+        RouterDriver(
             servers,
             routers=40,
             ordinal=n,
@@ -629,21 +646,21 @@
     chosen: dict[int, dict[str, set[str]]] = {}
     for after_us in (0, slow_start_duration_us // 2, slow_start_duration_us):
         by_session = chosen[after_us] = {f"s{i}": set() for i in range(80)}
-        for drive in drives:
-            drive.now = 1_000 * S + after_us
+        for driver in drives:
+            driver.now = 1_000 * S + after_us
             for session, session_servers in by_session.items():
                 arrival = contract.Arrival(
-                    1, "light", session, drive.now + 5 * S, 3_000, 300, f"p{session}", 2_000
+                    1, "light", session, driver.now + 5 * S, 3_000, 300, f"p{session}", 2_000
                 )
                 request = request_state.RequestState(
-                    arrival, drive.router.admission.classes["light"], drive.now, 1.0
+                    arrival, driver.router.admission.classes["light"], driver.now, 1.0
                 )
-                healthy = drive.router.pool.healthy(
-                    drive.now, contract.Role.PREFILL, contract.Role.MIXED
+                healthy = driver.router.pool.healthy(
+                    driver.now, contract.Role.PREFILL, contract.Role.MIXED
                 )
-                eligible = drive.router.candidates.eligible(request, healthy, drive.now)
+                eligible = driver.router.candidates.eligible(request, healthy, driver.now)
                 ranked = rendezvous.rank_by_rendezvous(f"p{session}", eligible)
-                matched, _ = drive.router.affinity.match(request, ranked, drive.now)
+                matched, _ = driver.router.affinity.match(request, ranked, driver.now)
                 session_servers.add(matched.id)
     assert all(len(ids) == 1 for by_session in chosen.values() for ids in by_session.values())
     cold, half, warm = (
@@ -657,14 +674,17 @@
     """If all prefill servers are overloaded, prefills repeated elsewhere make it worse."""
     earned = []
     for objective_share in (0.1, 0.4, 1.0):
-        drive = Drive(routers=40)
-        drive.router.timeouts.credit, drive.router.admission.throttles["light"].objective_share = (
+        driver = RouterDriver(routers=40)
+        (
+            driver.router.timeouts.credit,
+            driver.router.admission.throttles["light"].objective_share,
+        ) = (
             0.0,
             objective_share,
         )
         for i in range(4):
-            drive.ask(i, f"s{i}")
-        earned.append(drive.router.timeouts.credit)
+            driver.submit(i, f"s{i}")
+        earned.append(driver.router.timeouts.credit)
     assert (
         abs(earned[0] - 4 * attempt_timeouts.CANCELLATIONS_PER_REQUEST_MANY_ROUTERS) < 1e-9
         and 0 < earned[1] < earned[0]
@@ -674,35 +694,35 @@
 
 def test_a_state_is_released_once_failed_connections_have_used_up_its_time() -> None:
     """With a zone cut off, two decode servers took 250 ms each to fail while the state was held."""
-    drive = Drive(max_attempts=6)
-    drive.ask(1)
-    drive.end(1, AttemptStatus.PREFILLED)
-    drive.end(1, AttemptStatus.UNREACHABLE, 150 * MS)
-    assert [s[0] for s in drive.sent[1]] == ["r", "w", "w"], "there is time for one more"
-    assert not [a for a in drive.last if isinstance(a, contract.ReleaseState)]
-    drive.end(1, AttemptStatus.UNREACHABLE, 75 * MS)
-    assert isinstance(drive.last[0], contract.ReleaseState) and drive.sent[1][-1][0] == "r", (
-        "released, and prefilled again"
-    )
-    drive.ask(2)
-    drive.end(2, AttemptStatus.PREFILLED)
-    drive.end(2, AttemptStatus.OVERLOADED, 400 * MS)
-    drive.end(2, AttemptStatus.UNREACHABLE, 150 * MS)
-    assert [s[0] for s in drive.sent[2]] == ["r", "w", "w", "w"], (
+    driver = RouterDriver(max_attempts=6)
+    driver.submit(1)
+    driver.end_attempt(1, AttemptStatus.PREFILLED)
+    driver.end_attempt(1, AttemptStatus.UNREACHABLE, 150 * MS)
+    assert [s[0] for s in driver.sent[1]] == ["r", "w", "w"], "there is time for one more"
+    assert not [a for a in driver.last_actions if isinstance(a, contract.ReleaseState)]
+    driver.end_attempt(1, AttemptStatus.UNREACHABLE, 75 * MS)
+    assert (
+        isinstance(driver.last_actions[0], contract.ReleaseState) and driver.sent[1][-1][0] == "r"
+    ), "released, and prefilled again"
+    driver.submit(2)
+    driver.end_attempt(2, AttemptStatus.PREFILLED)
+    driver.end_attempt(2, AttemptStatus.OVERLOADED, 400 * MS)
+    driver.end_attempt(2, AttemptStatus.UNREACHABLE, 150 * MS)
+    assert [s[0] for s in driver.sent[2]] == ["r", "w", "w", "w"], (
         "the first attempt was received: its time started over"
     )
 
 
 def test_a_past_queue_at_decode_servers_does_not_block_requests() -> None:
     """After a queue of 2 s at the decode servers, every later request was rejected."""
-    drive = Drive()
-    drive.ask(1)
-    drive.end(1, AttemptStatus.PREFILLED)
-    drive.give(contract.StreamStarted(1, 1, drive.sent[1][-1], 2_500 * MS), 2_500 * MS)
-    drive.end(1, AttemptStatus.COMPLETED, final=True)
-    assert drive.ask(100) is None, "no answer of its class would be in time now"
-    drive.now += 10 * latency_baselines.QUEUE_HALF_LIFE_US
-    assert drive.ask(101) is not None, (
+    driver = RouterDriver()
+    driver.submit(1)
+    driver.end_attempt(1, AttemptStatus.PREFILLED)
+    driver.deliver(contract.StreamStarted(1, 1, driver.sent[1][-1], 2_500 * MS), 2_500 * MS)
+    driver.end_attempt(1, AttemptStatus.COMPLETED, final=True)
+    assert driver.submit(100) is None, "no answer of its class would be in time now"
+    driver.now += 10 * latency_baselines.QUEUE_HALF_LIFE_US
+    assert driver.submit(101) is not None, (
         "unless a request is sent, nothing shows that the queue is gone"
     )
 
@@ -723,37 +743,39 @@
         (classes[:1], 2, True),
         (classes, 60, True),
     ):
-        drive = Drive(fleet(2, 4), classes=settings, routers=routers)
-        for server in drive.router.servers.values():
+        driver = RouterDriver(make_endpoints(2, 4), classes=settings, routers=routers)
+        for server in driver.router.servers.values():
             server.us_per_token, server.sample_count, server.last_answer_us = (
                 1.2 * S / (server_state.PREFILL_OVERHEAD_TOKENS + 3_000),
                 3,
-                drive.now,
+                driver.now,
             )
-        assert (drive.ask(1, traffic_class="patient") is not None) is is_sent
+        assert (driver.submit(1, traffic_class="patient") is not None) is is_sent
 
 
 def test_prefills_in_progress_count_as_future_memory_of_decode_servers() -> None:
     """Once decode servers had memory for one request, all that waited were prefilled at once."""
-    drive = Drive(fleet(4, 1), load_report_mode=contract.LoadReportMode.INLINE, routers=1)
-    decode_server = drive.router.servers["w0"]
+    driver = RouterDriver(
+        make_endpoints(4, 1), load_report_mode=contract.LoadReportMode.INLINE, routers=1
+    )
+    decode_server = driver.router.servers["w0"]
     decode_server.memory_utilization, decode_server.utilization_reported_us = (
         admission.MAX_UTILIZATION - admission.PRIORITY_SPAN - 0.1,
-        drive.now,
+        driver.now,
     )
-    sent = [drive.ask(i, f"s{i}", f"p{i}", prompt_tokens=8_000) is not None for i in range(8)]
+    sent = [driver.submit(i, f"s{i}", f"p{i}", prompt_tokens=8_000) is not None for i in range(8)]
     assert sent[0] and not any(sent[4:]), "the first requests take the reported free memory"
-    assert drive.router.requests.keys() == set(range(8)), "the others wait"
+    assert driver.router.requests.keys() == set(range(8)), "the others wait"
 
 
 def test_an_attempt_that_was_not_sent_does_not_extend_the_time_of_a_held_state() -> None:
     """A server that drained while connecting, or a lack of descriptors, restarted that time."""
-    drive = Drive(release_within_us=300 * MS)
-    drive.ask(1)
-    drive.end(1, AttemptStatus.PREFILLED)
+    driver = RouterDriver(release_within_us=300 * MS)
+    driver.submit(1)
+    driver.end_attempt(1, AttemptStatus.PREFILLED)
     for _ in range(2):
-        assert not [a for a in drive.last if isinstance(a, contract.ReleaseState)]
-        drive.end(1, AttemptStatus.NOT_SENT, 100 * MS)
-    assert [a for a in drive.last if isinstance(a, contract.ReleaseState)], (
+        assert not [a for a in driver.last_actions if isinstance(a, contract.ReleaseState)]
+        driver.end_attempt(1, AttemptStatus.NOT_SENT, 100 * MS)
+    assert [a for a in driver.last_actions if isinstance(a, contract.ReleaseState)], (
         "released before its time is over"
     )
--- a/tests/scheduling/test_settings_families.py
+++ b/tests/scheduling/test_settings_families.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from helpers import MS, Drive, S
+from helpers import MS, RouterDriver, S
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -80,7 +80,7 @@
     )
 
 
-class CheckedDrive(Drive):
+class CheckedRouterDriver(RouterDriver):
     """Records the attempts of every request and checks the rules that hold for any settings."""
 
     def __init__(self, deployment: Deployment) -> None:
@@ -93,7 +93,7 @@
         traffic_class = self.deployment.class_names[number % len(self.deployment.class_names)]
         tenant = "ab"[number % 2]
         deadline_us = self.now + wait_us
-        self.ask(
+        self.submit(
             number,
             f"s{number % 9}",
             f"p{number % 4}",
@@ -118,14 +118,14 @@
         )
         if status is AttemptStatus.PREFILLED and is_decode:
             self.streams.add(number)
-            self.give(
+            self.deliver(
                 contract.StreamStarted(number, len(self.sent[number]) - 1, server, after_us),
                 after_us,
             )
-            self.end(number, AttemptStatus.COMPLETED, after_us, final=True)
+            self.end_attempt(number, AttemptStatus.COMPLETED, after_us, final=True)
         else:
             self.ended.setdefault(number, []).append(status)
-            self.end(number, status, after_us)
+            self.end_attempt(number, status, after_us)
 
     def needs_prefill(self, number: int) -> bool:
         request = self.router.requests.get(number)
@@ -162,27 +162,27 @@
 def test_the_rules_hold_for_any_settings_and_outcomes(
     deployment: Deployment, steps: list[tuple[object, int]]
 ) -> None:
-    drive, number = CheckedDrive(deployment), 0
+    driver, number = CheckedRouterDriver(deployment), 0
     for step, ms in steps:
-        in_flight = drive.in_flight()
+        in_flight = driver.in_flight()
         if step == "ask":
             number += 1
-            drive.add_request(number)
+            driver.add_request(number)
         elif step == "tick" or not in_flight:
-            drive.tick()
+            driver.tick()
         else:
-            drive.end_attempt(
+            driver.end_attempt(
                 in_flight[ms % len(in_flight)],
                 AttemptStatus.PREFILLED if step == "good" else step,  # type: ignore[arg-type]
                 ms * MS,
             )
-        drive.check_rules()
+        driver.check_rules()
     for _ in range(400):  # until all deadlines have passed and every request has its answer
-        for waiting in drive.in_flight():
-            drive.end_attempt(waiting, AttemptStatus.TIMED_OUT, 0)
-        drive.tick()
-    drive.check_rules()
-    assert set(range(1, number + 1)) == drive.answers.keys() | drive.streams
+        for waiting in driver.in_flight():
+            driver.end_attempt(waiting, AttemptStatus.TIMED_OUT, 0)
+        driver.tick()
+    driver.check_rules()
+    assert set(range(1, number + 1)) == driver.answers.keys() | driver.streams
 
 
 @given(deployments(), st.sampled_from(("slow", *FAILED_STATUSES)), st.integers(5, 40))
@@ -191,25 +191,25 @@
     deployment: Deployment, failure: object, requests: int
 ) -> None:
     """After one overload, all dispatchers rejected every request from then on."""
-    drive = CheckedDrive(deployment)
+    driver = CheckedRouterDriver(deployment)
     for number in range(1, requests + 1):
-        drive.add_request(number)
-        drive.tick()
-        for in_flight in drive.in_flight():
-            drive.end_attempt(
+        driver.add_request(number)
+        driver.tick()
+        for in_flight in driver.in_flight():
+            driver.end_attempt(
                 in_flight,
                 AttemptStatus.PREFILLED if failure == "slow" else failure,  # type: ignore[arg-type]
                 1_500 * MS,
             )
-    drive.now += 15 * S
+    driver.now += 15 * S
     for _ in range(40):
-        drive.tick()
+        driver.tick()
     # The rejected share falls with the answers to the requests that are sent.
     for number in range(1_000, 1_300):
-        drive.add_request(number)
+        driver.add_request(number)
         for _ in range(2):
-            drive.tick()
-            for in_flight in drive.in_flight():
-                drive.end_attempt(in_flight, AttemptStatus.PREFILLED, 20 * MS)
-    last = [number for number in range(1_200, 1_300) if number in drive.streams]
+            driver.tick()
+            for in_flight in driver.in_flight():
+                driver.end_attempt(in_flight, AttemptStatus.PREFILLED, 20 * MS)
+    last = [number for number in range(1_200, 1_300) if number in driver.streams]
     assert len(last) >= 10, "requests are not rejected for good"
--- a/tests/scheduling/test_slow_start.py
+++ b/tests/scheduling/test_slow_start.py
@@ -6,8 +6,8 @@
 from dataclasses import replace
 
 import pytest
-from fleets import Fleet
 from helpers import SETTINGS, S
+from simulated_fleet import SimulatedFleet
 
 from onyxpass.scheduling import contract, slow_start
 from onyxpass.scheduling.slow_start import MIN_RATE_AGE_US, SlowStart
@@ -114,13 +114,15 @@
     return [f"r{n:02}" for n in range(1, max(2, prefill_servers // 2))]
 
 
-def fleet_with_slow_start(routers: int, prefill_servers: int, seed: int) -> tuple[Fleet, int]:
+def fleet_with_slow_start(
+    routers: int, prefill_servers: int, seed: int
+) -> tuple[SimulatedFleet, int]:
     """Run a slow start in which servers leave, others disappear and return, and a burst arrives.
 
     Returns the fleet and the time at which the server started.
     """
     rng = random.Random(seed)
-    fleet = Fleet(
+    fleet = SimulatedFleet(
         "r00",
         routers,
         prefill_servers,
@@ -134,10 +136,10 @@
     fleet.run(4 * S)
     fleet.sent.clear()
     started_us = fleet.now
-    fleet.tell(replace(fleet.servers["r00"], started_us=started_us))
+    fleet.update_endpoints(replace(fleet.servers["r00"], started_us=started_us))
     fleet.run(S)
     left = leaving(prefill_servers)
-    fleet.tell(
+    fleet.update_endpoints(
         *(
             replace(fleet.servers[name], condition=contract.EndpointCondition.DRAINING)
             for name in left
@@ -146,7 +148,7 @@
     fleet.run(S)
     remaining = [f"r{n:02}" for n in range(1, prefill_servers) if f"r{n:02}" not in left]
     mixed = [name for name in fleet.servers if name.startswith("m")]
-    fleet.tell(
+    fleet.update_endpoints(
         *(
             replace(fleet.servers[name], condition=contract.EndpointCondition.REMOVED)
             for name in (*remaining, *mixed)
@@ -155,12 +157,12 @@
     fleet.rate *= BURST  # only the server in slow start is left for it
     fleet.run(2 * S)
     fleet.rate /= BURST
-    fleet.tell(*(contract.Endpoint(name, "r", "z0", 0) for name in remaining))
+    fleet.update_endpoints(*(contract.Endpoint(name, "r", "z0", 0) for name in remaining))
     fleet.run(2 * S)
     return fleet, started_us
 
 
-def max_excess(fleet: Fleet, started_us: int, prefill_servers: int) -> float:
+def max_excess(fleet: SimulatedFleet, started_us: int, prefill_servers: int) -> float:
     """Return by how many calls the worst window exceeded the budget; negative if none did.
 
     A warm server can take what each one answered after half of them had left.
--- a/tests/scheduling/test_slow_start_budget.py
+++ b/tests/scheduling/test_slow_start_budget.py
@@ -8,13 +8,13 @@
 from dataclasses import replace
 
 import pytest
-from fleets import Fleet
-from helpers import SETTINGS, Drive, S, fleet
+from helpers import SETTINGS, RouterDriver, S, make_endpoints
+from simulated_fleet import SimulatedFleet
 
 from onyxpass.scheduling import contract
 
 
-def worst_window(fleet: Fleet, since_us: int, rate: float) -> tuple[float, int, float]:
+def worst_window(fleet: SimulatedFleet, since_us: int, rate: float) -> tuple[float, int, float]:
     """Return the excess, the calls and the budget of the window with the largest excess.
 
     ``rate`` is the calls per second that a warm server gets.
@@ -40,7 +40,7 @@
     cold: str, routers: int, prefill_servers: int, rate: float, seed: int
 ) -> None:
     rng = random.Random(seed * 100 + routers)
-    fleet = Fleet(
+    fleet = SimulatedFleet(
         cold,
         routers,
         prefill_servers,
@@ -54,13 +54,13 @@
     fleet.run(2 * S)
     fleet.sent.clear()
     started_us = fleet.now
-    fleet.tell(replace(fleet.servers[cold], started_us=started_us))
+    fleet.update_endpoints(replace(fleet.servers[cold], started_us=started_us))
     fleet.run(1 * S)
-    fleet.restart(0.7)
+    fleet.restart_routers(0.7)
     fleet.run(2 * S)
     # Half of the prefill servers leave, and their traffic moves to the others at once.
     half = [f"r{n:02}" for n in range(1, prefill_servers, 2)]
-    fleet.tell(
+    fleet.update_endpoints(
         *(
             replace(fleet.servers[name], condition=contract.EndpointCondition.DRAINING)
             for name in half
@@ -76,7 +76,7 @@
 
 def test_a_server_in_slow_start_is_not_overloaded_when_nearly_all_others_leave() -> None:
     """The servers that are left get many times their share of the traffic."""
-    fleet = Fleet(
+    fleet = SimulatedFleet(
         "r00",
         200,
         30,
@@ -90,10 +90,10 @@
     fleet.run(2 * S)
     fleet.sent.clear()
     started_us = fleet.now
-    fleet.tell(replace(fleet.servers["r00"], started_us=started_us))
+    fleet.update_endpoints(replace(fleet.servers["r00"], started_us=started_us))
     fleet.run(4 * S)
     names = [f"r{n:02}" for n in range(1, 29)]
-    fleet.tell(
+    fleet.update_endpoints(
         *(
             replace(fleet.servers[name], condition=contract.EndpointCondition.DRAINING)
             for name in names
@@ -108,10 +108,12 @@
 def test_routers_do_not_all_spend_a_saved_up_send_at_once(cold: str) -> None:
     """With 32 routers, each had saved up one send to a new decode server, and all sent at once."""
     started_us, sent, routers = 1_000 * S, 0, 60
-    servers = [replace(s, started_us=started_us if s.id == cold else None) for s in fleet(4, 4, 1)]
+    servers = [
+        replace(s, started_us=started_us if s.id == cold else None) for s in make_endpoints(4, 4, 1)
+    ]
     peers = [s for s in servers if s.kind == cold[0] or (s.kind in "rw" and cold == "m0")]
     for ordinal in range(routers):
-        drive = Drive(
+        driver = RouterDriver(
             servers,
             routers=routers,
             ordinal=ordinal,
@@ -119,21 +121,21 @@
             slow_start_duration_us=12 * S,
         )
         for n in range(20):
-            drive.serve(n, f"s{ordinal}-{n}", f"p{ordinal}-{n}")
+            driver.complete_request(n, f"s{ordinal}-{n}", f"p{ordinal}-{n}")
         leaving = [
             replace(s, condition=contract.EndpointCondition.DRAINING) for s in peers if s.id != cold
         ]
-        drive.give(
+        driver.deliver(
             contract.EndpointUpdate(contract.EndpointUpdateForm.DELTA, tuple(leaving)), 3 * S
         )
-        if drive.ask(1_000 + ordinal, f"t{ordinal}", f"q{ordinal}") not in (None, cold):
-            drive.end(1_000 + ordinal, contract.AttemptStatus.PREFILLED)
-        sent += cold in drive.sent.get(1_000 + ordinal, [])
+        if driver.submit(1_000 + ordinal, f"t{ordinal}", f"q{ordinal}") not in (None, cold):
+            driver.end_attempt(1_000 + ordinal, contract.AttemptStatus.PREFILLED)
+        sent += cold in driver.sent.get(1_000 + ordinal, [])
     half_budget = (
         routers
         * SETTINGS.overload_multiple
         / 2
-        * drive.router.servers[cold].slow_start_factor(drive.now)
+        * driver.router.servers[cold].slow_start_factor(driver.now)
         / 4
     )
     assert sent <= half_budget + math.sqrt(half_budget), (
--- a/tests/scheduling/test_unresponsive_servers.py
+++ b/tests/scheduling/test_unresponsive_servers.py
@@ -7,8 +7,8 @@
 from dataclasses import replace
 
 import pytest
-from fleets import Fleet
 from helpers import MS, S
+from simulated_fleet import SimulatedFleet
 
 from onyxpass.scheduling import contract
 from onyxpass.scheduling.candidates import CandidateFilter
@@ -23,7 +23,7 @@
 SILENT_TIMEOUT_US = 900 * MS  # of an attempt at a silent server
 
 
-class RecordingFleet(Fleet):
+class RecordingFleet(SimulatedFleet):
     """A fleet that records what each router does; servers in ``silent`` answer nothing."""
 
     def __init__(self, routers: int, prefill_servers: int, rate: float, seed: int) -> None:
@@ -34,8 +34,8 @@
         self.last_sent: dict[int, str] = {}
         super().__init__("none", routers, prefill_servers, rate, seed)
 
-    def start(self, n: int) -> None:
-        super().start(n)
+    def start_router(self, n: int) -> None:
+        super().start_router(n)
         self.decisions[n] = []
         original_handle = self.routers[n].handle
 
@@ -53,12 +53,12 @@
                         end = contract.AttemptOutcome(
                             number, attempt, self.last_sent[number], AttemptStatus.CANCELLED, MS
                         )
-                        self.later(MS, n, end)
+                        self.schedule(MS, n, end)
             return actions
 
         self.routers[n].handle = handle  # type: ignore[method-assign]
 
-    def give(self, who: int, event: contract.Event) -> None:
+    def deliver(self, router_index: int, event: contract.Event) -> None:
         if isinstance(event, contract.StreamStarted | contract.AttemptOutcome):
             is_cancelled = (event.id, event.attempt) in self.cancelled
             if is_cancelled and not (
@@ -66,16 +66,16 @@
                 and event.status is AttemptStatus.CANCELLED
             ):
                 return  # the attempt was cancelled before this event
-        super().give(who, event)
+        super().deliver(router_index, event)
 
-    def send(self, router: Router, who: int, number: int, server: str) -> None:
+    def send(self, router: Router, router_index: int, number: int, server: str) -> None:
         if server not in self.silent:
-            super().send(router, who, number, server)
+            super().send(router, router_index, number, server)
             return
         attempt = router.requests[number].attempts - 1
-        self.later(
+        self.schedule(
             SILENT_TIMEOUT_US,
-            who,
+            router_index,
             contract.AttemptOutcome(
                 number, attempt, server, AttemptStatus.TIMED_OUT, SILENT_TIMEOUT_US
             ),
@@ -94,7 +94,9 @@
 
     def answered_since(self, since_us: int) -> float:
         """Return the share answered of the ended requests that arrived since then."""
-        arrived = [n for n, arrival in self.asks.items() if arrival.deadline_us - 6 * S >= since_us]
+        arrived = [
+            n for n, arrival in self.arrivals.items() if arrival.deadline_us - 6 * S >= since_us
+        ]
         ended = [self.answered[n] for n in arrived if n in self.answered]
         return sum(ended) / max(1, len(ended))
 
@@ -112,7 +114,7 @@
     fleet.run(4 * S)
     names = sorted(name for name in fleet.servers if name[0] == kind)
     for outage in range(3):
-        fleet.silent = set(fleet.chance.sample(names, len(names) * 4 // 5))
+        fleet.silent = set(fleet.random.sample(names, len(names) * 4 // 5))
         fleet.run(3 * S)
         fleet.silent = set()
         fleet.run(6 * S)
@@ -131,7 +133,7 @@
     fleet = RecordingFleet(routers, 10, 20.0 * routers, 2)
     fleet.run(3 * S)
     for name in sorted(fleet.servers)[::2]:
-        fleet.tell(replace(fleet.servers[name], started_us=fleet.now))
+        fleet.update_endpoints(replace(fleet.servers[name], started_us=fleet.now))
         fleet.run(300 * MS)
     fleet.run(8 * S)
     assert len(fleet.idle()) <= routers // 10
--- a/tests/fleets.py
+++ b/tests/simulated_fleet.py
@@ -12,10 +12,14 @@
 from onyxpass.scheduling import contract
 from onyxpass.scheduling.router import Router
 
-READ_US, FIRST_US, REST_US = 80 * MS, 60 * MS, 900 * MS  # of an answer, where servers are quick
+PREFILL_US, FIRST_TOKEN_US, STREAM_US = (
+    80 * MS,
+    60 * MS,
+    900 * MS,
+)  # of an answer, where servers are quick
 
 
-class Fleet:
+class SimulatedFleet:
     """Routers with uneven traffic before servers that answer all; counts the sends to one of
     them.
     """
@@ -23,7 +27,7 @@
     def __init__(
         self, cold: str, routers: int, readers: int, rate: float, seed: int, **settings: object
     ) -> None:
-        self.cold, self.chance = cold, random.Random(seed)
+        self.cold, self.random = cold, random.Random(seed)
         self.settings = [
             replace(
                 SETTINGS,
@@ -42,96 +46,102 @@
         }
         self.now, self.order = 1_000 * S, count()
         self.events: list[tuple[int, int, int, contract.Event]] = []
-        self.weights = [self.chance.lognormvariate(0, 0.8) for _ in range(routers)]
-        self.rate, self.numbers, self.asks = rate, count(1), dict[int, contract.Arrival]()
+        self.weights = [self.random.lognormvariate(0, 0.8) for _ in range(routers)]
+        self.rate, self.numbers, self.arrivals = rate, count(1), dict[int, contract.Arrival]()
         self.answered: dict[int, bool] = {}  # whether an answer began
         self.sent: list[int] = []  # to the cold one: when
         self.routers: list[Router] = []
         for n in range(routers):
-            self.start(n)
-        self.beginnings = [f"p{n}" for n in range(readers)]
+            self.start_router(n)
+        self.prefixes = [f"p{n}" for n in range(readers)]
 
-    def start(self, n: int) -> None:
-        self.routers[n : n + 1] = [Router(self.settings[n], self.chance.randrange(2**32))]
-        self.give(
+    def start_router(self, n: int) -> None:
+        self.routers[n : n + 1] = [Router(self.settings[n], self.random.randrange(2**32))]
+        self.deliver(
             n,
             contract.EndpointUpdate(
                 contract.EndpointUpdateForm.COMPLETE, tuple(self.servers.values()), 1
             ),
         )
 
-    def tell(self, *servers: contract.Endpoint) -> None:
+    def update_endpoints(self, *servers: contract.Endpoint) -> None:
         self.servers.update({server.id: server for server in servers})
         for n in range(len(self.routers)):
-            self.give(n, contract.EndpointUpdate(contract.EndpointUpdateForm.DELTA, servers, 2))
+            self.deliver(n, contract.EndpointUpdate(contract.EndpointUpdateForm.DELTA, servers, 2))
 
-    def later(self, us: int, who: int, event: contract.Event) -> None:
-        heapq.heappush(self.events, (self.now + us, next(self.order), who, event))
+    def schedule(self, us: int, router_index: int, event: contract.Event) -> None:
+        heapq.heappush(self.events, (self.now + us, next(self.order), router_index, event))
 
     def run(self, for_us: int) -> None:
         until = self.now + for_us
         while True:
-            gap_us = round(self.chance.expovariate(self.rate) * S)
+            gap_us = round(self.random.expovariate(self.rate) * S)
             while self.events and self.events[0][0] <= min(until, self.now + gap_us):
-                self.now, _, who, event = heapq.heappop(self.events)
-                self.give(who, event)
-                gap_us = round(self.chance.expovariate(self.rate) * S)  # arrivals have no memory
+                self.now, _, router_index, event = heapq.heappop(self.events)
+                self.deliver(router_index, event)
+                gap_us = round(self.random.expovariate(self.rate) * S)  # arrivals have no memory
             if self.now + gap_us > until:
                 self.now = until
                 return
             self.now += gap_us
-            (who,) = self.chance.choices(range(len(self.routers)), self.weights)
-            ask = self.ask(next(self.numbers))
-            self.asks[ask.id] = ask
-            self.give(who, ask)
-
-    def ask(self, number: int) -> contract.Arrival:
-        begin = self.beginnings[int(len(self.beginnings) * self.chance.random() ** 2)]
-        session = f"s{self.chance.randrange(2000)}"
+            (router_index,) = self.random.choices(range(len(self.routers)), self.weights)
+            ask = self.make_arrival(next(self.numbers))
+            self.arrivals[ask.id] = ask
+            self.deliver(router_index, ask)
+
+    def make_arrival(self, number: int) -> contract.Arrival:
+        begin = self.prefixes[int(len(self.prefixes) * self.random.random() ** 2)]
+        session = f"s{self.random.randrange(2000)}"
         return contract.Arrival(number, "light", session, self.now + 6 * S, 2000, 200, begin, 1200)
 
-    def read_us(self, server: str, tokens: int) -> int:
+    def prefill_us(self, server: str, tokens: int) -> int:
         """How long a read that is sent now takes."""
-        return READ_US
+        return PREFILL_US
 
-    def give(self, who: int, event: contract.Event) -> None:
-        router = self.routers[who]
+    def deliver(self, router_index: int, event: contract.Event) -> None:
+        router = self.routers[router_index]
         if isinstance(event, contract.StreamStarted):
             self.answered[event.id] = True
         for action in router.handle(self.now, event):
             match action:
                 case contract.SendAttempt(number, server, _):
-                    self.send(router, who, number, server)
+                    self.send(router, router_index, number, server)
                 case contract.SetTimer(ref, delay_us):
-                    self.later(delay_us, who, contract.TimerFired(ref))
+                    self.schedule(delay_us, router_index, contract.TimerFired(ref))
                 case contract.Reject(number) | contract.Fail(number):
                     self.answered[number] = False
                 case contract.HealthCheck(server):
-                    self.later(2 * MS, who, contract.HealthCheckResult(server, True, 2 * MS))
+                    self.schedule(
+                        2 * MS, router_index, contract.HealthCheckResult(server, True, 2 * MS)
+                    )
 
-    def send(self, router: Router, who: int, number: int, server: str) -> None:
+    def send(self, router: Router, router_index: int, number: int, server: str) -> None:
         attempt = router.requests[number].attempts - 1
         if server == self.cold:
             self.sent.append(self.now)
         if router.requests[number].state_holder is None and not server.startswith("w"):
-            us = self.read_us(server, router.requests[number].arrival.prompt_tokens)
-            self.later(
+            us = self.prefill_us(server, router.requests[number].arrival.prompt_tokens)
+            self.schedule(
                 us,
-                who,
+                router_index,
                 contract.AttemptOutcome(
                     number, attempt, server, contract.AttemptStatus.PREFILLED, us
                 ),
             )
             return
-        self.later(FIRST_US, who, contract.StreamStarted(number, attempt, server, FIRST_US))
+        self.schedule(
+            FIRST_TOKEN_US,
+            router_index,
+            contract.StreamStarted(number, attempt, server, FIRST_TOKEN_US),
+        )
         end = contract.AttemptOutcome(
-            number, attempt, server, contract.AttemptStatus.COMPLETED, REST_US, True
+            number, attempt, server, contract.AttemptStatus.COMPLETED, STREAM_US, True
         )
-        self.later(REST_US, who, end)
+        self.schedule(STREAM_US, router_index, end)
 
-    def restart(self, share: float) -> None:
+    def restart_routers(self, share: float) -> None:
         """Processes that start anew know nothing but the list, and have no request."""
-        for n in self.chance.sample(range(len(self.routers)), round(share * len(self.routers))):
+        for n in self.random.sample(range(len(self.routers)), round(share * len(self.routers))):
             self.events = [event for event in self.events if event[2] != n]
             heapq.heapify(self.events)
-            self.start(n)
+            self.start_router(n)
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -13,7 +13,7 @@
 from onyxpass.testbed.store import RespStore
 
 
-def put(writer: asyncio.StreamWriter, **message: Any) -> None:
+def send_message(writer: asyncio.StreamWriter, **message: Any) -> None:
     writer.write(json.dumps({"jsonrpc": "2.0", **message}).encode() + b"\n")
 
 
@@ -22,133 +22,139 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.notes: list[dict[str, Any]] = []
-        self.asked: list[dict[str, Any]] = []
+        self.notifications: list[dict[str, Any]] = []
+        self.requests: list[dict[str, Any]] = []
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while line := await reader.readline():
             message = json.loads(line)
-            (self.asked if "id" in message else self.notes).append(message)
-            await self.hear(message, reader, writer)
+            (self.requests if "id" in message else self.notifications).append(message)
+            await self.handle_message(message, reader, writer)
 
-    async def hear(
+    async def handle_message(
         self, message: dict[str, Any], reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         raise NotImplementedError
 
     def count(self, method: str) -> int:
-        return sum(m.get("method") == method for m in self.asked)
+        return sum(m.get("method") == method for m in self.requests)
 
 
-class Reader(LineServer):
+class PrefillServer(LineServer):
     """Answers reads as ``ends`` says, one after another; then well."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.ends: list[dict[str, Any]] = []
+        self.prefill_replies: list[dict[str, Any]] = []
         self.released: list[str] = []
 
-    async def hear(
+    async def handle_message(
         self, message: dict[str, Any], reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         if message.get("method") == "read":
-            end = self.ends.pop(0) if self.ends else {"result": {"cached_tokens": 7}}
+            end = (
+                self.prefill_replies.pop(0)
+                if self.prefill_replies
+                else {"result": {"cached_tokens": 7}}
+            )
             if end:  # an empty one: silence
-                put(writer, id=message["id"], **end)
+                send_message(writer, id=message["id"], **end)
         elif message.get("method") == "release":
             self.released.append(message["params"]["request"])
-            put(writer, id=message["id"], result={})
+            send_message(writer, id=message["id"], result={})
 
 
-Step = Callable[["Writer", asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+Step = Callable[["DecodeServer", asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
-class Writer(LineServer):
+class DecodeServer(LineServer):
     """Plays ``steps`` on each stream; what comes back for its calls is in ``results``."""
 
     def __init__(self, *steps: Step) -> None:
         super().__init__()
         self.steps = steps
         self.results: list[dict[str, Any]] = []
-        self.hold = asyncio.Event()
+        self.abort_event = asyncio.Event()
 
-    async def hear(
+    async def handle_message(
         self, message: dict[str, Any], reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         if message.get("method") != "write":
             if "id" in message and "method" in message:
-                put(writer, id=message["id"], result={})
+                send_message(writer, id=message["id"], result={})
             return
         for step in self.steps:
             await step(self, reader, writer)
-        put(writer, id=message["id"], result={"finish": "stop"})
+        send_message(writer, id=message["id"], result={"finish": "stop"})
 
-    async def heard(self, reader: asyncio.StreamReader) -> dict[str, Any]:
+    async def receive(self, reader: asyncio.StreamReader) -> dict[str, Any]:
         line = await reader.readline()
         if not line:
             raise ConnectionResetError
         message: dict[str, Any] = json.loads(line)
         if "method" in message:
-            self.notes.append(message)
+            self.notifications.append(message)
         return message
 
 
-def say(text: str) -> Step:
+def send_text(text: str) -> Step:
     async def step(
-        self: Writer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        self: DecodeServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        put(writer, method="text", params={"text": text})
+        send_message(writer, method="text", params={"text": text})
 
     return step
 
 
-def call(id: str | int, name: str = "book_out", wait: bool = True) -> Step:
+def call_tool(id: str | int, name: str = "book_out", wait: bool = True) -> Step:
     async def step(
-        self: Writer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        self: DecodeServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        put(
+        send_message(
             writer,
             id=id,
             method="tools/call",
             params={"name": name, "arguments": {"part": "hv-board"}},
         )
         if wait:
-            self.results.append(await self.heard(reader))
+            self.results.append(await self.receive(reader))
 
     return step
 
 
-def raw(line: bytes) -> Step:
+def send_line(line: bytes) -> Step:
     async def step(
-        self: Writer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        self: DecodeServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         writer.write(line + b"\n")
 
     return step
 
 
-async def hear_one(
-    self: Writer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+async def receive_one(
+    self: DecodeServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
-    self.results.append(await self.heard(reader))
+    self.results.append(await self.receive(reader))
 
 
-async def die_when_told(
-    self: Writer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+async def abort_on_event(
+    self: DecodeServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
     """Hold on till the test lets go; then break the connection."""
-    await self.hold.wait()
+    await self.abort_event.wait()
     writer.transport.abort()
     raise ConnectionResetError
 
 
-async def hold_on(self: Writer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def read_until_closed(
+    self: DecodeServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+) -> None:
     """Say nothing till the other side closes; what it sends before is kept."""
     while True:
-        await self.heard(reader)
+        await self.receive(reader)
 
 
-class Ledger(LineServer):
+class ToolServer(LineServer):
     """The tool server. ``ledger`` holds every call that ever reached it, in order."""
 
     def __init__(self) -> None:
@@ -157,16 +163,16 @@
         self.answers: dict[str, dict[str, Any]] = {}  # by tool name, in place of the usual result
         self.release = asyncio.Event()
         self.release.set()  # cleared: results wait
-        self.garbage = False
+        self.replies_garbage = False
         self.waiting: set[asyncio.Task[None]] = set()
 
-    async def hear(
+    async def handle_message(
         self, message: dict[str, Any], reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         if message.get("method") != "tools/call":
             return
         self.ledger.append(message["id"])
-        if self.garbage:
+        if self.replies_garbage:
             writer.write(b"%% not json %%\n")
             return
         answer = self.answers.get(
@@ -178,7 +184,7 @@
 
     async def _later(self, writer: asyncio.StreamWriter, id: str, answer: dict[str, Any]) -> None:
         await self.release.wait()
-        put(writer, id=id, **answer)
+        send_message(writer, id=id, **answer)
 
 
 class Client:
@@ -210,7 +216,7 @@
 
     def generate(self, id: str | int, traffic_class: str = "stock-booking", **params: Any) -> None:
         given = {"class": traffic_class, "session": "s1", "prompt": "book out one board", **params}
-        put(self.writer, id=id, method="generate", params=given)
+        send_message(self.writer, id=id, method="generate", params=given)
 
     async def response(self, id: str | int | None) -> dict[str, Any]:
         await until(lambda: any(r.get("id") == id for r in self.responses))
@@ -221,4 +227,12 @@
         await asyncio.wait([self.task])
 
 
-__all__ = ["Client", "Ledger", "Reader", "RespStore", "Server", "Writer", "until"]
+__all__ = [
+    "Client",
+    "DecodeServer",
+    "PrefillServer",
+    "RespStore",
+    "Server",
+    "ToolServer",
+    "until",
+]
--- a/tests/support/dispatcher_bed.py
+++ b/tests/support/dispatcher_bed.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from helpers import SETTINGS, fleet
+from helpers import SETTINGS, make_endpoints
 
 from onyxpass.core.clock import Clock
 from onyxpass.core.dispatcher import RequestDispatcher
@@ -11,7 +11,7 @@
 from onyxpass.scheduling import contract
 
 
-class HandClock(Clock):
+class ManualClock(Clock):
     """A clock that stands until it is moved."""
 
     def __init__(self) -> None:
@@ -26,7 +26,7 @@
     """A fleet that does nothing by itself, and notes what it is asked to do."""
 
     def __init__(self) -> None:
-        self.did: list[tuple[str, Any]] = []
+        self.calls: list[tuple[str, Any]] = []
         self.started: list[Attempt] = []
 
     def start(self, attempt: Attempt) -> None:
@@ -35,27 +35,27 @@
 
     def stop(self, attempt: Attempt) -> None:
         """Note the stop."""
-        self.did.append(("stop", attempt.number))
+        self.calls.append(("stop", attempt.number))
 
     def release(self, request: Request, prefill_interrupted: bool) -> None:
         """Note the release."""
-        self.did.append(("release", prefill_interrupted))
+        self.calls.append(("release", prefill_interrupted))
 
     def check_health(self, server: str) -> None:
         """Note the health check."""
-        self.did.append(("probe", server))
+        self.calls.append(("probe", server))
 
 
 class FakeClient:
     """A client that notes its final answers."""
 
     def __init__(self) -> None:
-        self.finals: list[str] = []
-        self.left = False  # by the kernel's word
+        self.final_answers: list[str] = []
+        self.disconnected = False  # by the kernel's word
 
     def has_disconnected(self) -> bool:
         """Return whether the test had it leave."""
-        return self.left
+        return self.disconnected
 
     async def forward(self, event: bytes) -> None:
         """Fail: no stream comes this far."""
@@ -63,22 +63,22 @@
 
     def complete(self) -> None:
         """Note the answer."""
-        self.finals.append("finish")
+        self.final_answers.append("finish")
 
     def abort(self, reason: str) -> None:
         """Note the answer."""
-        self.finals.append("cut")
+        self.final_answers.append("cut")
 
     def reject(self, retry_after_us: int) -> None:
         """Note the answer."""
-        self.finals.append("refuse")
+        self.final_answers.append("refuse")
 
     def fail(self, reason: str, late: bool) -> None:
         """Note the answer."""
-        self.finals.append("late" if late else "fail")
+        self.final_answers.append("late" if late else "fail")
 
 
-class Script:
+class ScriptedRouter:
     """A module that does what the test says."""
 
     def __init__(self) -> None:
@@ -91,18 +91,18 @@
         return self.answers.pop(0) if self.answers else []
 
 
-class Bed:
+class DispatcherBed:
     """A dispatcher between a scripted router, a fake fleet and a fake client."""
 
     def __init__(self) -> None:
-        self.clock = HandClock()
+        self.clock = ManualClock()
         self.wheel = TimerWheel(self.clock)
         self.core = RequestDispatcher(SETTINGS, 1, self.clock, self.wheel)
-        self.fleet, self.script, self.client = FakeFleet(), Script(), FakeClient()
+        self.fleet, self.script, self.client = FakeFleet(), ScriptedRouter(), FakeClient()
         self.core.connect_fleet(self.fleet)  # type: ignore[arg-type]
         self.core.router = self.script  # type: ignore[assignment]
         self.core.update_endpoints(
-            contract.EndpointUpdate(contract.EndpointUpdateForm.COMPLETE, fleet())
+            contract.EndpointUpdate(contract.EndpointUpdateForm.COMPLETE, make_endpoints())
         )
         self.step([])
 
@@ -116,7 +116,7 @@
             except RuntimeError:
                 self.core.recover(message)
 
-    def ask(
+    def submit(
         self, *actions: contract.Action, traffic_class: str = "once", wait_us: int = 1_000_000
     ) -> Request:
         """Submit a request, and answer its arrival with these actions."""
@@ -125,7 +125,7 @@
         self.step(list(actions))
         return request
 
-    def later(self, us: int) -> None:
+    def advance(self, us: int) -> None:
         """Move the clock, and fire what is due."""
         self.clock.us += us
         self.wheel.advance()
--- a/tests/support/simulator_settings.py
+++ b/tests/support/simulator_settings.py
@@ -1,6 +1,6 @@
 """Settings of one instance, as the simulator's wire has them."""
 
-CONF = {
+WIRE_SETTINGS = {
     "az": "z0",
     "peersTotal": 2,
     "grades": [
--- a/tests/test_client_time.py
+++ b/tests/test_client_time.py
@@ -14,8 +14,8 @@
 
 import pytest
 import test_toolcalls
+from cluster import PREFILLED, STREAM, Cluster, Replica, chat_request, running_cluster
 from standins import until
-from world import READ, STREAM, Replica, World, ask, world
 
 from onyxpass.core import event_loop
 from onyxpass.core.dispatcher import ANSWER_MARGIN_US, RequestDispatcher
@@ -54,7 +54,7 @@
 
 
 @contextmanager
-def connected(w: World) -> Iterator[socket.socket]:
+def connected(w: Cluster) -> Iterator[socket.socket]:
     """Yield a client that is closed even if the test fails.
 
     Otherwise the end of the dispatcher would wait for it.
@@ -68,10 +68,10 @@
 
 def test_the_time_in_the_accept_queue_counts_as_the_clients_time() -> None:
     async def go() -> None:
-        async with world([Replica(READ)], [Replica(STREAM)]) as w:
+        async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             found, clock = deadlines(w.dispatcher.core), w.dispatcher.clock
             with connected(w) as client:
-                client.sendall(ask("a1", ms=WAIT_MS))
+                client.sendall(chat_request("a1", ms=WAIT_MS))
                 sent_us = clock.now_us()
                 # the event loop has no turn: the connection waits in the kernel
                 time.sleep(STALL_S)
@@ -83,17 +83,17 @@
 
 def test_the_time_unread_on_an_open_connection_counts_as_the_clients_time() -> None:
     async def go() -> None:
-        async with world([Replica(READ)], [Replica(STREAM)]) as w:
+        async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             found, clock = deadlines(w.dispatcher.core), w.dispatcher.clock
             with connected(w) as client:
-                client.sendall(ask("a1", ms=WAIT_MS))
+                client.sendall(chat_request("a1", ms=WAIT_MS))
                 await answer(client)
                 await until(
                     lambda: all(
                         c.stage is Stage.IDLE for c in w.dispatcher.front.connections.values()
                     )
                 )
-                client.sendall(ask("a2", ms=WAIT_MS))
+                client.sendall(chat_request("a2", ms=WAIT_MS))
                 sent_us = clock.now_us()
                 time.sleep(STALL_S)
                 await until(lambda: len(found) == 2)
@@ -104,13 +104,13 @@
 
 def test_idle_time_before_a_request_does_not_count() -> None:
     async def go() -> None:
-        async with world([Replica(READ)], [Replica(STREAM)]) as w:
+        async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             found, clock = deadlines(w.dispatcher.core), w.dispatcher.clock
             await asyncio.sleep(2 * STALL_S)
             with connected(w) as client:
                 await asyncio.sleep(2 * STALL_S)
                 sent_us = clock.now_us()
-                client.sendall(ask("a1", ms=WAIT_MS))
+                client.sendall(chat_request("a1", ms=WAIT_MS))
                 assert (await answer(client)).startswith(b"HTTP/1.1 200")
             assert found[0] >= sent_us + WAIT_MS * 1000 - ANSWER_MARGIN_US - STALL_S * 1_000_000
 
@@ -199,12 +199,12 @@
 
 def test_a_request_that_arrives_as_its_connection_times_out_is_answered() -> None:
     async def go() -> None:
-        async with world([Replica(READ)], [Replica(STREAM)]) as w:
+        async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             opened = w.dispatcher.front.connections
             with connected(w) as client:
                 await until(lambda: [c.wait_timeout is not None for c in opened.values()] == [True])
                 (connection,) = opened.values()
-                client.sendall(ask("a1"))
+                client.sendall(chat_request("a1"))
                 assert connection.wait_timeout is not None
                 connection.wait_timeout.expire()  # before the event loop has had a turn to read it
                 assert (await answer(client)).startswith(b"HTTP/1.1 200")
@@ -216,14 +216,14 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def go() -> None:
-        async with world([Replica(READ)], [Replica(STREAM)]) as w:
+        async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
 
             def fails(*_: object) -> None:
                 raise RuntimeError("planted")
 
             monkeypatch.setattr(front, "read_arrival", fails)
             with connected(w) as client:
-                client.sendall(ask("a1"))
+                client.sendall(chat_request("a1"))
                 assert (await answer(client)).startswith(b"HTTP/1.1 500")
 
     run(go)
@@ -233,14 +233,14 @@
     """Connections without a request, or with half of one, hold every slot; each request still ends."""
 
     async def go() -> None:
-        async with world([Replica(READ)], [Replica(STREAM)]) as w:
+        async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             w.dispatcher.front.max_connections = 8
             crowd = []
             answers = []
             for number in range(40):
                 for text in (b"", b"POST /v1/chat HTTP/1.1\r\nHost"):
                     crowd.append(await w.send(text))
-                answers.append(asyncio.create_task(w.ask(f"a{number}", ms=20_000)))
+                answers.append(asyncio.create_task(w.request(f"a{number}", ms=20_000)))
                 await asyncio.sleep(0.02)
             ends = [answer[9:12] for answer in await asyncio.gather(*answers)]
             assert set(ends) <= {b"200", b"503"} and ends.count(b"200") >= 35
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -6,7 +6,7 @@
 import socket
 
 import h11
-from world import READ, STREAM, Replica, ask, run, world
+from cluster import PREFILLED, STREAM, Replica, chat_request, run_async, running_cluster
 
 from onyxpass.net.http import HttpConnection
 from onyxpass.net.listen import Listener
@@ -24,8 +24,8 @@
 
 def test_small_writes_are_not_delayed_by_the_kernel_on_either_side() -> None:
     async def go() -> None:
-        async with world([Replica(READ)], [Replica(STREAM)]) as w:
-            reader, writer = await w.send(ask("a1"))
+        async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
+            reader, writer = await w.send(chat_request("a1"))
             await reader.readuntil(b"\r\n0\r\n\r\n")
             clients = [peer.wire for peer in w.dispatcher.front.connections.values()]
             kept = [
@@ -45,4 +45,4 @@
                 adopted.abort()
             inherited.close()
 
-    run(go)
+    run_async(go)
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -10,15 +10,27 @@
 
 import pytest
 import test_toolcalls
+from cluster import (
+    CHUNKS,
+    HEAD,
+    PREFILLED,
+    STREAM,
+    Cluster,
+    Discovery,
+    Replica,
+    chat_request,
+    hold_last_chunk,
+    run_async,
+    running_cluster,
+)
 from standins import until
 from test_program import RAW, ROOT
-from world import CHUNKS, HEAD, READ, STREAM, Discovery, Replica, World, ask, ends_with, run, world
 
 from onyxpass.net.connections import Stage
 from onyxpass.scheduling import contract
 
 
-def raw_client(w: World, text: bytes = b"") -> socket.socket:
+def raw_client(w: Cluster, text: bytes = b"") -> socket.socket:
     """Return a client socket outside the event loop.
 
     What it does is in the kernel before the dispatcher has a turn.
@@ -42,7 +54,7 @@
 # Disconnects
 
 
-def hold_connects(w: World, name: str) -> tuple[asyncio.Event, asyncio.Event]:
+def hold_connects(w: Cluster, name: str) -> tuple[asyncio.Event, asyncio.Event]:
     """Hold connections to a server after they are established.
 
     The first event tells that one is up, the second lets it go on.
@@ -64,9 +76,9 @@
 @pytest.mark.parametrize("at", ["r0", "w0"])
 def test_nothing_is_sent_for_a_client_that_left_during_the_connect(at: str) -> None:
     async def go() -> None:
-        async with world([Replica(READ)], [Replica(STREAM)]) as w:
+        async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             up, go_on = hold_connects(w, at)
-            client = raw_client(w, ask("a1"))
+            client = raw_client(w, chat_request("a1"))
             await up.wait()
             client.close()
             go_on.set()  # in the same step, so the event loop has not seen the close
@@ -79,17 +91,17 @@
             if at == "w0":
                 await until(lambda: w.readers[0].leases or w.writers[0].leases)
 
-    run(go)
+    run_async(go)
 
 
 def test_nothing_is_sent_for_clients_that_send_and_disconnect_at_once() -> None:
     async def go() -> None:
-        async with world([Replica(READ)], [Replica(STREAM)]) as w:
+        async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             # connections are reused, so no connect gives the event loop time
-            assert b" 200 " in await w.ask("warm")
+            assert b" 200 " in await w.request("warm")
             for n in range(200):
-                raw_client(w, ask(f"a{n}")).close()
-            assert b" 200 " in await w.ask("true")
+                raw_client(w, chat_request(f"a{n}")).close()
+            assert b" 200 " in await w.request("true")
             await until(
                 lambda: (
                     not w.dispatcher.core.registry.by_number and not w.dispatcher.front.connections
@@ -97,15 +109,15 @@
             )
             assert len(w.readers[0].heads) == len(w.writers[0].heads) == 2
 
-    run(go)
+    run_async(go)
 
 
 def test_nothing_is_sent_for_a_client_that_left_while_queued() -> None:
     async def go() -> None:
-        async with world([Replica(READ)], [Replica(STREAM)]) as w:
+        async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             core = w.dispatcher.core
             core.router._begin = lambda request: False  # type: ignore[method-assign]
-            client = raw_client(w, ask("a1"))
+            client = raw_client(w, chat_request("a1"))
             await until(lambda: core.router.requests)
             del core.router._begin
             client.close()
@@ -114,7 +126,7 @@
             await until(lambda: not core.registry.by_number)
             assert not w.readers[0].heads and not w.readers[0].connections
 
-    run(go)
+    run_async(go)
 
 
 def test_nothing_is_sent_for_a_json_rpc_client_that_left_during_the_connect() -> None:
@@ -141,15 +153,15 @@
             await until(lambda: core.metrics.received and not core.registry.by_number)
             assert not any(reader.count("read") for reader in w.readers)
 
-    run(go)
+    run_async(go)
 
 
 # Closing
 
 
-async def idle_client(w: World) -> socket.socket:
+async def idle_client(w: Cluster) -> socket.socket:
     """Return a client that has received its answer and keeps its connection open."""
-    client = raw_client(w, ask("a1"))
+    client = raw_client(w, chat_request("a1"))
     assert b"[DONE]" in await received(client, b"\r\n0\r\n\r\n")
     await until(lambda: all(p.stage is Stage.IDLE for p in w.dispatcher.front.connections.values()))
     return client
@@ -157,39 +169,41 @@
 
 def test_a_request_that_crosses_the_close_of_its_idle_connection_is_not_forwarded() -> None:
     async def go() -> None:
-        async with world([Replica(READ)], [Replica(STREAM)]) as w:
+        async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             client = await idle_client(w)
             w.dispatcher.front.close_idle()
             assert await received(client) == b"", "the close is seen"
             client.setblocking(True)
-            client.sendall(ask("a2"))
+            client.sendall(chat_request("a2"))
             await until(lambda: not w.dispatcher.front.connections)
             assert len(w.readers[0].heads) == 1
             client.close()
 
-    run(go)
+    run_async(go)
 
 
 def test_a_request_that_has_arrived_when_its_idle_connection_is_closed_is_answered() -> None:
     async def go() -> None:
-        async with world([Replica(READ)], [Replica(STREAM)]) as w:
+        async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             client = await idle_client(w)
             client.setblocking(True)
-            client.sendall(ask("a2"))
+            client.sendall(chat_request("a2"))
             w.dispatcher.front.closing = True
             w.dispatcher.front.close_idle()
             answer = await received(client)
             assert answer.startswith(b"HTTP/1.1 200") and b"connection: close" in answer.lower()
             client.close()
 
-    run(go)
+    run_async(go)
 
 
 def test_a_request_that_arrived_as_the_previous_answer_ended_is_answered_at_shutdown() -> None:
     async def go() -> None:
         hold, held, go_on = asyncio.Event(), asyncio.Event(), asyncio.Event()
-        async with world([Replica(READ)], [Replica(ends_with(hold), STREAM)]) as w:
-            client = raw_client(w, ask("a1"))
+        async with running_cluster(
+            [Replica(PREFILLED)], [Replica(hold_last_chunk(hold), STREAM)]
+        ) as w:
+            client = raw_client(w, chat_request("a1"))
             await received(client, b"[DONE]")
             (peer,) = w.dispatcher.front.connections.values()
             assert peer.wire is not None
@@ -203,12 +217,12 @@
             await held.wait()  # the answer was written, and its end is in transit
             w.dispatcher.front.closing = True
             client.setblocking(True)
-            client.sendall(ask("a2"))
+            client.sendall(chat_request("a2"))
             go_on.set()
             assert b"HTTP/1.1 200" in await received(client)
             client.close()
 
-    run(go)
+    run_async(go)
 
 
 def test_unread_bytes_do_not_discard_the_end_of_an_answer() -> None:
@@ -228,11 +242,11 @@
         ) -> None:
             writer.write(stream)
 
-        async with world([Replica(READ)], [Replica(answer)]) as w:
+        async with running_cluster([Replica(PREFILLED)], [Replica(answer)]) as w:
             client = socket.socket()
             client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             client.connect(("127.0.0.1", w.port))
-            client.sendall(ask("a1", close=True))
+            client.sendall(chat_request("a1", close=True))
             await until(
                 lambda: (
                     any(p.stage is Stage.LEAVING for p in w.dispatcher.front.connections.values())
@@ -246,7 +260,7 @@
             assert (await received(client)).endswith(b"0\r\n\r\n")
             client.close()
 
-    run(go)
+    run_async(go)
 
 
 # Shutdown
@@ -254,8 +268,8 @@
 
 def test_connections_queued_when_the_listener_closes_are_answered() -> None:
     async def go() -> None:
-        async with world([Replica(READ)], [Replica(STREAM)]) as w:
-            clients = [raw_client(w, ask(f"a{n}")) for n in range(30)]
+        async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
+            clients = [raw_client(w, chat_request(f"a{n}")) for n in range(30)]
             w.dispatcher.front.closing = True
             # before the event loop has had a turn to accept one
             await w.dispatcher.front.finish_accepting()
@@ -264,13 +278,13 @@
                 assert answer.startswith(b"HTTP/1.1 200") and b"connection: close" in answer.lower()
                 client.close()
 
-    run(go)
+    run_async(go)
 
 
 def test_partial_requests_at_shutdown_are_answered_once_complete_and_refused_if_late() -> None:
     async def go() -> None:
-        async with world([Replica(READ)], [Replica(STREAM)]) as w:
-            text = ask("a1", text=b'{"k": "%b"}' % (b"v" * 400))
+        async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
+            text = chat_request("a1", text=b'{"k": "%b"}' % (b"v" * 400))
             halves = [(raw_client(w, text[:cut]), text[cut:]) for cut in (9, len(text) - 100)]
             opened = w.dispatcher.front.connections
             await until(lambda: [p.stage for p in opened.values()] == [Stage.READING] * 2)
@@ -287,7 +301,7 @@
             for client, _ in halves:
                 client.close()
 
-    run(go)
+    run_async(go)
 
 
 def test_repeated_signals_change_nothing_and_a_signal_before_ready_ends_the_process(
@@ -295,7 +309,7 @@
 ) -> None:
     async def go() -> None:
         hold = asyncio.Event()
-        d, reader, writer = Discovery(), Replica(READ), Replica(ends_with(hold))
+        d, reader, writer = Discovery(), Replica(PREFILLED), Replica(hold_last_chunk(hold))
         for part in (d, reader, writer):
             await part.start()
         d.hosts += [d.entry("r0", "r", reader.address), d.entry("w0", "w", writer.address)]
@@ -319,7 +333,7 @@
             streams = None
             if address == d.address:
                 streams = await asyncio.open_connection("127.0.0.1", port)
-                streams[1].write(ask("a1", "a"))
+                streams[1].write(chat_request("a1", "a"))
                 await streams[0].readuntil(b"[DONE]")
             for number in (
                 signal.SIGTERM,
@@ -339,7 +353,7 @@
         for part in (d, reader, writer):
             await part.stop()
 
-    run(go)
+    run_async(go)
 
 
 def test_a_shutdown_with_hanging_servers_ends_and_answers_every_request() -> None:
@@ -347,8 +361,8 @@
         async def hangs(self: Replica, reader: Any, writer: Any, _: bytes) -> None:
             await reader.read()
 
-        async with world([Replica(hangs)], [Replica(STREAM)]) as w:
-            clients = [raw_client(w, ask(f"a{n}", ms=60_000)) for n in range(3)]
+        async with running_cluster([Replica(hangs)], [Replica(STREAM)]) as w:
+            clients = [raw_client(w, chat_request(f"a{n}", ms=60_000)) for n in range(3)]
             await until(lambda: len(w.readers[0].heads) == 3)
             await w.dispatcher.stop()
             for client in clients:
@@ -359,7 +373,7 @@
                 client.close()
             assert len(w.readers[0].heads) == 3 and not w.dispatcher.front.connections
 
-    run(go)
+    run_async(go)
 
 
 def test_the_json_rpc_front_answers_queued_connections_as_it_closes() -> None:
@@ -389,4 +403,4 @@
             await idle_client.stop()
             await stopping
 
-    run(go)
+    run_async(go)
--- a/tests/test_crossings_list.py
+++ b/tests/test_crossings_list.py
@@ -12,9 +12,17 @@
 from typing import Any
 
 import pytest
+from cluster import (
+    PREFILLED,
+    STREAM,
+    Discovery,
+    Replica,
+    read_message,
+    run_async,
+    running_cluster,
+)
 from standins import until
 from test_program import RAW, ROOT
-from world import READ, STREAM, Discovery, Replica, message, run, world
 
 from onyxpass.net import endpoint_watcher, poll_schedule
 from onyxpass.net.endpoint_watcher import DiscoveryUpdate, EndpointListError, JsonObjectSplitter
@@ -35,9 +43,9 @@
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            head, _ = await message(reader)
-            self.asked.append(head.split()[1].decode())
-            if "watch" in self.asked[-1]:
+            head, _ = await read_message(reader)
+            self.requested_targets.append(head.split()[1].decode())
+            if "watch" in self.requested_targets[-1]:
                 script = self.scripts.pop(0) if len(self.scripts) > 1 else self.scripts[0]
                 await script(self, reader, writer)
                 return
@@ -87,10 +95,12 @@
 ) -> None:
     async def go() -> None:
         monkeypatch.setattr(endpoint_watcher, "WATCH_SILENCE_TIMEOUT_MS", 60.0)
-        async with world([Replica(READ)], [Replica(STREAM)], discovery=Scripted(script)) as w:
-            await until(lambda: len(w.discovery.asked) >= 4)
+        async with running_cluster(
+            [Replica(PREFILLED)], [Replica(STREAM)], discovery=Scripted(script)
+        ) as w:
+            await until(lambda: len(w.discovery.requested_targets) >= 4)
 
-    run(go)
+    run_async(go)
 
 
 def test_a_call_has_a_time_limit_whatever_bytes_come(
@@ -109,12 +119,12 @@
                 writer.write(b"a")
                 await asyncio.sleep(0.005)
 
-        async with world(
-            [Replica(READ)], [Replica(STREAM)], discovery=Scripted(slow_head, stay_silent)
+        async with running_cluster(
+            [Replica(PREFILLED)], [Replica(STREAM)], discovery=Scripted(slow_head, stay_silent)
         ) as w:
-            await until(lambda: len(w.discovery.asked) >= 3)
+            await until(lambda: len(w.discovery.requested_targets) >= 3)
 
-    run(go)
+    run_async(go)
 
 
 def test_a_change_cut_mid_line_is_resent_by_the_next_watch_and_applied_once() -> None:
@@ -130,12 +140,14 @@
             await reader.read()
 
         d.scripts = [send_then_cut(b"\n" + whole[: len(whole) // 2]), rest]
-        async with world([Replica(READ)], [Replica(STREAM)], discovery=d) as w:
+        async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)], discovery=d) as w:
             await until(lambda: "r9" in w.dispatcher.core.endpoints.by_id)
-            assert w.dispatcher.endpoint_watcher.seq == 42 and d.asked[-1].endswith("from=41")
-            assert not any("from=42" in target for target in d.asked)
+            assert w.dispatcher.endpoint_watcher.seq == 42 and d.requested_targets[-1].endswith(
+                "from=41"
+            )
+            assert not any("from=42" in target for target in d.requested_targets)
 
-    run(go)
+    run_async(go)
 
 
 @pytest.mark.parametrize("indent", [None, 2])
@@ -151,14 +163,16 @@
             await reader.read()
 
         d.scripts = [at_once]
-        async with world([Replica(READ), Replica(READ)], [Replica(STREAM)], discovery=d) as w:
+        async with running_cluster(
+            [Replica(PREFILLED), Replica(PREFILLED)], [Replica(STREAM)], discovery=d
+        ) as w:
             await until(lambda: w.dispatcher.endpoint_watcher.seq == 42)
             assert not w.dispatcher.core.endpoints.accepts_new_work(
                 "r0"
             ) and w.dispatcher.core.endpoints.accepts_new_work("r1")
-            assert len(d.asked) == 2, "one call for the list and one watch"
+            assert len(d.requested_targets) == 2, "one call for the list and one watch"
 
-    run(go)
+    run_async(go)
 
 
 def test_objects_are_split_in_any_layout_and_incomplete_ones_are_errors() -> None:
@@ -180,7 +194,9 @@
 
 def test_late_messages_of_an_old_address_do_not_replace_the_new_list_but_drains_apply() -> None:
     async def go() -> None:
-        async with world([Replica(READ), Replica(READ)], [Replica(STREAM)]) as w:
+        async with running_cluster(
+            [Replica(PREFILLED), Replica(PREFILLED)], [Replica(STREAM)]
+        ) as w:
             actor, d = w.dispatcher.endpoint_watcher, w.discovery
             new = Discovery()
             await new.start()
@@ -203,7 +219,7 @@
             assert len(w.dispatcher.core.endpoints.by_id) == 3 and actor.seq == 7
             await new.stop()
 
-    run(go)
+    run_async(go)
 
 
 def test_an_address_change_while_a_list_is_partly_read_discards_it() -> None:
@@ -211,7 +227,7 @@
         half, ready = Discovery(), asyncio.Event()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await message(reader)
+            await read_message(reader)
             text = json.dumps({"seq": 5, "whole": True, "hosts": []}).encode()
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(text), text[:9]))
             ready.set()
@@ -219,7 +235,7 @@
 
         half.serve = serve  # type: ignore[method-assign]
         await half.start()
-        async with world([Replica(READ)], [Replica(STREAM)]) as w:
+        async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             actor, before = w.dispatcher.endpoint_watcher, set(w.dispatcher.core.endpoints.by_id)
             actor.set_discovery(endpoint_watcher.Address("127.0.0.1", half.port))
             await ready.wait()
@@ -230,7 +246,7 @@
             assert set(w.dispatcher.core.endpoints.by_id) == before
         await half.stop()
 
-    run(go)
+    run_async(go)
 
 
 def test_a_complete_list_applies_even_if_its_version_is_lower() -> None:
@@ -249,19 +265,23 @@
             await reader.read()
 
         d.scripts = [anew]
-        async with world([Replica(READ), Replica(READ)], [Replica(STREAM)], discovery=d) as w:
+        async with running_cluster(
+            [Replica(PREFILLED), Replica(PREFILLED)], [Replica(STREAM)], discovery=d
+        ) as w:
             await until(lambda: w.dispatcher.endpoint_watcher.seq == 3)
             assert set(w.dispatcher.core.endpoints.by_id) == {
                 "r1",
                 "w0",
             } and not w.dispatcher.core.endpoints.accepts_new_work("r1")
 
-    run(go)
+    run_async(go)
 
 
 def test_a_drain_between_the_selection_and_the_first_byte_stops_the_send() -> None:
     async def go() -> None:
-        async with world([Replica(READ), Replica(READ)], [Replica(STREAM)]) as w:
+        async with running_cluster(
+            [Replica(PREFILLED), Replica(PREFILLED)], [Replica(STREAM)]
+        ) as w:
             core, chosen = w.dispatcher.core, []
             connect = w.dispatcher.replicas.actors["r0"]._open.__func__  # type: ignore[attr-defined]
 
@@ -276,12 +296,12 @@
 
             for actor in w.dispatcher.replicas.actors.values():
                 actor._open = drain_after_connect.__get__(actor)  # type: ignore[method-assign]
-            assert b"HTTP/1.1 200" in await w.ask("a1")
+            assert b"HTTP/1.1 200" in await w.request("a1")
             assert not w.readers[int(chosen[0][1])].heads, (
                 "nothing is sent after the drain was announced"
             )
 
-    run(go)
+    run_async(go)
 
 
 def test_a_saved_list_alone_does_not_make_ready_where_lists_are_pushed() -> None:
@@ -297,7 +317,7 @@
         hold, d = asyncio.Event(), Scripted(later)
 
         async def look() -> None:
-            await until(lambda: d.asked)
+            await until(lambda: d.requested_targets)
             assert not made[0].endpoint_watcher.ready and b" 503 " in await health(
                 made[0].front.port
             )
@@ -305,11 +325,11 @@
 
         made: list[Any] = []
         watching = asyncio.create_task(look())
-        async with world([], [], discovery=d, known=known, made=made.append) as w:
+        async with running_cluster([], [], discovery=d, known=known, made=made.append) as w:
             assert w.dispatcher.endpoint_watcher.ready and b" 200 " in await health(w.port)
         await watching
 
-    run(go)
+    run_async(go)
 
 
 async def health(port: int) -> bytes:
@@ -328,7 +348,7 @@
     """
 
     async def go() -> None:
-        d, reader, writer = Discovery(), Replica(READ), Replica(STREAM)
+        d, reader, writer = Discovery(), Replica(PREFILLED), Replica(STREAM)
         for part in (d, reader, writer):
             await part.start()
         d.hosts += [d.entry("r0", "r", reader.address), d.entry("w0", "w", writer.address)]
@@ -354,10 +374,10 @@
             sock = socket.create_connection(("127.0.0.1", port))
             sock.sendall(b"GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n")
             idle.append(sock)
-        asked = len(d.asked)
+        asked = len(d.requested_targets)
         await d.start()
         d.change(d.entry("r0", "r", reader.address, "leaving"))
-        await until(lambda: len(d.asked) > asked and not d.changes.qsize())
+        await until(lambda: len(d.requested_targets) > asked and not d.changes.qsize())
         for sock in idle:
             sock.close()
         process.terminate()
@@ -366,4 +386,4 @@
         for part in (d, reader, writer):
             await part.stop()
 
-    run(go)
+    run_async(go)
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -8,16 +8,28 @@
 
 import pytest
 import test_toolcalls
+from cluster import (
+    CHUNKS,
+    HEAD,
+    PREFILLED,
+    STREAM,
+    Replica,
+    Responder,
+    break_connection,
+    chat_request,
+    never_answer,
+    run_async,
+    running_cluster,
+)
 from helpers import MS, SETTINGS, S
 from standins import until
 from test_net import StubClient
-from world import CHUNKS, HEAD, READ, STREAM, Answer, Replica, ask, breaks, run, silence, world
 
 from onyxpass.core.requests import Attempt, Request
 from onyxpass.net import replica as net_replica
 from onyxpass.scheduling import contract
 from onyxpass.scheduling.contract import AttemptStatus
-from tests.support.dispatcher_bed import Bed
+from tests.support.dispatcher_bed import DispatcherBed
 
 KEYED = replace(
     SETTINGS,
@@ -59,8 +71,10 @@
     traffic_class: str, status: bytes, sends: int
 ) -> None:
     async def go() -> None:
-        async with world(
-            [Replica(READ)], [Replica(breaks()), Replica(breaks())], settings=KEYED
+        async with running_cluster(
+            [Replica(PREFILLED)],
+            [Replica(break_connection()), Replica(break_connection())],
+            settings=KEYED,
         ) as w:
             core, connects = w.dispatcher.core, []
             deduplication_window_us = KEYED.classes[0].deduplication_window_us
@@ -79,24 +93,26 @@
                     return wire
 
                 actor._open = slow  # type: ignore[method-assign]
-            answer = await w.ask("a1", traffic_class)
+            answer = await w.request("a1", traffic_class)
             assert answer.split()[1] == status, "refused only where no server can run it twice"
             assert sum(len(x.heads) for x in w.writers) == sends
 
-    run(go)
+    run_async(go)
 
 
 def test_a_repeat_within_its_window_is_sent() -> None:
     async def go() -> None:
         wide = tuple(replace(c, deduplication_window_us=60 * S) for c in KEYED.classes)
         many = replace(KEYED, classes=wide)
-        async with world(
-            [Replica(READ)], [Replica(breaks(), STREAM), Replica(breaks(), STREAM)], settings=many
+        async with running_cluster(
+            [Replica(PREFILLED)],
+            [Replica(break_connection(), STREAM), Replica(break_connection(), STREAM)],
+            settings=many,
         ) as w:
-            assert b"HTTP/1.1 200" in await w.ask("a1", "all")
+            assert b"HTTP/1.1 200" in await w.request("a1", "all")
             assert sum(len(x.heads) for x in w.writers) == 3
 
-    run(go)
+    run_async(go)
 
 
 @pytest.mark.parametrize(
@@ -114,25 +130,25 @@
 def test_a_repeat_after_a_possible_run_is_sent_only_where_idempotency_allows(
     traffic_class: str, first: str, then: str, after_us: int, goes: bool
 ) -> None:
-    bed = Bed()
-    bed.ask(contract.SendAttempt(7, first, 500_000), traffic_class=traffic_class, wait_us=20 * S)
-    bed.later(after_us)
+    bed = DispatcherBed()
+    bed.submit(contract.SendAttempt(7, first, 500_000), traffic_class=traffic_class, wait_us=20 * S)
+    bed.advance(after_us)
     bed.core.outcomes.attempt_ended(bed.fleet.started[0], AttemptStatus.RESET)
     bed.step([contract.SendAttempt(7, then, 500_000)])
     assert [a.server for a in bed.fleet.started[1:]] == [then] * goes
     if goes:
         assert not bed.core.preconditions.check(bed.fleet.started[1])
-        bed.client.left = True
+        bed.client.disconnected = True
         assert "ended" in bed.core.preconditions.check(bed.fleet.started[1])
 
 
 @pytest.mark.parametrize("traffic_class", ["keyed", "once"])
 def test_a_request_that_may_have_run_is_failed_and_not_refused(traffic_class: str) -> None:
-    bed = Bed()
-    bed.ask(contract.SendAttempt(7, "w0", 500_000), traffic_class=traffic_class)
+    bed = DispatcherBed()
+    bed.submit(contract.SendAttempt(7, "w0", 500_000), traffic_class=traffic_class)
     bed.core.outcomes.attempt_ended(bed.fleet.started[0], AttemptStatus.RESET)
     bed.step([contract.Reject(7)])
-    assert bed.client.finals == ["fail"]
+    assert bed.client.final_answers == ["fail"]
 
 
 # Connections
@@ -164,37 +180,37 @@
             await self.second  # type: ignore[attr-defined]
             writer.write(HEAD + CHUNKS + b"0\r\n\r\n")
 
-        async with world([Replica(READ)], [Replica(respond_twice, slow)]) as w:
-            assert b"wrong" not in await w.ask("a1")
-            answer = await w.ask("a2")
+        async with running_cluster([Replica(PREFILLED)], [Replica(respond_twice, slow)]) as w:
+            assert b"wrong" not in await w.request("a1")
+            answer = await w.request("a2")
             assert b"wrong" not in answer and answer.endswith(b"0\r\n\r\n")
             (actor,) = (a for a in w.dispatcher.replicas.actors.values() if a.name == "w0")
             await until(lambda: any(idle.wire.stale for idle in actor.idle))
             w.dispatcher.replicas.sweep()
             await until(lambda: len(actor.idle) == 1)
 
-    run(go)
+    run_async(go)
 
 
 def test_a_connection_is_reused_after_the_reuse_delay(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(net_replica, "REUSE_DELAY_US", 1_000)
 
     async def go() -> None:
-        async with world([Replica(READ)], [Replica(STREAM)]) as w:
+        async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             now_us, actor = w.dispatcher.clock.now_us, w.dispatcher.replicas.actors["w0"]
             for n in range(3):
-                assert b"HTTP/1.1 200" in await w.ask(f"a{n}")
+                assert b"HTTP/1.1 200" in await w.request(f"a{n}")
                 await until(lambda: all(now_us() >= idle.reusable_us for idle in actor.idle))
             assert w.writers[0].connections == 1
 
-    run(go)
+    run_async(go)
 
 
 def test_a_connect_that_succeeds_as_its_time_limit_expires_sends_nothing_and_leaks_no_descriptor() -> (
     None
 ):
     async def go() -> None:
-        async with world([Replica(READ)], [Replica(STREAM)]) as w:
+        async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             loop = asyncio.get_running_loop()
             actor, connected = w.dispatcher.replicas.actors["r0"], loop.sock_connect
             limits: list[Any] = []
@@ -219,7 +235,7 @@
             await until(lambda: w.readers[0].eof == 1)
             assert not w.readers[0].heads
 
-    run(go)
+    run_async(go)
 
 
 # State releases
@@ -227,7 +243,7 @@
 
 def test_state_is_released_even_if_no_server_can_be_asked_at_first() -> None:
     async def go() -> None:
-        async with world([Replica(READ)], [Replica(STREAM)]) as w:
+        async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             replicas, asked = w.dispatcher.replicas, asyncio.Event()
             most, replicas.budget.limit = replicas.budget.limit, 0
             tries, let_go = [], replicas._release_lease
@@ -250,15 +266,17 @@
             await request.release_task
             assert replicas.budget.open <= 2
 
-    run(go)
+    run_async(go)
 
 
 @pytest.mark.parametrize("front", ["http", "json-rpc"])
 def test_state_is_released_by_the_last_of_many_servers_if_the_others_are_silent(front: str) -> None:
     async def go() -> None:
-        async with world([Replica(READ)], [Replica(silence) for _ in range(8)]) as w:
+        async with running_cluster(
+            [Replica(PREFILLED)], [Replica(never_answer) for _ in range(8)]
+        ) as w:
             for part in (*w.readers, *w.writers[:-1]):
-                part.lets_go = False
+                part.answers_deletes = False
             replicas = w.dispatcher.replicas
             for n, name in enumerate(sorted(replicas.actors)):
                 replicas.actors[name].answered_us = 100 - n  # the one that answers is asked last
@@ -277,15 +295,15 @@
             request.reserved_since_us = w.service.core.clock.now_us() + 60 * S  # type: ignore[attr-defined]
             done: list[str] = []
 
-            async def lets_go(*_: Any) -> bool:
+            async def deletes_state(*_: Any) -> bool:
                 done.append("writer-1")
                 return True
 
-            replicas.actors["writer-1"].call = lets_go
+            replicas.actors["writer-1"].call = deletes_state
             replicas.release(request, False)
             await until(lambda: done)
 
-    run(go if front == "http" else rpc)
+    run_async(go if front == "http" else rpc)
 
 
 def test_a_release_has_one_time_limit_from_the_end_of_the_last_attempt() -> None:
@@ -295,9 +313,9 @@
     """
 
     async def go() -> None:
-        async with world([Replica(READ)], [Replica(silence)]) as w:
+        async with running_cluster([Replica(PREFILLED)], [Replica(never_answer)]) as w:
             for part in (*w.readers, *w.writers):
-                part.lets_go = False
+                part.answers_deletes = False
             core, replicas = w.dispatcher.core, w.dispatcher.replicas
             for spent_us, expected_us in ((0, 450_000), (300_000, 225_000)):
                 request = Request("a1", 1, None, StubClient(), None, state_holder="r0")  # type: ignore[arg-type]
@@ -309,13 +327,13 @@
                 took_us = core.clock.now_us() - began_us
                 assert took_us >= expected_us, "it retries until the end of its time limit"
 
-    run(go)
+    run_async(go)
 
 
 # Answers and streams
 
 
-def endless(first: bytes, again: bytes) -> Answer:
+def endless(first: bytes, again: bytes) -> Responder:
     async def answer(self: Replica, reader: Any, writer: asyncio.StreamWriter, _: bytes) -> None:
         gone = asyncio.create_task(reader.read())
         writer.write(first)
@@ -342,14 +360,14 @@
     text: tuple[bytes, bytes], traffic_class: str
 ) -> None:
     async def go() -> None:
-        async with world([Replica(READ)], [Replica(endless(*text))]) as w:
-            answer = await w.ask("a1", traffic_class, ms=700)
+        async with running_cluster([Replica(PREFILLED)], [Replica(endless(*text))]) as w:
+            answer = await w.request("a1", traffic_class, ms=700)
             assert answer.split()[1] in (b"502", b"503", b"504")
             await until(lambda: w.writers[0].eof == len(w.writers[0].heads))
             assert len(w.writers[0].heads) == 1 or traffic_class == "light"
             await until(lambda: not w.dispatcher.core.registry.by_number)
 
-    run(go)
+    run_async(go)
 
 
 def test_each_event_is_forwarded_as_it_arrives_in_any_segmentation_beside_a_slow_client() -> None:
@@ -373,13 +391,13 @@
             while text := await steps.get():
                 writer.write(text)
 
-        async with world([Replica(READ)], [Replica(paced)]) as w:
+        async with running_cluster([Replica(PREFILLED)], [Replica(paced)]) as w:
             slow = socket.socket()
             slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             slow.connect(("127.0.0.1", w.port))
-            slow.sendall(ask("slow"))
+            slow.sendall(chat_request("slow"))
             await until(lambda: any(b"slow" in head for head in w.writers[0].heads))
-            reader, writer = await w.send(ask("a1", close=True))
+            reader, writer = await w.send(chat_request("a1", close=True))
             first, second, third = (b'data: {"n":%d}\n\n' % n for n in range(3))
             steps.put_nowait(b"%x\r\n%b\r\n%x\r\n%b\r\n" % (len(first), first, len(second), second))
             await reader.readuntil(second)  # both events, while the stream stays open
@@ -392,7 +410,7 @@
             writer.close()
             slow.close()
 
-    run(go)
+    run_async(go)
 
 
 def test_state_of_a_prefill_that_ends_as_its_client_leaves_is_released() -> None:
@@ -406,8 +424,8 @@
         def says_read(writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 202 X\r\nContent-Length: 2\r\n\r\n{}")
 
-        async with world([Replica(late)], [Replica(STREAM)]) as w:
-            _, writer = await w.send(ask("a1"))
+        async with running_cluster([Replica(late)], [Replica(STREAM)]) as w:
+            _, writer = await w.send(chat_request("a1"))
             await until(lambda: w.readers[0].heads)
             writer.transport.abort()
             hold.set()  # the 202 and the client's close are in transit at once
@@ -415,7 +433,7 @@
             await until(lambda: not w.dispatcher.core.registry.by_number)
             assert not w.writers[0].heads
 
-    run(go)
+    run_async(go)
 
 
 def test_an_attempt_tells_the_time_left_at_its_first_byte_and_not_at_its_selection() -> None:
@@ -425,8 +443,8 @@
     """
 
     async def go() -> None:
-        reader, waited_us, attempts = Replica(READ), 200_000, list[Attempt]()
-        async with world([reader], [Replica(STREAM)]) as w:
+        reader, waited_us, attempts = Replica(PREFILLED), 200_000, list[Attempt]()
+        async with running_cluster([reader], [Replica(STREAM)]) as w:
             actor = w.dispatcher.replicas.actors["r0"]
             open_one, run_attempt = actor._open, actor.run_attempt
 
@@ -439,9 +457,9 @@
                 await run_attempt(attempt, resumed)
 
             actor._open, actor.run_attempt = slowly, carried  # type: ignore[method-assign]
-            assert b" 200 " in await w.ask("a1")
+            assert b" 200 " in await w.request("a1")
         timeout_ms = re.search(rb"x-timeout-ms: (\d+)", reader.heads[0])
         assert timeout_ms is not None and attempts[0].timeout_us > 2 * waited_us
         assert 1 < int(timeout_ms[1]) <= (attempts[0].timeout_us - waited_us) // 1000
 
-    run(go)
+    run_async(go)
--- a/tests/test_faults_calls.py
+++ b/tests/test_faults_calls.py
@@ -7,8 +7,14 @@
 from contextlib import asynccontextmanager
 from pathlib import Path
 
-from shimmed import Process, connection, control, parties, run
-from world import READ, STREAM, Replica, ask
+from cluster import PREFILLED, STREAM, Replica, chat_request
+from fault_injection import (
+    ChildProcess,
+    fault_control,
+    open_connection,
+    run_async,
+    servers_and_config,
+)
 
 from onyxpass.faultshim.control import SHORT_TRANSFER, FaultControl, ForcedFault, SystemCall
 from onyxpass.testbed.site import free_port
@@ -19,14 +25,14 @@
 class FaultyDispatcher:
     """A dispatcher process whose system calls can be forced to fail."""
 
-    def __init__(self, process: Process, port: int, faults: FaultControl) -> None:
+    def __init__(self, process: ChildProcess, port: int, faults: FaultControl) -> None:
         self.process, self.port, self.faults = process, port, faults
 
-    async def ask(self, name: str) -> bytes:
+    async def chat_request(self, name: str) -> bytes:
         """Return the complete answer, or nothing if the connection was reset or refused."""
         try:
-            async with connection(self.port) as (reader, writer):
-                writer.write(ask(name, "a", close=True))
+            async with open_connection(self.port) as (reader, writer):
+                writer.write(chat_request(name, "a", close=True))
                 return await reader.read()
         except ConnectionError:
             return b""
@@ -37,16 +43,16 @@
     folder: Path, *faults: ForcedFault, environment: dict[str, str] | None = None
 ) -> AsyncIterator[FaultyDispatcher]:
     """Run a dispatcher with a reader and a writer; ``faults`` apply from the start of its process."""
-    async with parties(folder, [Replica(READ)], [Replica(STREAM)]) as (path, _):
-        forced = control(folder)
+    async with servers_and_config(folder, [Replica(PREFILLED)], [Replica(STREAM)]) as (path, _):
+        forced = fault_control(folder)
         forced.force(*faults)
-        process = await Process.start(
+        process = await ChildProcess.start(
             "serve", "--config", str(path), control=forced, environment=environment or {}
         )
         yield FaultyDispatcher(process, await process.port(), forced)
         forced.clear()
-        assert await process.end() == 0, process.rest
-        assert not process.rest
+        assert await process.terminate() == 0, process.other_output
+        assert not process.other_output
 
 
 def test_connections_in_the_accept_queue_at_shutdown_are_answered_despite_accept_errors(
@@ -60,7 +66,7 @@
                 answers = await asyncio.gather(*(s.ask(f"a{n}") for n in range(CLIENTS)))
                 assert all(a.startswith(b"HTTP/1.1") for a in answers), (error, answers.count(b""))
 
-    run(go())
+    run_async(go())
 
 
 def test_shutdown_waits_for_descriptors_while_clients_are_in_the_accept_queue(
@@ -79,7 +85,7 @@
             answers = await asyncio.gather(*asked)
             assert all(a.startswith(b"HTTP/1.1") for a in answers), answers.count(b"")
 
-    run(go())
+    run_async(go())
 
 
 def test_a_dispatcher_survives_accept_errors_of_its_stream_receiver(
@@ -90,7 +96,7 @@
         async with faulty_dispatcher(tmp_path, *faults, environment={"TMPDIR": str(tmp_path)}) as s:
             assert (await s.ask("a1")).startswith(b"HTTP/1.1 200")
 
-    run(go())
+    run_async(go())
 
 
 def test_connects_that_fail_briefly_lose_no_request(tmp_path: Path) -> None:
@@ -114,7 +120,7 @@
                     s.process.lines[-6:],
                 )
 
-    run(go())
+    run_async(go())
 
 
 def test_short_transfers_and_interrupted_waits_do_not_affect_answers(tmp_path: Path) -> None:
@@ -130,7 +136,7 @@
                 answer = await s.ask(f"a{number}")
                 assert answer.startswith(b"HTTP/1.1 200") and answer.endswith(b"0\r\n\r\n")
 
-    run(go())
+    run_async(go())
 
 
 def test_a_log_that_cannot_be_written_loses_no_request(tmp_path: Path) -> None:
@@ -139,13 +145,15 @@
     async def go() -> None:
         log_file, port = tmp_path / "log", free_port()
         listen = f"127.0.0.1:{port}"
-        async with parties(tmp_path, [Replica(READ)], [Replica(STREAM)], listen=listen) as (
+        async with servers_and_config(
+            tmp_path, [Replica(PREFILLED)], [Replica(STREAM)], listen=listen
+        ) as (
             path,
             _,
         ):
-            faults = control(tmp_path)
+            faults = fault_control(tmp_path)
             with log_file.open("wb") as log:
-                process = await Process.start(
+                process = await ChildProcess.start(
                     "serve", "--config", str(path), control=faults, stdout=log
                 )
             while b'"full"' not in log_file.read_bytes():
@@ -169,4 +177,4 @@
             )
             assert b"Traceback" not in log_file.read_bytes()
 
-    run(go())
+    run_async(go())
--- a/tests/test_faults_clock.py
+++ b/tests/test_faults_clock.py
@@ -7,10 +7,16 @@
 from pathlib import Path
 from typing import Any
 
-from shimmed import Process, connection, control, parties, run
-from world import READ, STREAM, Replica, ask, ends_with
+from cluster import PREFILLED, STREAM, Replica, chat_request, hold_last_chunk
+from fault_injection import (
+    ChildProcess,
+    fault_control,
+    open_connection,
+    run_async,
+    servers_and_config,
+)
 
-from tests.support.simulator_settings import CONF
+from tests.support.simulator_settings import WIRE_SETTINGS
 
 HOUR_S = 3_600.0
 # A stream is handed over in well under a second; one that is not handed over would never end.
@@ -23,8 +29,8 @@
 async def send_requests(port: int, name: str, requests: int = REQUESTS) -> None:
     """Send requests of different sessions one after another."""
     for number in range(requests):
-        async with connection(port) as (reader, writer):
-            text = ask(f"{name}{number}", "a", close=True)
+        async with open_connection(port) as (reader, writer):
+            text = chat_request(f"{name}{number}", "a", close=True)
             writer.write(
                 text.replace(b"s1", b"%b%d" % (name.encode(), number)).replace(b"prefix=p1,", b"")
             )
@@ -32,7 +38,7 @@
 
 
 def with_rules(rules: dict[str, Any]) -> dict[str, Any]:
-    return {**CONF, "peersTotal": 1, "rules": {**WIDE_LIMITS, **rules}}
+    return {**WIRE_SETTINGS, "peersTotal": 1, "rules": {**WIDE_LIMITS, **rules}}
 
 
 async def cold_share(
@@ -42,24 +48,26 @@
 
     Its start time in the endpoint list is by the stepped clock, as if all machines were stepped.
     """
-    warm, cold, faults = Replica(READ), Replica(READ), control(tmp_path)
+    warm, cold, faults = Replica(PREFILLED), Replica(PREFILLED), fault_control(tmp_path)
     await cold.start()
-    async with parties(tmp_path, [warm], [Replica(STREAM)], settings=with_rules(rules)) as (
+    async with servers_and_config(
+        tmp_path, [warm], [Replica(STREAM)], settings=with_rules(rules)
+    ) as (
         path,
         discovery,
     ):
-        process = await Process.start("serve", "--config", str(path), control=faults)
+        process = await ChildProcess.start("serve", "--config", str(path), control=faults)
         port = await process.port()
         await send_requests(port, "before", 10)
         faults.step_wall_clock(step_s)
         born_s = time.time() + step_s
         entry = discovery.entry("r1", "r", cold.address)
         discovery.change({**entry, "born_ms": round(born_s * 1000)})
-        await process.line("list", form="delta")
+        await process.wait_for_event("list", form="delta")
         await asyncio.sleep(wait_s)
         before = len(warm.heads)
         await send_requests(port, "after")
-        assert await process.end() == 0
+        assert await process.terminate() == 0
     await cold.stop()
     return len(cold.heads) / (len(cold.heads) + len(warm.heads) - before)
 
@@ -81,13 +89,13 @@
 
 
 def test_a_server_that_joins_after_a_wall_clock_step_gets_a_slow_start(tmp_path: Path) -> None:
-    found = run(
+    found = run_async(
         for_each_step(lambda folder, step_s: cold_share(folder, step_s, SLOW_START), tmp_path)
     )
     assert all(share < 0.2 for share in found.values()), (
         f"the expected share is 0.1 during slow start and 0.5 after it: {found}"
     )
-    found = run(
+    found = run_async(
         for_each_step(
             lambda folder, step_s: cold_share(folder, step_s, SHORT_SLOW_START, 0.6),
             tmp_path / "warm",
@@ -101,9 +109,11 @@
 
     The old process hands its stream over to the new one.
     """
-    hold, faults = asyncio.Event(), control(tmp_path)
-    writer = Replica(ends_with(hold), STREAM)
-    async with parties(tmp_path, [Replica(READ)], [writer], settings=with_rules({})) as (path, _):
+    hold, faults = asyncio.Event(), fault_control(tmp_path)
+    writer = Replica(hold_last_chunk(hold), STREAM)
+    async with servers_and_config(
+        tmp_path, [Replica(PREFILLED)], [writer], settings=with_rules({})
+    ) as (path, _):
         with socket.create_server(("127.0.0.1", 0)) as listener:
             options = {
                 "control": faults,
@@ -113,13 +123,13 @@
                 },
                 "pass_fds": (listener.fileno(),),
             }
-            old = await Process.start("serve", "--config", str(path), **options)
+            old = await ChildProcess.start("serve", "--config", str(path), **options)
             port = await old.port()
-            async with connection(port) as (source, sink):
-                sink.write(ask("a1", "a"))
+            async with open_connection(port) as (source, sink):
+                sink.write(chat_request("a1", "a"))
                 await source.readuntil(b"[DONE]\n\n\r\n")
                 faults.step_wall_clock(step_s)
-                new = await Process.start("serve", "--config", str(path), **options)
+                new = await ChildProcess.start("serve", "--config", str(path), **options)
                 await new.port()
                 began_s = time.monotonic()
                 old.child.terminate()
@@ -130,18 +140,18 @@
                 assert await source.readuntil(b"0\r\n\r\n") == b"0\r\n\r\n", (
                     "the stream must not be cut"
                 )
-                sink.write(ask("a2", "a"))
-                if new.of("stream_adopted"):
+                sink.write(chat_request("a2", "a"))
+                if new.events("stream_adopted"):
                     assert (await source.readuntil(b"0\r\n\r\n")).startswith(b"HTTP/1.1 200")
-                served = new.of("served", id="a1") or old.of("served", id="a1")
+                served = new.events("served", id="a1") or old.events("served", id="a1")
                 assert abs(served[0]["us"]) < 60_000_000, (
                     "a duration must not depend on the wall clock"
                 )
                 await ended
-            assert await old.end() == 0 and await new.end() == 0
+            assert await old.terminate() == 0 and await new.terminate() == 0
     return took_s
 
 
 def test_an_upgrade_hands_streams_over_despite_a_wall_clock_step(tmp_path: Path) -> None:
-    found = run(for_each_step(upgrade_duration_s, tmp_path))
+    found = run_async(for_each_step(upgrade_duration_s, tmp_path))
     assert all(took_s < UPGRADE_LIMIT_S for took_s in found.values()), found
--- a/tests/test_faults_disk.py
+++ b/tests/test_faults_disk.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from shimmed import Process, control, run
+from fault_injection import ChildProcess, fault_control, run_async
 
 from onyxpass.agent.credentials import make_key
 from onyxpass.config.platform_file import Address
@@ -41,7 +41,7 @@
         restart = "first_s = 0.05\nmost_s = 0.2\ngrace_s = 5.0\npoll_s = 0.2\n"
         site = Site(tmp_path, fleet, (Host("h1", "derby", ("d1",)),), restart=restart)
         site.write_files()
-        faults = control(tmp_path)
+        faults = fault_control(tmp_path)
         try:
             await site.start(site.hosts[0], faults.environment)
             while not running_pids(site):
@@ -61,24 +61,28 @@
             await site.stop()
             await fleet.stop()
 
-    run(go())
+    run_async(go())
 
 
 class FaultyNode:
     """A node of the desired configuration, as a process whose system calls can be forced to fail."""
 
     def __init__(self, folder: Path, name: str, role: str, upstreams: tuple[int, ...] = ()) -> None:
-        self.folder, self.port, self.faults = folder / name, free_port(), control(folder, name)
+        self.folder, self.port, self.faults = (
+            folder / name,
+            free_port(),
+            fault_control(folder, name),
+        )
         addresses = ", ".join(f'"127.0.0.1:{port}"' for port in upstreams)
         text = f'name = "{name}"\nrole = "{role}"\nlisten = "127.0.0.1:{self.port}"\nkey = "key"\n'
         self.config_file, self.key = folder / f"{name}.toml", (folder / "key").read_text().strip()
         self.config_file.write_text(text + f'folder = "{name}"\nupstreams = [{addresses}]\n')
-        self.process: Process
+        self.process: ChildProcess
 
     async def start(self) -> "FaultyNode":
         arguments = ("desired", "run", "--config", str(self.config_file))
-        self.process = await Process.start(*arguments, control=self.faults)
-        await self.process.line("node")
+        self.process = await ChildProcess.start(*arguments, control=self.faults)
+        await self.process.wait_for_event("node")
         return self
 
     async def call(
@@ -123,9 +127,9 @@
         assert "b" not in await below.values(), "a rejected change must not be passed on"
         files = [path.name for node in (top, below) for path in node.folder.iterdir()]
         assert not [name for name in files if name.endswith(".new")], files
-        assert await below.process.end() == 0 and await top.process.end() == 0
+        assert await below.process.terminate() == 0 and await top.process.terminate() == 0
         assert json.loads((below.folder / "state.json").read_text()), (
             "the state must have been saved by now"
         )
 
-    run(go())
+    run_async(go())
--- a/tests/test_faults_held.py
+++ b/tests/test_faults_held.py
@@ -6,10 +6,10 @@
 import time
 from pathlib import Path
 
-from shimmed import Process, connection, parties, run
-from world import READ, Replica, ask
+from cluster import PREFILLED, Replica, chat_request
+from fault_injection import ChildProcess, open_connection, run_async, servers_and_config
 
-from tests.support.simulator_settings import CONF
+from tests.support.simulator_settings import WIRE_SETTINGS
 
 # The limit is 0.6 s, with a margin for a busy machine; a wait for the answer would take over 5 s.
 MAX_HELD_S = 2.0
@@ -34,13 +34,13 @@
 
 def test_prefill_state_is_released_in_time_while_a_request_is_not_delivered(tmp_path: Path) -> None:
     async def go() -> None:
-        reader, writer = Replica(READ), NonReadingReplica(READ)
-        slow = {**CONF["grades"][0], "promiseUs": 4_000_000}  # type: ignore[index]
-        settings = {**CONF, "grades": [slow]}
-        async with parties(tmp_path, [reader], [writer], settings=settings) as (path, _):
-            process = await Process.start("serve", "--config", str(path))
-            async with connection(await process.port()) as (_, client):
-                client.write(ask("a1", "a", ms=6000, text=BODY))
+        reader, writer = Replica(PREFILLED), NonReadingReplica(PREFILLED)
+        slow = {**WIRE_SETTINGS["grades"][0], "promiseUs": 4_000_000}  # type: ignore[index]
+        settings = {**WIRE_SETTINGS, "grades": [slow]}
+        async with servers_and_config(tmp_path, [reader], [writer], settings=settings) as (path, _):
+            process = await ChildProcess.start("serve", "--config", str(path))
+            async with open_connection(await process.port()) as (_, client):
+                client.write(chat_request("a1", "a", ms=6000, text=BODY))
                 while not reader.heads:
                     await asyncio.sleep(0.002)
                 prefilled_s = time.monotonic()
@@ -48,6 +48,6 @@
                     await asyncio.sleep(0.005)
                 assert reader.leases[0].endswith("a1")
                 assert time.monotonic() - prefilled_s <= MAX_HELD_S
-            assert await process.end() == 0
+            assert await process.terminate() == 0
 
-    run(go())
+    run_async(go())
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -6,11 +6,21 @@
 from typing import Any
 
 import pytest
-from helpers import SETTINGS, Drive, fleet
+from cluster import (
+    PREFILLED,
+    SERVER_FULL,
+    STREAM,
+    Cluster,
+    Replica,
+    chat_request,
+    hold_last_chunk,
+    run_async,
+    running_cluster,
+)
+from helpers import SETTINGS, RouterDriver, make_endpoints
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from standins import until
-from world import FULL, READ, STREAM, Replica, World, ask, ends_with, run, world
 
 from onyxpass.config.platform_file import Address, ConfigError, parse
 from onyxpass.net import control, front
@@ -21,7 +31,7 @@
 READY = b"GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-async def call(w: World, *parts: bytes, end: bool = False) -> bytes:
+async def call(w: Cluster, *parts: bytes, end: bool = False) -> bytes:
     """Send one call part by part and return its complete answer."""
     assert w.dispatcher.control is not None
     reader, writer = await asyncio.open_connection("127.0.0.1", w.dispatcher.control.port)
@@ -39,11 +49,11 @@
         writer.close()
 
 
-async def post_command(w: World, what: str) -> int:
+async def post_command(w: Cluster, what: str) -> int:
     return int((await call(w, f"POST /api/{what} HTTP/1.1\r\nHost: x\r\n\r\n".encode())).split()[1])
 
 
-async def metrics(w: World) -> dict[str, int]:
+async def metrics(w: Cluster) -> dict[str, int]:
     answer = await call(w, READY.replace(b"ready", b"telemetry"))
     assert answer.startswith(b"HTTP/1.1 200")
     rows = answer.partition(b"\r\n\r\n")[2].decode().split()
@@ -52,16 +62,18 @@
 
 def test_every_request_and_attempt_is_counted_once_and_bad_requests_are_not_counted() -> None:
     async def go() -> None:
-        async with world([Replica(READ)], [Replica(STREAM, FULL)], control=CONTROL) as w:
+        async with running_cluster(
+            [Replica(PREFILLED)], [Replica(STREAM, SERVER_FULL)], control=CONTROL
+        ) as w:
             at_first = await metrics(w)
             ends = [f"svc.downstream_requests.{c.name}.{e}" for c in SETTINGS.classes for e in
                     ("completed", "rejected", "failed")]  # fmt: skip
             assert all(at_first[name] == 0 for name in ends)
             assert at_first["svc.upstream_requests"] == at_first["svc.pending"] == 0
             assert at_first["svc.members"] == 2 and at_first["svc.members_unavailable"] == 0
-            await w.ask("a1")
-            await w.ask("a2")  # the writer is full after this request
-            assert b" 400 " in await w.ask("b1", traffic_class="unheard-of")
+            await w.request("a1")
+            await w.request("a2")  # the writer is full after this request
+            assert b" 400 " in await w.request("b1", traffic_class="unheard-of")
             now = await metrics(w)
             assert now["svc.downstream_requests.light.completed"] == 1
             assert now["svc.downstream_requests.light.rejected"] == 1
@@ -69,7 +81,7 @@
             sent = sum(len(replica.heads) for replica in (*w.readers, *w.writers))
             assert now["svc.upstream_requests"] == sent
 
-    run(go)
+    run_async(go)
 
 
 @pytest.mark.parametrize(
@@ -94,11 +106,11 @@
 )
 def test_calls_get_their_status(text: bytes, code: int) -> None:
     async def go() -> None:
-        async with world([Replica(READ)], [Replica(STREAM)], control=CONTROL) as w:
+        async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)], control=CONTROL) as w:
             assert int((await call(w, text)).split()[1]) == code
             assert not w.dispatcher.core.endpoints.excluded
 
-    run(go)
+    run_async(go)
 
 
 @settings(derandomize=True, max_examples=25, deadline=None)
@@ -109,20 +121,20 @@
     marks = sorted({0, len(READY), *places})
 
     async def go() -> None:
-        async with world([Replica(READ)], [Replica(STREAM)], control=CONTROL) as w:
+        async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)], control=CONTROL) as w:
             parts = [READY[a:b] for a, b in pairwise(marks)]
             assert (await call(w, *parts)).startswith(b"HTTP/1.1 200")
             answer = await call(w, noise, end=True)
             assert not answer or answer.split()[1].startswith(b"4")
 
-    run(go)
+    run_async(go)
 
 
 def test_silent_and_incomplete_calls_time_out_and_do_not_block_others(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def go() -> None:
-        async with world([Replica(READ)], [Replica(STREAM)], control=CONTROL) as w:
+        async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)], control=CONTROL) as w:
             assert w.dispatcher.control is not None
             port = w.dispatcher.control.port
             silent = [
@@ -138,12 +150,12 @@
             for _, writer in silent:
                 writer.close()
 
-    run(go)
+    run_async(go)
 
 
 def test_not_ready_before_the_complete_list_nor_while_stopping() -> None:
     async def go() -> None:
-        async with world([Replica(READ)], [Replica(STREAM)], control=CONTROL) as w:
+        async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)], control=CONTROL) as w:
             watcher = w.dispatcher.endpoint_watcher
             # No discovery listens there, so the watcher cannot become ready by itself.
             watcher.set_discovery(Address("127.0.0.1", 1))
@@ -156,14 +168,14 @@
             w.dispatcher.front.closing = True
             assert (await call(w, READY)).startswith(b"HTTP/1.1 503")
 
-    run(go)
+    run_async(go)
 
 
 def test_an_excluded_replica_gets_no_requests_until_it_is_included_and_then_soon() -> None:
     async def go() -> None:
-        readers = [Replica(READ), Replica(READ)]
-        async with world(readers, [Replica(STREAM)], control=CONTROL) as w:
-            await w.ask("a0")
+        readers = [Replica(PREFILLED), Replica(PREFILLED)]
+        async with running_cluster(readers, [Replica(STREAM)], control=CONTROL) as w:
+            await w.request("a0")
             out = readers[0] if readers[0].heads else readers[1]
             name, seen, opened = f"r{readers.index(out)}", len(out.heads), out.connections
             assert await post_command(w, f"exclude?host={name}") == 200
@@ -180,7 +192,7 @@
                 contract.EndpointUpdate(contract.EndpointUpdateForm.COMPLETE, tuple(listed), 50)
             )
             for i in range(6):
-                assert b" 200 " in await w.ask(f"b{i}")
+                assert b" 200 " in await w.request(f"b{i}")
             assert len(out.heads) == seen and not actor.idle and not out.writers, (
                 "no connection is kept"
             )
@@ -190,16 +202,16 @@
             )
             # The replica is cold: its first request depends on those of the others.
             for i in range(40):
-                assert b" 200 " in await w.ask(f"c{i}")
+                assert b" 200 " in await w.request(f"c{i}")
             assert len(out.heads) > seen and out.connections > opened
 
-    run(go)
+    run_async(go)
 
 
 def test_a_send_that_waits_for_its_connection_is_not_sent_after_the_exclusion() -> None:
     async def go() -> None:
-        reader = Replica(READ)
-        async with world([reader], [Replica(STREAM)], control=CONTROL) as w:
+        reader = Replica(PREFILLED)
+        async with running_cluster([reader], [Replica(STREAM)], control=CONTROL) as w:
             actor = w.dispatcher.replicas.actors["r0"]
             open_one, waiting, go_on = actor._open, asyncio.Event(), asyncio.Event()
 
@@ -210,33 +222,33 @@
                 return wire
 
             actor._open = open_slowly  # type: ignore[method-assign]
-            asked = asyncio.create_task(w.ask("a1"))
+            asked = asyncio.create_task(w.request("a1"))
             await waiting.wait()
             assert await post_command(w, "exclude?host=r0") == 200
             go_on.set()
             assert b" 503 " in await asked
             assert not reader.heads
 
-    run(go)
+    run_async(go)
 
 
 def test_the_router_avoids_excluded_servers_and_readmits_them_cold() -> None:
-    d = Drive(fleet(2, 2))
-    d.serve(1)
+    d = RouterDriver(make_endpoints(2, 2))
+    d.complete_request(1)
     home = d.sent[1][0]
     d.router.servers[home].ejection_level = 4
-    d.give(contract.Exclusion(home, True))
-    d.give(contract.EndpointUpdate(contract.EndpointUpdateForm.COMPLETE, fleet(2, 2)))
+    d.deliver(contract.Exclusion(home, True))
+    d.deliver(contract.EndpointUpdate(contract.EndpointUpdateForm.COMPLETE, make_endpoints(2, 2)))
     assert d.router.avoided(d.now) == {home}
-    assert all(d.serve(n) != home for n in range(2, 8))
-    d.give(contract.Exclusion(home, False))
+    assert all(d.complete_request(n) != home for n in range(2, 8))
+    d.deliver(contract.Exclusion(home, False))
     back = d.router.servers[home]
     assert (
         not back.ejection_level
         and back.slow_start_factor(d.now) == SETTINGS.slow_start_initial_factor
         and not d.router.avoided(d.now)
     )
-    d.give(
+    d.deliver(
         contract.EndpointUpdate(
             contract.EndpointUpdateForm.DELTA,
             (contract.Endpoint(home, "r", "z0", 0, d.now - 90_000_000),),
@@ -245,17 +257,17 @@
     assert d.router.servers[home].slow_start_factor(d.now) < 0.5, (
         "an older start in the list does not make it warm"
     )
-    reads = [d.serve(n) for n in range(10, 30)]
+    reads = [d.complete_request(n) for n in range(10, 30)]
     assert home in reads and reads[0] != home, (
         "requests soon, but within the limit of a cold server"
     )
 
 
 def test_a_server_ejected_by_the_router_counts_as_avoided() -> None:
-    d = Drive(fleet(4, 4))
-    victim = d.ask(1)
-    d.end(1, AttemptStatus.UNREACHABLE)
-    d.give(contract.HealthCheckResult(str(victim), False))
+    d = RouterDriver(make_endpoints(4, 4))
+    victim = d.submit(1)
+    d.end_attempt(1, AttemptStatus.UNREACHABLE)
+    d.deliver(contract.HealthCheckResult(str(victim), False))
     assert victim in d.router.avoided(d.now)
 
 
@@ -282,9 +294,9 @@
 
 def test_a_request_in_progress_counts_as_pending() -> None:
     async def go() -> None:
-        async with world([Replica(READ)], [Replica(STREAM)], control=CONTROL) as w:
+        async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)], control=CONTROL) as w:
             w.readers[0].answers = [hold := HeldPrefill()]
-            reader, writer = await w.send(ask("a1", close=True))
+            reader, writer = await w.send(chat_request("a1", close=True))
             await hold.there.wait()
             assert (await metrics(w))["svc.pending"] == 1
             hold.go.set()
@@ -292,7 +304,7 @@
             assert (await metrics(w))["svc.pending"] == 0
             writer.close()
 
-    run(go)
+    run_async(go)
 
 
 class HeldPrefill:
@@ -304,7 +316,7 @@
     async def __call__(self, replica: Any, reader: Any, writer: Any, head: bytes) -> None:
         self.there.set()
         await self.go.wait()
-        await READ(replica, reader, writer, head)
+        await PREFILLED(replica, reader, writer, head)
 
 
 def test_shutdown_rejects_late_requests_and_answers_the_others(
@@ -316,16 +328,16 @@
         monkeypatch.setattr(front, "REJECT_NEW_DELAY_US", 0)
         # All open requests are answered soon after the shutdown begins.
         monkeypatch.setattr(front, "SHUTDOWN_MARGIN_US", -2_900_000)
-        async with world(
+        async with running_cluster(
             [Replica(hold)], [Replica(STREAM)], listen_descriptor=passed.detach()
         ) as w:
-            open_one, stays = await w.send(ask("a1", ms=9000))
+            open_one, stays = await w.send(chat_request("a1", ms=9000))
             await hold.there.wait()
             late_source, late = await asyncio.open_connection("127.0.0.1", w.port)
             await until(lambda: len(w.dispatcher.front.connections) == 2)
             stopping = asyncio.create_task(w.dispatcher.stop())
             await until(lambda: w.dispatcher.core.shutdown.begun)
-            late.write(ask("a2"))
+            late.write(chat_request("a2"))
             refused = await late_source.read()
             assert refused.startswith(b"HTTP/1.1 503") and b"connection: close" in refused.lower()
             assert (await open_one.read()).startswith(b"HTTP/1.1 50"), (
@@ -337,14 +349,14 @@
             for writer in (stays, late):
                 writer.close()
 
-    run(go)
+    run_async(go)
 
 
 def test_a_lower_limit_closes_idle_connections_to_replicas() -> None:
     async def go() -> None:
         hold = asyncio.Event()
-        async with world([Replica(READ)], [Replica(ends_with(hold))]) as w:
-            asked = [asyncio.create_task(w.ask(f"a{i}")) for i in range(20)]
+        async with running_cluster([Replica(PREFILLED)], [Replica(hold_last_chunk(hold))]) as w:
+            asked = [asyncio.create_task(w.request(f"a{i}")) for i in range(20)]
             await until(lambda: len(w.writers[0].heads) == 20)
             hold.set()
             await asyncio.gather(*asked)
@@ -354,15 +366,15 @@
             w.dispatcher._apply_descriptor_limit(20)
             assert budget.open <= budget.limit == w.dispatcher.front.max_connections == 8
 
-    run(go)
+    run_async(go)
 
 
 def test_a_cold_server_without_answers_is_not_estimated_as_the_fastest() -> None:
-    d = Drive(fleet(2, 2))
+    d = RouterDriver(make_endpoints(2, 2))
     for i in range(12):
-        d.serve(i, f"w{i}", prefix=f"p{i}")
+        d.complete_request(i, f"w{i}", prefix=f"p{i}")
     home = d.sent[0][0]
-    d.give(
+    d.deliver(
         contract.EndpointUpdate(
             contract.EndpointUpdateForm.DELTA, (contract.Endpoint("r9", "r", "z0", 0, d.now),)
         )
@@ -391,5 +403,5 @@
     # All requests may go to the new server and pile up there unless its queue counts.
     for i in range(20, 24):
         new_server.sample_count = 0
-        sent.append(d.ask(i, f"x{i}", prefix=f"q{i}"))
+        sent.append(d.submit(i, f"x{i}", prefix=f"q{i}"))
     assert sent.count("r9") < 4
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import h11
-from helpers import SETTINGS, fleet
+from helpers import SETTINGS, make_endpoints
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
@@ -221,7 +221,7 @@
     """Guards against half a surrogate pair in a session, on whose hash the router failed."""
     clock = Clock()
     core = RequestDispatcher(SETTINGS, 1, clock, TimerWheel(clock))
-    core.receive(contract.EndpointUpdate(contract.EndpointUpdateForm.COMPLETE, fleet()))
+    core.receive(contract.EndpointUpdate(contract.EndpointUpdateForm.COMPLETE, make_endpoints()))
     front = RpcFront(core, None, Address("127.0.0.1", 0), 9)  # type: ignore[arg-type]
     call_params = {**params, "class": "light", "prompt": "x"} if valid else params
     try:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -10,14 +10,14 @@
 from pathlib import Path
 
 import pytest
+from cluster import PREFILLED, STREAM, Discovery, Replica, chat_request, hold_last_chunk
 from typer.testing import CliRunner
-from world import READ, STREAM, Discovery, Replica, ask, ends_with
 
 from onyxpass import __version__
 from onyxpass.cli import app
 from onyxpass.config.platform_file import ConfigError, load, parse
 from onyxpass.toolcalls import service
-from tests.support.simulator_settings import CONF
+from tests.support.simulator_settings import WIRE_SETTINGS
 
 ROOT = Path(__file__).parent.parent
 RAW = {
@@ -25,7 +25,7 @@
     "listen": "127.0.0.1:0",
     "discovery": "127.0.0.1:1",
     "seed": "8c1f",
-    "settings": CONF,
+    "settings": WIRE_SETTINGS,
 }
 
 
@@ -110,8 +110,8 @@
     tmp_path: Path,
 ) -> None:
     async def go() -> None:
-        discovery, reader, writer = Discovery(), Replica(READ), Replica(STREAM)
-        spare = Replica(READ)
+        discovery, reader, writer = Discovery(), Replica(PREFILLED), Replica(STREAM)
+        spare = Replica(PREFILLED)
         for part in (discovery, reader, writer, spare):
             await part.start()
         for name, kind, part in (("r0", "r", reader), ("r1", "r", spare), ("w0", "w", writer)):
@@ -128,11 +128,11 @@
         old, at_old = await start_program(path, number, **environ)
         assert at_old["listening"] == port
         idle_source, idle = await asyncio.open_connection("127.0.0.1", port)
-        idle.write(ask("a1", "a"))
+        idle.write(chat_request("a1", "a"))
         assert (await idle_source.readuntil(b"0\r\n\r\n")).startswith(b"HTTP/1.1 200")
         # This connection's request is sent in part only.
         late_source, late = await asyncio.open_connection("127.0.0.1", port)
-        late.write(ask("a2", "a")[:40])
+        late.write(chat_request("a2", "a")[:40])
         new, at_new = await start_program(path, number, **environ)
         assert (await call(at_new["control"], "GET /api/ready")).startswith(b"HTTP/1.1 200")
         assert (await call(at_old["control"], "POST /api/exclude?host=r1")).startswith(
@@ -141,13 +141,13 @@
         assert b"members_unavailable=1\n" in await call(at_new["control"], "GET /api/telemetry")
         old.send_signal(signal.SIGTERM)
         assert await idle_source.read() == b"", "an idle connection is closed"
-        late.write(ask("a2", "a")[40:])
+        late.write(chat_request("a2", "a")[40:])
         served = await late_source.read()
         assert served.startswith(b"HTTP/1.1 200") and b"connection: close" in served.lower()
         assert await old.wait() == 0
         for i in range(6):
             source, sink = await asyncio.open_connection("127.0.0.1", port)
-            sink.write(ask(f"b{i}", "a", close=True))
+            sink.write(chat_request(f"b{i}", "a", close=True))
             assert (await source.read()).startswith(b"HTTP/1.1 200"), (
                 "the listener was not shut down"
             )
@@ -169,7 +169,11 @@
 ) -> None:
     async def go() -> None:
         hold = asyncio.Event()
-        discovery, reader, writer = Discovery(), Replica(READ), Replica(ends_with(hold), STREAM)
+        discovery, reader, writer = (
+            Discovery(),
+            Replica(PREFILLED),
+            Replica(hold_last_chunk(hold), STREAM),
+        )
         for part in (discovery, reader, writer):
             await part.start()
         for name, kind, part in (("r0", "r", reader), ("w0", "w", writer)):
@@ -185,7 +189,7 @@
         }
         old, _ = await start_program(path, number, **environ)
         source, sink = await asyncio.open_connection("127.0.0.1", port)
-        sink.write(ask("a1", "a"))
+        sink.write(chat_request("a1", "a"))
         await source.readuntil(b"[DONE]\n\n\r\n")
         new, at_new = await start_program(path, number, **environ)
         old.send_signal(signal.SIGTERM)
@@ -194,7 +198,7 @@
         assert await old.wait() == 0, "the old process ends although the stream has not ended"
         hold.set()
         assert (await source.readuntil(b"0\r\n\r\n")) == b"0\r\n\r\n"
-        sink.write(ask("a2", "a"))  # the new process owns the connection
+        sink.write(chat_request("a2", "a"))  # the new process owns the connection
         assert (await source.readuntil(b"0\r\n\r\n")).startswith(b"HTTP/1.1 200")
         metrics = await call(at_new["control"], "GET /api/telemetry")
         assert b".completed=2\n" in metrics and b"svc.pending=0\n" in metrics
@@ -225,7 +229,7 @@
 
 async def small_site(folder: Path) -> tuple[Discovery, Replica, Replica, Path]:
     """Start a discovery, a reader and a writer, and write a dispatcher's configuration for them."""
-    discovery, reader, writer = Discovery(), Replica(READ), Replica(STREAM)
+    discovery, reader, writer = Discovery(), Replica(PREFILLED), Replica(STREAM)
     for part in (discovery, reader, writer):
         await part.start()
     discovery.hosts = [
@@ -243,7 +247,7 @@
         process, ports = await start_program(path)
         assert process.stdout is not None
         source, sink = await asyncio.open_connection("127.0.0.1", ports["listening"])
-        sink.write(ask("a1", "a"))
+        sink.write(chat_request("a1", "a"))
         assert (await source.readuntil(b"0\r\n\r\n")).startswith(b"HTTP/1.1 200")
         path.write_text('{"name":')  # partly written: the old settings stay
         process.send_signal(signal.SIGHUP)
@@ -256,7 +260,7 @@
         process.send_signal(signal.SIGHUP)
         while json.loads(await process.stdout.readline()).get("seq") != 7:
             pass
-        sink.write(ask("a2", "a"))
+        sink.write(chat_request("a2", "a"))
         assert (await source.readuntil(b"0\r\n\r\n")).startswith(b"HTTP/1.1 200")
         process.send_signal(signal.SIGTERM)
         assert await source.read() == b"", "the idle connection is closed"
@@ -328,7 +332,7 @@
     tmp_path: Path, change: dict[str, object], key: str, runs: bool
 ) -> None:
     path = tmp_path / "c.json"
-    path.write_text(json.dumps({**RAW, "settings": {**CONF, **change}}))
+    path.write_text(json.dumps({**RAW, "settings": {**WIRE_SETTINGS, **change}}))
     result = CliRunner().invoke(app, ["check-config", "--config", str(path)])
     assert result.exit_code == 2 and "Traceback" not in result.output
     assert (
--- a/tests/test_reasons.py
+++ b/tests/test_reasons.py
@@ -5,48 +5,60 @@
 
 import pytest
 import structlog
-from world import FULL, READ, STREAM, Replica, World, ask, breaks, run, silence, until, world
+from cluster import (
+    PREFILLED,
+    SERVER_FULL,
+    STREAM,
+    Cluster,
+    Replica,
+    break_connection,
+    chat_request,
+    never_answer,
+    run_async,
+    running_cluster,
+    until,
+)
 
 from onyxpass.core.reasons import CloseReason, Reason
 
-CUT_STREAM = breaks(
+CUT_STREAM = break_connection(
     b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
     b'10\r\ndata: {"a":1}\n\n\n\r\n'
 )
 
 
-async def wait_for_close(w: World, reason: CloseReason) -> None:
+async def wait_for_close(w: Cluster, reason: CloseReason) -> None:
     await until(lambda: w.dispatcher.front.connections.closed[reason] == 1)
     assert w.dispatcher.front.connections.closed.total() == 1
 
 
 def test_client_connections_are_counted_by_why_they_ended() -> None:
     async def answered() -> None:
-        async with world([Replica(READ)], [Replica(STREAM)]) as w:
-            assert (await w.ask()).startswith(b"HTTP/1.1 200")
+        async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
+            assert (await w.request()).startswith(b"HTTP/1.1 200")
             await wait_for_close(w, CloseReason.AFTER_ANSWER)
 
     async def bad_request() -> None:
-        async with world([Replica(READ)], [Replica(STREAM)]) as w:
+        async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             reader, writer = await w.send(b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n\r\n")
             assert (await reader.read()).startswith(b"HTTP/1.1 400")
             writer.close()
             await wait_for_close(w, CloseReason.BAD_REQUEST)
 
     async def client_left() -> None:
-        async with world([Replica(silence)], [Replica(STREAM)]) as w:
-            _, writer = await w.send(ask("a1"))
+        async with running_cluster([Replica(never_answer)], [Replica(STREAM)]) as w:
+            _, writer = await w.send(chat_request("a1"))
             await until(lambda: w.readers[0].heads)
             writer.close()
             await wait_for_close(w, CloseReason.CLIENT_LEFT)
 
     async def stream_cut() -> None:
-        async with world([Replica(READ)], [Replica(CUT_STREAM)]) as w:
-            assert not (await w.ask("a1", "once")).endswith(b"0\r\n\r\n")
+        async with running_cluster([Replica(PREFILLED)], [Replica(CUT_STREAM)]) as w:
+            assert not (await w.request("a1", "once")).endswith(b"0\r\n\r\n")
             await wait_for_close(w, CloseReason.STREAM_CUT)
 
     for case in (answered, bad_request, client_left, stream_cut):
-        run(case)
+        run_async(case)
 
 
 @pytest.fixture
@@ -57,12 +69,12 @@
 
 def test_a_rejection_is_logged_with_its_reason(logged: list[Any]) -> None:
     async def scenario() -> None:
-        async with world([Replica(FULL)], [Replica(STREAM)]) as w:
-            assert (await w.ask("a1")).startswith(b"HTTP/1.1 503")
+        async with running_cluster([Replica(SERVER_FULL)], [Replica(STREAM)]) as w:
+            assert (await w.request("a1")).startswith(b"HTTP/1.1 503")
             w.dispatcher.core.shutdown.begin()
-            assert (await w.ask("a2")).startswith(b"HTTP/1.1 503")
+            assert (await w.request("a2")).startswith(b"HTTP/1.1 503")
 
-    run(scenario)
+    run_async(scenario)
     reasons = {line["id"]: line["why"] for line in logged if line["event"] == "refused"}
     assert reasons == {"a1": Reason.ATTEMPTS_FAILED, "a2": Reason.SHUTTING_DOWN}
 
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -8,7 +8,7 @@
 import subprocess
 import sys
 
-from tests.support.simulator_settings import CONF
+from tests.support.simulator_settings import WIRE_SETTINGS
 
 ROOT = pathlib.Path(__file__).parent.parent
 SERVERS = [["z0", k, None, i % 2, "up", f"{k}{i}", 1] for k in "rw" for i in range(4)]
@@ -35,7 +35,7 @@
     lines = [batch(1, 0)]
     begin: list[list[object]] = [["list", 0, SERVERS]]
     for i in instances:
-        begin += [["begin", i, 77 + i, CONF], ["rosterChange", i, "Persisted", 1, 0]]
+        begin += [["begin", i, 77 + i, WIRE_SETTINGS], ["rosterChange", i, "Persisted", 1, 0]]
     lines.append(batch(2, 1000, *begin))
     for n in range(40):
         events: list[list[object]] = []
@@ -83,7 +83,13 @@
         batch(4, 50_000, ["completed", 3, 3000, 0, first[3], "READ", 48_000, False, 400, [9, 0.5]])
     )
     lines.append(
-        batch(5, 60_000, ["kill", 3], ["begin", 3, 5, CONF], ["rosterChange", 3, "Persisted", 1, 0])
+        batch(
+            5,
+            60_000,
+            ["kill", 3],
+            ["begin", 3, 5, WIRE_SETTINGS],
+            ["rosterChange", 3, "Persisted", 1, 0],
+        )
     )
     replies = [json.loads(line)["outbox"] for line in run_adapter(lines).stdout.splitlines()]
     assert [a[0] for a in replies[3]] == ["transmit"] and replies[3][0][3].startswith("w")
