--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -17,12 +17,12 @@
 
 import pytest
 import structlog
-from helpers import Drive
+from cluster import run_async
+from helpers import RouterDriver
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from standins import Client, Ledger, Reader, RespStore, Writer, say, until
+from standins import Client, DecodeServer, PrefillServer, RespStore, ToolServer, send_text, until
 from typer.testing import CliRunner
-from world import run
 
 from onyxpass.config.platform_file import Address, Config, ConfigError, parse
 from onyxpass.config.settings import read_settings
@@ -46,7 +46,7 @@
 from onyxpass.testbed.settings import SETTINGS, dispatcher_config
 from onyxpass.toolcalls import service
 from onyxpass.toolcalls.service import ToolcallService
-from tests.support.dispatcher_bed import HandClock
+from tests.support.dispatcher_bed import ManualClock
 
 ROOT = Path(__file__).parent.parent
 ROLES = {"reader": contract.Role.PREFILL, "writer": contract.Role.DECODE}
@@ -309,8 +309,10 @@
         servers = [
             contract.Endpoint(f"r{i}", "r", weight=weight if i == 0 else 1.0) for i in range(4)
         ]
-        drive = Drive([*servers, contract.Endpoint("w0", "w"), contract.Endpoint("w1", "w")])
-        return [drive.serve(n, f"s{n}", f"p{n}") for n in range(240)]
+        driver = RouterDriver(
+            [*servers, contract.Endpoint("w0", "w"), contract.Endpoint("w1", "w")]
+        )
+        return [driver.complete_request(n, f"s{n}", f"p{n}") for n in range(240)]
 
     even, heavy, light = homes(1.0), homes(3.0), homes(0.2)
     assert heavy.count("r0") > 1.5 * even.count("r0") > 4 * light.count("r0")
@@ -323,14 +325,14 @@
     servers = [contract.Endpoint(f"r{i}", "r") for i in range(4)] + [
         contract.Endpoint(f"w{i}", "w") for i in range(4)
     ]
-    drive, got = Drive(servers), Counter[str]()
+    driver, got = RouterDriver(servers), Counter[str]()
     for n in range(400):
         if n % 20 == 0:  # the same id with a new start time
-            restarted = replace(servers[0], started_us=drive.now)
-            drive.give(
+            restarted = replace(servers[0], started_us=driver.now)
+            driver.deliver(
                 contract.EndpointUpdate(contract.EndpointUpdateForm.DELTA, (restarted,), n + 2)
             )
-        got[drive.serve(n, f"s{n}", f"p{n}")] += 1
+        got[driver.complete_request(n, f"s{n}", f"p{n}")] += 1
     assert 0 < got["r0"] < 0.5 * got["r1"], got
 
 
@@ -374,7 +376,7 @@
 class WatchedFolder:
     def __init__(self, folder: Path, **more: Any) -> None:
         self.folder = folder
-        clock = HandClock()
+        clock = ManualClock()
         self.core = RequestDispatcher(read_settings(SETTINGS), 1, clock, TimerWheel(clock))
         defaults: dict[str, Any] = {
             "settle_s": 0.03,
@@ -461,7 +463,7 @@
             await asyncio.sleep(0.3)
             assert w.source.view.number == version and w.source.status()["notified"]
 
-    run(go)
+    run_async(go)
 
 
 def test_polling_finds_a_change_whose_notification_is_lost(tmp_path: Path) -> None:
@@ -472,7 +474,7 @@
             w.write(GOOD + row("r3", port=5))
             await w.holds("r1", "r2", "r3", "w1", "w2")
 
-    run(go)
+    run_async(go)
 
 
 def test_a_start_with_invalid_files_serves_from_the_snapshot_and_logs_it(tmp_path: Path) -> None:
@@ -502,7 +504,7 @@
                 "a damaged snapshot is not partly read"
             )
 
-    run(go)
+    run_async(go)
 
 
 def test_both_processes_of_an_upgrade_number_the_same_view_alike(
@@ -526,11 +528,11 @@
             # The thread of the cancelled source may still be saving; it finishes the file.
             await until(lambda: not list(tmp_path.glob("*.new")))
 
-    run(go)
+    run_async(go)
 
 
 def test_files_over_discovery_set_weights_and_drains_but_add_no_server() -> None:
-    clock = HandClock()
+    clock = ManualClock()
     core = RequestDispatcher(read_settings(SETTINGS), 1, clock, TimerWheel(clock))
     file = SourcesFile(watch=["x.toml"], mode="over", ramp_s=0.0)
     source = membership.FileSource(core, Fleet(), membership.SourcesConfig(file, Path()))
@@ -662,17 +664,20 @@
         assert served["served"] > 20 and not served["broken"], served
         assert not breaches(fleet.trace), breaches(fleet.trace)[:5]
 
-    run(go)
+    run_async(go)
 
 
 def test_the_second_front_follows_watched_files(tmp_path: Path) -> None:
     async def go() -> None:
         store, tools, reader = (
             await RespStore().start(),
-            await Ledger().start(),
-            await Reader().start(),
+            await ToolServer().start(),
+            await PrefillServer().start(),
         )
-        writers = [await Writer(say("one")).start(), await Writer(say("two")).start()]
+        writers = [
+            await DecodeServer(send_text("one")).start(),
+            await DecodeServer(send_text("two")).start(),
+        ]
         text = (ROOT / "deploy" / "toolcalls.toml").read_text()
         head, rest = (
             text.split("[[servers]]", 1)[0],
@@ -709,12 +714,12 @@
             if "result" in await client.response(number):
                 break
         assert client.texts == ["one", "two"]
-        assert reader.asked[-1]["params"]["view"] == 2
+        assert reader.requests[-1]["params"]["view"] == 2
         places: dict[int, set[int]] = {}
         front.file_source.on_view = lambda v: places.update(
             {v.number: {e.address.port for e in v.entries.values() if e.address}}
         )
-        before = [len(writer.asked) for writer in writers]
+        before = [len(writer.requests) for writer in writers]
         for number in range(100, 200):  # rapid changes, with a request for each version
             text = row("reader-1", port=reader.port) + row("w-1", "writer", writers[0].port)
             text += (
@@ -736,7 +741,7 @@
                 == 1
             )
         for writer, count in zip(writers, before, strict=True):
-            for asked in writer.asked[count:]:
+            for asked in writer.requests[count:]:
                 if "view" in asked["params"] and asked["method"] == "write":
                     assert (
                         asked["params"]["view"] < 3
@@ -756,7 +761,7 @@
         with pytest.raises(ConfigError, match="no discovery"):
             ToolcallService(service.load(tmp_path / "t.toml"))
 
-    run(go)
+    run_async(go)
 
 
 # The command line
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -14,8 +14,8 @@
 from pathlib import Path
 
 import pytest
+from cluster import chat_request
 from test_program import ROOT, small_site
-from world import ask
 
 from onyxpass.core import event_loop
 from onyxpass.core.clock import Clock
@@ -72,7 +72,7 @@
             line = json.loads(await asyncio.to_thread(process.stdout.readline))
             seen[line["event"]] = int(str(line.get("listen", "0")).rpartition(":")[2])
         source, sink = await asyncio.open_connection("127.0.0.1", seen["listening"])
-        sink.write(ask("a1", "a"))
+        sink.write(chat_request("a1", "a"))
         assert (await source.readuntil(b"0\r\n\r\n")).startswith(b"HTTP/1.1 200")
         process.send_signal(signal.SIGTERM)
         _, stderr = await asyncio.to_thread(process.communicate)
--- a/tests/test_state_behind_silent_send.py
+++ b/tests/test_state_behind_silent_send.py
@@ -18,10 +18,10 @@
 import pytest
 import standins as st
 import test_toolcalls as calls
-from shimmed import Process, connection, parties, run
-from world import CHUNKS, HEAD, READ, Replica, ask, silence
+from cluster import CHUNKS, HEAD, PREFILLED, Replica, chat_request, never_answer
+from fault_injection import ChildProcess, open_connection, run_async, servers_and_config
 
-from tests.support.simulator_settings import CONF
+from tests.support.simulator_settings import WIRE_SETTINGS
 
 # 0.6 s are allowed; the rest is for a busy machine. The wait for an answer takes 4 s here.
 MAX_RELEASE_S = 2.0
@@ -53,9 +53,9 @@
 
 
 def settings(idempotency: str) -> dict[str, object]:
-    grades = CONF["grades"]
+    grades = WIRE_SETTINGS["grades"]
     only = {**grades[0], "promiseUs": OBJECTIVE_US, "repeat": idempotency}  # type: ignore[index]
-    return {**CONF, "grades": [only]}
+    return {**WIRE_SETTINGS, "grades": [only]}
 
 
 @dataclass(frozen=True)
@@ -71,32 +71,37 @@
 
 
 CASES = (
-    *(SilentServers(lambda: Replica(silence), idempotency) for idempotency in CLASSES),
-    *(SilentServers(lambda: StoppedProcess(READ), idempotency) for idempotency in CLASSES),
-    SilentServers(lambda: Replica(silence), "read_like", prefill_servers_too=True),
+    *(SilentServers(lambda: Replica(never_answer), idempotency) for idempotency in CLASSES),
+    *(SilentServers(lambda: StoppedProcess(PREFILLED), idempotency) for idempotency in CLASSES),
+    SilentServers(lambda: Replica(never_answer), "read_like", prefill_servers_too=True),
 )
 
 
 def test_state_is_released_while_a_send_was_acknowledged_and_not_processed(tmp_path: Path) -> None:
     async def go(case: SilentServers) -> None:
-        readers, writers = [Replica(READ), Replica(READ)], [case.writers(), case.writers()]
+        readers, writers = (
+            [Replica(PREFILLED), Replica(PREFILLED)],
+            [case.writers(), case.writers()],
+        )
         for reader in readers:
-            reader.lets_go = not case.prefill_servers_too
+            reader.answers_deletes = not case.prefill_servers_too
         asked = writers if case.prefill_servers_too else readers
-        async with parties(tmp_path, readers, writers, settings=settings(case.idempotency)) as made:
-            process = await Process.start("serve", "--config", str(made[0]))
-            async with connection(await process.port()) as (_, client):
+        async with servers_and_config(
+            tmp_path, readers, writers, settings=settings(case.idempotency)
+        ) as made:
+            process = await ChildProcess.start("serve", "--config", str(made[0]))
+            async with open_connection(await process.port()) as (_, client):
                 sent_s = time.monotonic()
-                client.write(ask("a1", "a", ms=DEADLINE_MS))
+                client.write(chat_request("a1", "a", ms=DEADLINE_MS))
                 while not (released := [lease for server in asked for lease in server.leases]):
                     await asyncio.sleep(0.005)
                 assert time.monotonic() - sent_s <= MAX_RELEASE_S, case
                 assert released[0].endswith("a1")
-                assert not process.of("attempt"), "the send may still be processed"
-            assert await process.end() == 0
+                assert not process.events("attempt"), "the send may still be processed"
+            assert await process.terminate() == 0
 
     for case in CASES:
-        run(go(case))
+        run_async(go(case))
 
 
 @pytest.mark.parametrize("idempotency", CLASSES)
@@ -104,22 +109,24 @@
     tmp_path: Path, idempotency: str
 ) -> None:
     async def go() -> None:
-        reader, writers = Replica(READ), [Replica(slow), Replica(slow)]
-        async with parties(tmp_path, [reader], writers, settings=settings(idempotency)) as made:
-            process = await Process.start("serve", "--config", str(made[0]))
-            async with connection(await process.port()) as (answer, client):
-                client.write(ask("a1", "a", ms=DEADLINE_MS, close=True))
+        reader, writers = Replica(PREFILLED), [Replica(slow), Replica(slow)]
+        async with servers_and_config(
+            tmp_path, [reader], writers, settings=settings(idempotency)
+        ) as made:
+            process = await ChildProcess.start("serve", "--config", str(made[0]))
+            async with open_connection(await process.port()) as (answer, client):
+                client.write(chat_request("a1", "a", ms=DEADLINE_MS, close=True))
                 assert (await answer.read()).endswith(b"0\r\n\r\n")
             assert sum(len(writer.heads) for writer in writers) == 1 == len(reader.heads)
-            assert not process.of("attempt")
-            assert await process.end() == 0
+            assert not process.events("attempt")
+            assert await process.terminate() == 0
 
-    run(go())
+    run_async(go())
 
 
 def test_state_is_released_at_the_json_rpc_front_as_well() -> None:
     async def go() -> None:
-        async with calls.world(st.hold_on) as w:
+        async with calls.world(st.read_until_closed) as w:
             client = await w.client()
             client.generate(1)
             await st.until(lambda: w.writes)
@@ -133,12 +140,12 @@
 
 def test_a_slow_stream_at_the_json_rpc_front_is_served_by_one_attempt() -> None:
     async def late(
-        _: st.Writer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        _: st.DecodeServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         await asyncio.sleep(SLOW_S)
 
     async def go() -> None:
-        async with calls.world(late, st.say("Booked.")) as w:
+        async with calls.world(late, st.send_text("Booked.")) as w:
             client = await w.client()
             client.generate(1)
             assert (await client.response(1))["result"]["finish"] == "stop"
--- a/tests/test_state_reservations.py
+++ b/tests/test_state_reservations.py
@@ -13,7 +13,7 @@
 from onyxpass.core.state_reservations import MIN_UNANSWERED_US
 from onyxpass.scheduling import contract
 from onyxpass.scheduling.contract import AttemptStatus
-from tests.support.dispatcher_bed import Bed
+from tests.support.dispatcher_bed import DispatcherBed
 
 LIMIT_US = SETTINGS.release_within_us
 
@@ -28,9 +28,11 @@
     return [line for line in logged if line["event"] == name]
 
 
-def prefilled_and_sent(bed: Bed, acknowledged: bool | None = True) -> tuple[Request, Attempt]:
+def prefilled_and_sent(
+    bed: DispatcherBed, acknowledged: bool | None = True
+) -> tuple[Request, Attempt]:
     """Return a request whose state r0 holds, and its next attempt, which went to w0 at once."""
-    request = bed.ask(contract.SendAttempt(7, "r0", 900_000), wait_us=60_000_000)
+    request = bed.submit(contract.SendAttempt(7, "r0", 900_000), wait_us=60_000_000)
     bed.core.outcomes.attempt_ended(bed.fleet.started[0], AttemptStatus.PREFILLED)
     bed.step([contract.SendAttempt(7, "w0", 50_000_000)])
     attempt = bed.fleet.started[1]
@@ -41,11 +43,11 @@
 def test_an_unanswered_send_is_logged_and_counted_before_the_limit(
     logged: list[Any],
 ) -> None:
-    bed = Bed()
+    bed = DispatcherBed()
     prefilled_and_sent(bed)
-    bed.later(LIMIT_US // 2)
+    bed.advance(LIMIT_US // 2)
     assert not lines_of(logged, "send_unanswered")
-    bed.later(LIMIT_US // 2)
+    bed.advance(LIMIT_US // 2)
     (line,) = lines_of(logged, "send_unanswered")
     assert (line["n"], line["server"], line["holder"]) == (1, "w0", "r0")
     assert line["acknowledged"] is True and line["held_us"] <= LIMIT_US
@@ -53,66 +55,66 @@
 
 
 def test_a_send_that_is_answered_or_ends_in_time_is_not_logged(logged: list[Any]) -> None:
-    bed = Bed()
+    bed = DispatcherBed()
     _, attempt = prefilled_and_sent(bed)
     assert bed.core.outcomes.stream_event_received(attempt)
-    bed.later(10 * LIMIT_US)
-    other_bed = Bed()
+    bed.advance(10 * LIMIT_US)
+    other_bed = DispatcherBed()
     _, attempt = prefilled_and_sent(other_bed)
     other_bed.core.outcomes.attempt_ended(attempt, AttemptStatus.OVERLOADED)
     other_bed.step([contract.Fail(7)])
-    other_bed.later(10 * LIMIT_US)
+    other_bed.advance(10 * LIMIT_US)
     assert not lines_of(logged, "send_unanswered")
 
 
 def test_the_end_of_an_attempt_is_logged_with_how_long_state_was_reserved(
     logged: list[Any],
 ) -> None:
-    bed = Bed()
+    bed = DispatcherBed()
     _, attempt = prefilled_and_sent(bed)
-    bed.later(LIMIT_US // 2)
+    bed.advance(LIMIT_US // 2)
     bed.core.outcomes.attempt_ended(attempt, AttemptStatus.RESET)
     (line,) = lines_of(logged, "attempt")
     assert line["holder"] == "r0" and line["held_us"] == LIMIT_US // 2
 
 
 def test_state_is_released_during_an_unanswered_send_and_again_at_its_end() -> None:
-    bed = Bed()
+    bed = DispatcherBed()
     request, attempt = prefilled_and_sent(bed)
-    bed.later(LIMIT_US)
-    assert bed.fleet.did == [("release", False)]
+    bed.advance(LIMIT_US)
+    assert bed.fleet.calls == [("release", False)]
     assert request.in_flight is attempt, "the attempt may have arrived and continues"
     bed.core.outcomes.attempt_ended(attempt, AttemptStatus.RESET)
     bed.step([contract.ReleaseState(7), contract.Fail(7)])
-    assert bed.fleet.did == [("release", False)] * 2, (
+    assert bed.fleet.calls == [("release", False)] * 2, (
         "its state may have survived the first release"
     )
 
 
 def test_a_late_send_still_has_time_to_arrive() -> None:
-    bed = Bed()
-    bed.ask(contract.SendAttempt(7, "r0", 900_000), wait_us=60_000_000)
+    bed = DispatcherBed()
+    bed.submit(contract.SendAttempt(7, "r0", 900_000), wait_us=60_000_000)
     bed.core.outcomes.attempt_ended(bed.fleet.started[0], AttemptStatus.PREFILLED)
     bed.step([contract.SendAttempt(7, "w0", 50_000_000)])
-    bed.later(LIMIT_US * 3 // 4)  # failed connects
+    bed.advance(LIMIT_US * 3 // 4)  # failed connects
     bed.core.reservations.attempt_begun(bed.fleet.started[1], lambda: None)
-    bed.later(MIN_UNANSWERED_US - 10_000)
-    assert not bed.fleet.did
-    bed.later(20_000)
-    assert bed.fleet.did == [("release", False)]
+    bed.advance(MIN_UNANSWERED_US - 10_000)
+    assert not bed.fleet.calls
+    bed.advance(20_000)
+    assert bed.fleet.calls == [("release", False)]
 
 
 def test_nothing_is_released_if_nothing_is_reserved_or_a_stream_has_begun() -> None:
     for committed in (False, True):
-        bed = Bed()
+        bed = DispatcherBed()
         if committed:
             _, attempt = prefilled_and_sent(bed)
             assert bed.core.outcomes.stream_event_received(attempt)
         else:
-            bed.ask(contract.SendAttempt(7, "w0", 900_000), wait_us=60_000_000)
+            bed.submit(contract.SendAttempt(7, "w0", 900_000), wait_us=60_000_000)
             bed.core.reservations.attempt_begun(bed.fleet.started[0], lambda: False)
-        bed.later(10 * LIMIT_US)
-        assert ("release", False) not in bed.fleet.did
+        bed.advance(10 * LIMIT_US)
+        assert ("release", False) not in bed.fleet.calls
 
 
 def test_a_release_replaces_one_that_is_still_running() -> None:
@@ -122,8 +124,8 @@
     """
 
     async def scenario() -> None:
-        bed = Bed()
-        request = bed.ask(contract.SendAttempt(7, "r0", 500_000))
+        bed = DispatcherBed()
+        request = bed.submit(contract.SendAttempt(7, "r0", 500_000))
         fleet: ActorFleet[ServerActor] = ActorFleet(bed.core)
         ended: list[str] = []
 
@@ -149,11 +151,11 @@
     acknowledged: bool | None,
 ) -> None:
     """A lost packet delays an acknowledgement, and a relay acknowledges without the server."""
-    bed = Bed()
+    bed = DispatcherBed()
     request, attempt = prefilled_and_sent(bed, acknowledged)
     reserved_since_us = request.reserved_since_us
-    bed.later(20 * LIMIT_US)
-    assert bed.fleet.did == [("release", False)] and request.in_flight is attempt
+    bed.advance(20 * LIMIT_US)
+    assert bed.fleet.calls == [("release", False)] and request.in_flight is attempt
     bed.core.outcomes.attempt_ended(attempt, AttemptStatus.RESET)
     bed.step([contract.Fail(7)])
     outcome = bed.script.heard[-1]
--- a/tests/test_stream_backlog.py
+++ b/tests/test_stream_backlog.py
@@ -13,12 +13,18 @@
 import pytest
 import standins as st
 import test_toolcalls as calls
-from shimmed import Process, connection, control, parties, run
-from world import EVENTS, HEAD, READ, Replica, ask, says
+from cluster import EVENTS, HEAD, PREFILLED, Replica, chat_request, respond_with
+from fault_injection import (
+    ChildProcess,
+    fault_control,
+    open_connection,
+    run_async,
+    servers_and_config,
+)
 
 from onyxpass.core.loop_turn import MAX_TURN_US, LoopTurn
 from onyxpass.toolcalls.front import RpcClient
-from tests.support.dispatcher_bed import HandClock
+from tests.support.dispatcher_bed import ManualClock
 
 BACKLOG_EVENTS = 200
 DELAY_S = 0.02  # duration of each send
@@ -36,16 +42,18 @@
 
 def test_others_are_answered_while_a_backlog_of_events_is_forwarded(tmp_path: Path) -> None:
     async def go() -> None:
-        faults = control(tmp_path)
-        async with parties(tmp_path, [Replica(READ)], [Replica(says(BACKLOG))]) as (path, _):
-            process = await Process.start("serve", "--config", str(path), control=faults)
+        faults = fault_control(tmp_path)
+        async with servers_and_config(
+            tmp_path, [Replica(PREFILLED)], [Replica(respond_with(BACKLOG))]
+        ) as (path, _):
+            process = await ChildProcess.start("serve", "--config", str(path), control=faults)
             port = await process.port()
             async with (
-                connection(port) as (stream, stream_writer),
-                connection(port) as (other, health_writer),
+                open_connection(port) as (stream, stream_writer),
+                open_connection(port) as (other, health_writer),
             ):
                 faults.delay_sends(DELAY_S)
-                stream_writer.write(ask("a1", "a", ms=6000, close=True))
+                stream_writer.write(chat_request("a1", "a", ms=6000, close=True))
                 await stream.readuntil(EVENT)
                 began_s = time.monotonic()
                 health_writer.write(b"GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -54,17 +62,17 @@
                 faults.delay_sends(0)
                 assert (await stream.read()).endswith(b"0\r\n\r\n"), "the stream is complete"
                 assert took_s <= MAX_OTHER_S
-            assert await process.end() == 0
+            assert await process.terminate() == 0
 
-    run(go())
+    run_async(go())
 
 
 def test_a_backlog_of_texts_at_the_json_rpc_front_does_not_starve_other_tasks() -> None:
     async def send_backlog(
-        _: st.Writer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        _: st.DecodeServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         for _ in range(BACKLOG_EVENTS):
-            st.put(writer, method="text", params={"text": "x"})
+            st.send_message(writer, method="text", params={"text": "x"})
 
     async def go() -> None:
         async with calls.world(send_backlog) as w:
@@ -96,7 +104,7 @@
 
 def test_a_turn_ends_once_its_steps_have_used_its_time() -> None:
     async def go() -> None:
-        clock = HandClock()
+        clock = ManualClock()
         turn = LoopTurn(clock)
         others = asyncio.Event()
         for step, yields in enumerate((False, True, False, True)):
--- a/tests/test_stream_migration.py
+++ b/tests/test_stream_migration.py
@@ -9,9 +9,9 @@
 
 import h11
 import pytest
-from helpers import Drive, fleet
+from cluster import PREFILLED, STREAM, Replica, hold_last_chunk, run_async, running_cluster
+from helpers import RouterDriver, make_endpoints
 from standins import until
-from world import READ, STREAM, Replica, ends_with, run, world
 
 from onyxpass.core.timer_wheel import TimerWheel
 from onyxpass.net import stream_migration
@@ -19,7 +19,7 @@
 from onyxpass.net.response_reader import ResponseReader
 from onyxpass.scheduling import contract
 from onyxpass.scheduling.contract import AttemptStatus
-from tests.support.dispatcher_bed import HandClock
+from tests.support.dispatcher_bed import ManualClock
 
 OFFER = {
     "version": 1, "id": "a1", "cls": "light", "session": "s", "deadline_us": 1, "prompt_tokens": 1,
@@ -42,7 +42,7 @@
     tmp_path: Path,
 ) -> None:
     async def go() -> None:
-        async with world([Replica(READ)], [Replica(STREAM)], folder=tmp_path) as w:
+        async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)], folder=tmp_path) as w:
             path = w.dispatcher.process_registry.migration_socket()
             assert path is not None
             await until(path.exists)
@@ -68,7 +68,7 @@
             one.close()
             two.close()
 
-    run(go)
+    run_async(go)
 
 
 @pytest.mark.parametrize("answer", [b"", b"0"])
@@ -91,10 +91,10 @@
                     if answer:
                         await loop.sock_sendall(sock, answer)
 
-        async with world([Replica(READ)], [Replica(ends_with(hold))]) as w:
+        async with running_cluster([Replica(PREFILLED)], [Replica(hold_last_chunk(hold))]) as w:
             rejecting = asyncio.create_task(reject_offers())
             sender = stream_migration.StreamSender(tmp_path / "x.heir", w.dispatcher.core)
-            served = asyncio.create_task(w.ask("a1"))
+            served = asyncio.create_task(w.request("a1"))
             await until(
                 lambda: any(actor.streams for actor in w.dispatcher.replicas.actors.values())
             )
@@ -107,7 +107,7 @@
             rejecting.cancel()
             listener.close()
 
-    run(go)
+    run_async(go)
 
 
 async def reader_after(*parts: bytes) -> ResponseReader:
@@ -115,7 +115,7 @@
 
     All complete chunks have been taken out.
     """
-    wheel = TimerWheel(HandClock())
+    wheel = TimerWheel(ManualClock())
     reader = asyncio.StreamReader()
     wire = HttpConnection(h11.CLIENT, reader, None)
     wire.h11.send(h11.Request(method="GET", target="/", headers=[("host", "x")]))
@@ -169,12 +169,12 @@
 
 
 def test_the_router_counts_the_tokens_of_an_adopted_stream() -> None:
-    d = Drive(fleet(2, 2))
-    d.give(contract.StreamAdopted(77, "w0", 100_000))
+    d = RouterDriver(make_endpoints(2, 2))
+    d.deliver(contract.StreamAdopted(77, "w0", 100_000))
     assert d.router.servers["w0"].streams[77][1] == 100_000
-    d.serve(1)
+    d.complete_request(1)
     assert d.sent[1][1] == "w1"
-    d.give(contract.AttemptOutcome(77, 1, "w0", AttemptStatus.COMPLETED, 1, True))
+    d.deliver(contract.AttemptOutcome(77, 1, "w0", AttemptStatus.COMPLETED, 1, True))
     assert not d.router.servers["w0"].streams
 
 
@@ -192,7 +192,7 @@
     tmp_path: Path,
 ) -> None:
     async def go() -> None:
-        async with world([Replica(READ)], [Replica(STREAM)], folder=tmp_path) as w:
+        async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)], folder=tmp_path) as w:
             path = w.dispatcher.process_registry.migration_socket()
             assert path is not None
             await until(path.exists)
@@ -222,4 +222,4 @@
             )
             client.close()
 
-    run(go)
+    run_async(go)
--- a/tests/test_timer_wheel.py
+++ b/tests/test_timer_wheel.py
@@ -8,11 +8,11 @@
 
 from onyxpass.core.clock import Clock, cpu_us
 from onyxpass.core.timer_wheel import TICK_US, TimerWheel
-from tests.support.dispatcher_bed import HandClock
+from tests.support.dispatcher_bed import ManualClock
 
 
 def test_timers_fire_in_order_and_never_early() -> None:
-    clock = HandClock()
+    clock = ManualClock()
     wheel = TimerWheel(clock)
     fired: list[tuple[int, int]] = []
     cancelled = wheel.after(20_000, lambda: fired.append((0, 0)))
--- a/tests/test_toolcalls.py
+++ b/tests/test_toolcalls.py
@@ -24,10 +24,10 @@
     """The front end with a store, a tool server, two readers and two writers."""
 
     def __init__(self, *steps: st.Step) -> None:
-        self.store, self.ledger = st.RespStore(), st.Ledger()
+        self.store, self.ledger = st.RespStore(), st.ToolServer()
         self.readers, self.writers = (
-            [st.Reader(), st.Reader()],
-            [st.Writer(*steps), st.Writer(*steps)],
+            [st.PrefillServer(), st.PrefillServer()],
+            [st.DecodeServer(*steps), st.DecodeServer(*steps)],
         )
         self.clients: list[st.Client] = []
 
@@ -84,7 +84,9 @@
 
 def test_text_and_a_call_in_one_stream() -> None:
     async def go() -> None:
-        async with world(st.say("Looking. "), st.call("c1"), st.say("Booked.")) as w:
+        async with world(
+            st.send_text("Looking. "), st.call_tool("c1"), st.send_text("Booked.")
+        ) as w:
             client = await w.client()
             client.generate(1, request="r1")
             answer = await client.response(1)
@@ -106,13 +108,13 @@
     """The writer is lost after its call was sent and before the result arrived."""
 
     async def go() -> None:
-        async with world(st.call("c1", wait=False), st.die_when_told) as w:
+        async with world(st.call_tool("c1", wait=False), st.abort_on_event) as w:
             w.ledger.release.clear()
             client = await w.client()
             client.generate(1, request="r1")
             await st.until(lambda: w.ledger.ledger)
             for writer in w.writers:
-                writer.hold.set()
+                writer.abort_event.set()
             error = (await client.response(1))["error"]
             assert error["code"] == rpc.OUTCOME_UNKNOWN
             assert error["data"]["calls"] == [{"call": "c1", "name": "book_out", "state": "sent"}]
@@ -132,7 +134,9 @@
     """The client closes its connection or cancels the request while the call has no result yet."""
 
     async def go() -> None:
-        async with world(st.say("Wait. "), st.call("c1", wait=False), st.hold_on) as w:
+        async with world(
+            st.send_text("Wait. "), st.call_tool("c1", wait=False), st.read_until_closed
+        ) as w:
             w.ledger.release.clear()
             client = await w.client()
             client.generate(1, request="r1")
@@ -140,16 +144,18 @@
             if ending == "close":
                 await client.stop()
             else:
-                st.put(client.writer, method="cancel", params={"id": 1})
+                st.send_message(client.writer, method="cancel", params={"id": 1})
                 error = (await client.response(1))["error"]
                 assert (
                     error["code"] == rpc.OUTCOME_UNKNOWN
                     and error["data"]["calls"][0]["call"] == "c1"
                 )
-            await st.until(lambda: any(n["method"] == "cancel" for x in w.writers for n in x.notes))
-            await st.until(lambda: w.ledger.notes)
-            assert w.ledger.notes[0]["method"] == "notifications/cancelled"
-            assert w.ledger.notes[0]["params"]["requestId"] == "r1:c1"
+            await st.until(
+                lambda: any(n["method"] == "cancel" for x in w.writers for n in x.notifications)
+            )
+            await st.until(lambda: w.ledger.notifications)
+            assert w.ledger.notifications[0]["method"] == "notifications/cancelled"
+            assert w.ledger.notifications[0]["params"]["requestId"] == "r1:c1"
             await st.until(lambda: w.store.recorded_calls()["r1:c1"].get("withdrawn"))
             w.ledger.release.set()
             await st.until(lambda: w.store.recorded_calls()["r1:c1"]["state"] == "done")
@@ -164,7 +170,7 @@
 def test_a_text_may_be_cut_anywhere_even_within_a_surrogate_pair() -> None:
     async def go() -> None:
         parts = ["\ud83d", "\ude00", "\u0000\n\u2028"]
-        async with world(*map(st.say, parts)) as w:
+        async with world(*map(st.send_text, parts)) as w:
             client = await w.client()
             client.generate(1)
             assert "result" in await client.response(1) and client.texts == parts
@@ -174,7 +180,7 @@
 
 def test_a_repeated_request_id_gets_the_recorded_tool_result() -> None:
     async def go() -> None:
-        async with world(st.call("c1"), st.say("ok")) as w:
+        async with world(st.call_tool("c1"), st.send_text("ok")) as w:
             client = await w.client()
             for id in (1, 2):
                 client.generate(id, request="r1")
@@ -188,16 +194,16 @@
 
 def test_a_retry_after_a_lost_writer_does_not_repeat_the_call() -> None:
     async def go() -> None:
-        async with world(st.call("c1", wait=False), st.die_when_told) as w:
+        async with world(st.call_tool("c1", wait=False), st.abort_on_event) as w:
             w.ledger.release.clear()
             client = await w.client()
             client.generate(1, request="r1")
             await st.until(lambda: w.ledger.ledger)
             for writer in w.writers:
-                writer.hold.set()
+                writer.abort_event.set()
             assert (await client.response(1))["error"]["code"] == rpc.OUTCOME_UNKNOWN
             for writer in w.writers:
-                writer.steps = (st.call("c1"),)
+                writer.steps = (st.call_tool("c1"),)
             client.generate(2, request="r1")
             await client.response(2)
             (response,) = [r for x in w.writers for r in x.results]
@@ -209,9 +215,11 @@
 
 def test_a_failed_read_is_retried_and_the_tool_call_is_made_once() -> None:
     async def go() -> None:
-        async with world(st.call("c1"), st.say("ok")) as w:
+        async with world(st.call_tool("c1"), st.send_text("ok")) as w:
             for reader in w.readers:
-                reader.ends = [{"error": {"code": rpc.INTERNAL_ERROR, "message": "fault"}}]
+                reader.prefill_replies = [
+                    {"error": {"code": rpc.INTERNAL_ERROR, "message": "fault"}}
+                ]
             client = await w.client()
             client.generate(1, request="r1", traffic_class="part-lookup")
             assert "result" in await client.response(1)
@@ -223,7 +231,7 @@
 
 def test_a_non_idempotent_request_that_may_have_run_is_not_sent_again() -> None:
     async def go() -> None:
-        async with world(st.raw(b"%%")) as w:
+        async with world(st.send_line(b"%%")) as w:
             client = await w.client()
             client.generate(1)
             assert (await client.response(1))["error"]["code"] == rpc.FAILED
@@ -236,7 +244,7 @@
 @pytest.mark.parametrize("outage", ["stopped", "silent"])
 def test_no_tool_call_is_made_while_the_store_is_unavailable(outage: str) -> None:
     async def go() -> None:
-        async with world(st.call("c1"), st.say("sorry")) as w:
+        async with world(st.call_tool("c1"), st.send_text("sorry")) as w:
             if outage == "stopped":
                 await w.store.stop()
             w.store.silent = True
@@ -253,7 +261,7 @@
 
 def test_calls_to_a_slow_invalid_or_stopped_tool_server_report_their_state() -> None:
     async def go() -> None:
-        async with world(st.call("c1"), st.say("."), timeout_ms=200) as w:
+        async with world(st.call_tool("c1"), st.send_text("."), timeout_ms=200) as w:
             client = await w.client()
             w.ledger.release.clear()  # slow
             client.generate("slow", request="slow")
@@ -261,7 +269,7 @@
             assert answer["result"]["calls"][0]["state"] == "unknown"
             w.ledger.release.set()  # a late result is still recorded
             await st.until(lambda: w.store.recorded_calls()["slow:c1"]["state"] == "done")
-            w.ledger.garbage = True
+            w.ledger.replies_garbage = True
             client.generate("garbage", request="garbage")
             assert (await client.response("garbage"))["result"]["calls"][0]["state"] == "unknown"
             await w.ledger.stop()
@@ -278,7 +286,7 @@
 
 def test_a_restarted_tool_server_is_reconnected() -> None:
     async def go() -> None:
-        async with world(st.call("c1")) as w:
+        async with world(st.call_tool("c1")) as w:
             client = await w.client()
             for id in ("a", "b", "c"):
                 client.generate(id, request=id)
@@ -293,7 +301,7 @@
 
 def test_a_writer_that_ends_before_its_call_has_a_result_leaves_the_outcome_unknown() -> None:
     async def go() -> None:
-        async with world(st.call("c1", wait=False)) as w:
+        async with world(st.call_tool("c1", wait=False)) as w:
             w.ledger.release.clear()
             client = await w.client()
             client.generate(1, request="r1")
@@ -314,7 +322,9 @@
 
 def test_tool_errors_and_duplicate_call_ids_are_reported_to_the_writer() -> None:
     async def go() -> None:
-        async with world(st.call("c1"), st.call("c1"), st.call("c2", "no_such")) as w:
+        async with world(
+            st.call_tool("c1"), st.call_tool("c1"), st.call_tool("c2", "no_such")
+        ) as w:
             w.ledger.answers["no_such"] = {"error": {"code": -32602, "message": "no such tool"}}
             client = await w.client()
             client.generate(1)
@@ -330,17 +340,19 @@
 
 def test_a_rejection_carries_a_retry_delay_and_a_silent_writer_ends_at_the_deadline() -> None:
     async def go() -> None:
-        async with world(st.say("x")) as w:
+        async with world(st.send_text("x")) as w:
             for reader in w.readers:
-                reader.ends = [{"error": {"code": rpc.SERVER_FULL, "message": "full"}}] * 9
+                reader.prefill_replies = [
+                    {"error": {"code": rpc.SERVER_FULL, "message": "full"}}
+                ] * 9
             client = await w.client()
             client.generate(1, timeout_ms=900)
             error = (await client.response(1))["error"]
             assert error["code"] == rpc.REFUSED and error["data"] == {"retry_after_ms": 1000}
             for writer in w.writers:
-                writer.steps = (st.hold_on,)
+                writer.steps = (st.read_until_closed,)
             for reader in w.readers:
-                reader.ends = []
+                reader.prefill_replies = []
             client.generate(2, timeout_ms=400)
             assert (await client.response(2))["error"]["code"] == rpc.DEADLINE_EXCEEDED
             assert w.writes == 1
@@ -368,7 +380,7 @@
     ]
 
     async def go() -> None:
-        async with world(st.hold_on) as w:
+        async with world(st.read_until_closed) as w:
             client = await w.client()
             for line, code, id in cases:
                 before = len(client.responses)
@@ -381,9 +393,11 @@
             assert (await client.response(None))["error"]["code"]
             client.generate(8, request="one")
             assert (await client.response(8))["error"]["code"] == rpc.INVALID_REQUEST
-            st.put(client.writer, id=99, result={})  # a response without a request is ignored
-            st.put(client.writer, method="cancel", params={"id": 12345})
-            st.put(client.writer, id=9, method="ping")
+            st.send_message(
+                client.writer, id=99, result={}
+            )  # a response without a request is ignored
+            st.send_message(client.writer, method="cancel", params={"id": 12345})
+            st.send_message(client.writer, id=9, method="ping")
             await client.response(9)
             client.writer.write(b"x" * (rpc.LINE_LIMIT + 10) + b"\n")
             await st.until(lambda: client.closed)
@@ -395,8 +409,8 @@
 
 def test_a_reload_applies_the_servers_and_an_invalid_file_changes_nothing() -> None:
     async def go() -> None:
-        async with world(st.say("a")) as w:
-            late = await st.Writer(st.say("b")).start()
+        async with world(st.send_text("a")) as w:
+            late = await st.DecodeServer(st.send_text("b")).start()
             raw = w.config()
             w.service.reload(lambda: parse({**raw, "servers": "nonsense"}))  # type: ignore[attr-defined]
             client = await w.client()
@@ -414,9 +428,11 @@
 
 def test_a_request_that_a_reader_rejects_as_invalid_fails_without_retry_or_penalty() -> None:
     async def go() -> None:
-        async with world(st.say("a")) as w:
+        async with world(st.send_text("a")) as w:
             for reader in w.readers:
-                reader.ends += [{"error": {"code": rpc.INVALID_PARAMS, "message": "no"}}] * 4
+                reader.prefill_replies += [
+                    {"error": {"code": rpc.INVALID_PARAMS, "message": "no"}}
+                ] * 4
             client = await w.client()
             for i in range(4):
                 client.generate(i)
@@ -429,7 +445,7 @@
 
 def test_idle_connections_are_closed_for_new_ones_but_not_those_with_open_requests() -> None:
     async def go() -> None:
-        async with world(st.call("c1", wait=False), st.hold_on) as w:
+        async with world(st.call_tool("c1", wait=False), st.read_until_closed) as w:
             w.service.front.max_connections = 2  # type: ignore[attr-defined]
             silent = [await w.client() for _ in range(4)]
             held = [await w.client() for _ in range(2)]
@@ -446,7 +462,7 @@
 
 def test_a_graceful_stop_finishes_open_requests() -> None:
     async def go() -> None:
-        async with world(st.say("a"), st.call("c1"), st.say("b")) as w:
+        async with world(st.send_text("a"), st.call_tool("c1"), st.send_text("b")) as w:
             w.ledger.release.clear()
             client = await w.client()
             client.generate(1)
--- a/tests/test_worth.py
+++ b/tests/test_worth.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from helpers import CLASSES, Drive, fleet
+from helpers import CLASSES, RouterDriver, make_endpoints
 from test_program import ROOT
 
 from onyxpass.config import toml_config
@@ -19,7 +19,7 @@
 from onyxpass.optional_dependencies import EXTRAS
 from onyxpass.scheduling import attempt_timeouts, contract
 from onyxpass.scheduling.contract import AttemptStatus
-from tests.support.dispatcher_bed import Bed
+from tests.support.dispatcher_bed import DispatcherBed
 
 TRAFFIC_CLASS = contract.TrafficClass(
     "a", 1_000_000, 4_000_000, token_objective_us=60_000, latency_objective_us_per_1k_tokens=100_000
@@ -72,8 +72,8 @@
 
 
 def test_a_completed_answer_that_was_too_slow_is_logged_and_counted() -> None:
-    bed = Bed()
-    request = bed.ask(
+    bed = DispatcherBed()
+    request = bed.submit(
         contract.SendAttempt(7, "r0", 500_000), traffic_class="light", wait_us=5_000_000
     )
     bed.clock.us += 300_000
@@ -102,12 +102,14 @@
     """Number of cancellations by a fleet of routers that receive nothing from any server."""
     count = 0
     for ordinal in range(routers):
-        drive = Drive(fleet(4, 8), ordinal=ordinal, routers=routers)
+        driver = RouterDriver(make_endpoints(4, 8), ordinal=ordinal, routers=routers)
         for i in range(requests_per_router):
-            drive.ask(i, f"s{i}", f"p{i}", prompt_tokens=9, max_tokens=9)
+            driver.submit(i, f"s{i}", f"p{i}", prompt_tokens=9, max_tokens=9)
         for _ in range(40):
-            drive.tick()
-            count += sum(isinstance(action, contract.CancelAttempt) for action in drive.last)
+            driver.tick()
+            count += sum(
+                isinstance(action, contract.CancelAttempt) for action in driver.last_actions
+            )
     return count
 
 
