--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -1,6 +1,4 @@
-"""One dispatcher between scripted replicas, a scripted discovery and a client, over loopback
-sockets.
-"""
+"""One dispatcher with scripted replicas and a scripted discovery server, over loopback sockets."""
 
 import asyncio
 import json
@@ -21,7 +19,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[bytes, bytes]:
-    """Head and body of one HTTP message that tells its length."""
+    """Read one HTTP message and return its head and body; no Content-Length means no body."""
     head = await reader.readuntil(b"\r\n\r\n")
     size = 0
     for line in head.lower().split(b"\r\n"):
@@ -31,13 +29,17 @@
 
 
 class Replica(Server):
-    """Answers each request with the next of ``answers``, the last one again and again."""
+    """Answers each request with the next of ``answers``, and repeats the last one.
+
+    ``heads`` holds the heads of the requests, ``leases`` the targets of the answered DELETE
+    requests, and ``eof`` counts the connections that the dispatcher closed.
+    """
 
     def __init__(self, *answers: Responder) -> None:
         super().__init__()
         self.answers, self.heads, self.leases = list(answers), [], []  # type: ignore[var-annotated]
         self.eof = 0
-        self.answers_deletes = True  # or says nothing when asked to
+        self.answers_deletes = True  # False: DELETE requests are read and get no answer
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
@@ -59,6 +61,8 @@
 
 
 def respond_with(text: bytes) -> Responder:
+    """Return a responder that writes these bytes."""
+
     async def answer(
         self: Replica, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, _: bytes
     ) -> None:
@@ -68,7 +72,7 @@
 
 
 def hold_last_chunk(hold: asyncio.Event) -> Responder:
-    """A stream whose last chunk waits for the test."""
+    """Return a responder that streams the events but writes the last chunk only after ``hold``."""
 
     async def answer(
         self: Replica, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, _: bytes
@@ -81,6 +85,8 @@
 
 
 def break_connection(text: bytes = b"") -> Responder:
+    """Return a responder that writes these bytes and closes the connection."""
+
     async def answer(
         self: Replica, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, _: bytes
     ) -> None:
@@ -95,12 +101,14 @@
 async def never_answer(
     self: Replica, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, _: bytes
 ) -> None:
+    """Write nothing; close the connection once the dispatcher closes it or sends another byte."""
     await reader.read(1)
     self.eof += 1
     raise ConnectionResetError
 
 
 def status_response(code: int, *headers: str, text: str = "") -> Responder:
+    """Return a responder that writes a complete response with this status code."""
     lines = [f"HTTP/1.1 {code} X", f"Content-Length: {len(text)}", *headers, "", text]
     return respond_with("\r\n".join(lines).encode())
 
@@ -109,12 +117,15 @@
 SERVER_FULL = status_response(503, "X-Not-Processed: 1")
 EVENTS = [b'data: {"choices":[]}\n\n', b"data: [DONE]\n\n"]
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
-CHUNKS = b"".join(b"%x\r\n%b\r\n" % (len(e), e) for e in EVENTS)
+CHUNKS = b"".join(b"%x\r\n%b\r\n" % (len(event), event) for event in EVENTS)
 STREAM = respond_with(HEAD + CHUNKS + b"0\r\n\r\n")
 
 
 class Discovery(Server):
-    """The list, whole; then a watch that sends what the test puts into ``changes``."""
+    """A discovery server: the complete list, and a watch that sends the lines put into ``changes``.
+
+    ``delay_s`` delays each response, and ``requested_targets`` holds the targets of all requests.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -124,7 +135,8 @@
         self.changes: asyncio.Queue[bytes] = asyncio.Queue()
 
     def entry(self, host: str, kind: str, dial: str, health: str = "active") -> dict[str, Any]:
-        made = {
+        """Return one server of the list; ``dial`` is its address."""
+        fields = {
             "host": host,
             "dial": dial,
             "site": "z0",
@@ -132,7 +144,7 @@
             "block": 0,
             "health": health,
         }
-        return {**made, "share": 1.0, "born_ms": 0}
+        return {**fields, "share": 1.0, "born_ms": 0}
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
@@ -145,10 +157,10 @@
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(text), text))
                 continue
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
-            gone = asyncio.create_task(reader.read(1))
-            while not gone.done():
+            client_closed = asyncio.create_task(reader.read(1))
+            while not client_closed.done():
                 change = asyncio.create_task(self.changes.get())
-                await asyncio.wait([gone, change], return_when=asyncio.FIRST_COMPLETED)
+                await asyncio.wait([client_closed, change], return_when=asyncio.FIRST_COMPLETED)
                 if change.done():
                     line = change.result()
                     writer.write(b"%x\r\n%b\r\n" % (len(line), line))
@@ -157,12 +169,15 @@
             return
 
     def change(self, *hosts: dict[str, Any]) -> None:
+        """Send these entries as one change of the list to the watch."""
         self.seq += 1
         line = json.dumps({"seq": self.seq, "whole": False, "hosts": hosts}).encode() + b"\n"
         self.changes.put_nowait(line)
 
 
 class Cluster:
+    """A running dispatcher with its prefill servers, its decode servers and its discovery."""
+
     def __init__(
         self, readers: list[Replica], writers: list[Replica], dispatcher: DispatcherProcess
     ) -> None:
@@ -174,12 +189,13 @@
         return self.dispatcher.front.port
 
     async def send(self, text: bytes) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+        """Write these bytes on a new connection to the dispatcher."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         writer.write(text)
         return reader, writer
 
     async def request(self, id: str = "a1", traffic_class: str = "light", ms: int = 3000) -> bytes:
-        """The whole answer, up to its end."""
+        """Send a request and return the bytes of the response, none if the connection was reset."""
         reader, writer = await self.send(chat_request(id, traffic_class, ms, close=True))
         try:
             return await reader.read()
@@ -192,6 +208,7 @@
 def chat_request(
     id: str, traffic_class: str = "light", ms: int = 3000, close: bool = False, text: bytes = b"{}"
 ) -> bytes:
+    """Return the bytes of a chat completion request with a time limit of ``ms``."""
     lines = ["POST /v1/chat/completions?x=1 HTTP/1.1", "Host: backend.local", f"X-Request-ID: {id}"]
     lines += [f"X-Priority-Class: {traffic_class}", "X-Route-Key: s1", f"X-Timeout-Ms: {ms}"]
     lines += [
@@ -207,10 +224,14 @@
     writers: list[Replica],
     discovery: Discovery | None = None,
     settings: contract.Settings = SETTINGS,
-    made: Callable[[DispatcherProcess], None] = lambda _: None,
-    **more: Any,
+    on_created: Callable[[DispatcherProcess], None] = lambda _: None,
+    **config_fields: Any,
 ) -> AsyncIterator[Cluster]:
-    """``made`` is told of the dispatcher before it starts."""
+    """Run a dispatcher with these servers and yield the cluster once the endpoint list is loaded.
+
+    ``on_created`` is called with the dispatcher before it starts. ``config_fields`` are fields of
+    ``Config``; ``known`` sets ``known_endpoints``.
+    """
     discovery = discovery or Discovery()
     parts: list[Server] = [discovery, *readers, *writers]
     for part in parts:
@@ -219,10 +240,12 @@
         for i, replica in enumerate(replicas):
             discovery.hosts.append(discovery.entry(f"{kind}{i}", kind, replica.address))
     listen = Address("127.0.0.1", 0)
-    known = more.pop("known", {})
-    config = Config("n0", listen, Address("127.0.0.1", discovery.port), 1, settings, known, **more)
+    known = config_fields.pop("known", {})
+    config = Config(
+        "n0", listen, Address("127.0.0.1", discovery.port), 1, settings, known, **config_fields
+    )
     dispatcher = DispatcherProcess(config)
-    made(dispatcher)
+    on_created(dispatcher)
     await dispatcher.start()
     cluster = Cluster(readers, writers, dispatcher)
     cluster.discovery = discovery
@@ -239,4 +262,5 @@
 
 
 def run_async(test: Callable[[], Coroutine[Any, Any, None]]) -> None:
+    """Run the coroutine of a test, with a timeout of 30 s."""
     asyncio.run(asyncio.wait_for(test(), 30))
--- a/tests/fault_injection.py
+++ b/tests/fault_injection.py
@@ -1,4 +1,4 @@
-"""Dispatchers as real processes whose system calls, clock and disk the test makes fail."""
+"""Runs the program in child processes whose system calls and clock a test can make fail."""
 
 import asyncio
 import contextlib
@@ -16,18 +16,18 @@
 from onyxpass.faultshim.control import FaultControl, build_library
 
 ROOT = Path(__file__).parent.parent
-TEST_TIMEOUT_S = 60.0  # only ends what has failed already
+TEST_TIMEOUT_S = 60.0  # only ends a test that has failed already
 LIBRARY_FOLDER = Path(tempfile.gettempdir()) / f"onyxpass-faultshim-{os.getpid()}"
 
 
 def fault_control(folder: Path, name: str = "faults", seed: int = 1) -> FaultControl:
-    """The faults of one process that is yet to start."""
+    """Return the control of the faults of one process that has not started yet."""
     LIBRARY_FOLDER.mkdir(exist_ok=True)
     return FaultControl(build_library(LIBRARY_FOLDER), folder / f"{name}.block", seed)
 
 
 def run_async(work: Coroutine[Any, Any, Any]) -> Any:
-    """Run a test's work; children that it leaves behind, having failed, are killed."""
+    """Run the coroutine of a test; processes that a failed test leaves behind are killed."""
     return asyncio.run(_and_clean_up(work))
 
 
@@ -35,8 +35,8 @@
     try:
         return await asyncio.wait_for(work, TEST_TIMEOUT_S)
     finally:
-        # Left to the garbage collector, what they hold would be closed in the middle of pytest's
-        # own report.
+        # The garbage collector would close what they hold only later, in the middle of pytest's
+        # report.
         for process in ChildProcess.started:
             await process.kill()
         ChildProcess.started.clear()
@@ -46,8 +46,9 @@
 async def open_connection(
     port: int,
 ) -> AsyncIterator[tuple[asyncio.StreamReader, asyncio.StreamWriter]]:
-    """Closed at the end, however the test ends: left to the garbage collector it spoils pytest's
-    report.
+    """Open a connection and close it at the end of the block, even if the test fails.
+
+    A connection that is left to the garbage collector spoils pytest's report.
     """
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     try:
@@ -59,10 +60,11 @@
 
 @contextlib.asynccontextmanager
 async def servers_and_config(
-    folder: Path, readers: Sequence[Replica], writers: Sequence[Replica], **told: object
+    folder: Path, readers: Sequence[Replica], writers: Sequence[Replica], **keys: object
 ) -> AsyncIterator[tuple[Path, Discovery]]:
-    """Servers with their discovery, and the file of a dispatcher before them; ``told``: keys of
-    that file.
+    """Start these servers and a discovery server, and write the file of a dispatcher for them.
+
+    ``keys`` are keys of that file.
     """
     discovery = Discovery()
     for kind, replicas in (("r", readers), ("w", writers)):
@@ -71,14 +73,14 @@
             discovery.hosts.append(discovery.entry(f"{kind}{number}", kind, replica.address))
     await discovery.start()
     path = folder / "config.json"
-    path.write_text(json.dumps({**RAW, "discovery": discovery.address, **told}))
+    path.write_text(json.dumps({**RAW, "discovery": discovery.address, **keys}))
     yield path, discovery
     for part in (discovery, *readers, *writers):
         await part.stop()
 
 
 class ChildProcess:
-    """One of our programs as a child process; ``lines`` are the objects of its log so far."""
+    """The program as a child process; ``lines`` holds the JSON objects of its log so far."""
 
     started: ClassVar[list["ChildProcess"]] = []
 
@@ -86,24 +88,28 @@
         self.started.append(self)
         self.child = child
         self.lines: list[dict[str, Any]] = []
-        self.other_output = ""  # whatever else it wrote
-        self._told = asyncio.Event()
+        self.other_output = ""  # lines of its output that are not JSON
+        self._new_line = asyncio.Event()
         self._reading = asyncio.create_task(self._read())
 
     @classmethod
     async def start(
-        cls, *arguments: str, control: FaultControl | None = None, **more: Any
+        cls, *arguments: str, control: FaultControl | None = None, **options: Any
     ) -> "ChildProcess":
-        environment: Mapping[str, str] = more.pop("environment", {})
-        forced = control.environment if control is not None else {}
-        stdout = more.pop("stdout", asyncio.subprocess.PIPE)
+        """Start one command; ``options`` are those of ``create_subprocess_exec``.
+
+        ``environment`` adds variables to those of this process.
+        """
+        environment: Mapping[str, str] = options.pop("environment", {})
+        fault_variables = control.environment if control is not None else {}
+        stdout = options.pop("stdout", asyncio.subprocess.PIPE)
         child = await asyncio.create_subprocess_exec(
             *(sys.executable, "-m", "onyxpass", *arguments),
             cwd=ROOT,
             stdout=stdout,
             stderr=asyncio.subprocess.STDOUT,
-            env={**os.environ, **environment, **forced},
-            **more,
+            env={**os.environ, **environment, **fault_variables},
+            **options,
         )
         return cls(child)
 
@@ -115,11 +121,11 @@
                 self.lines.append(json.loads(line))
             except ValueError:
                 self.other_output += line.decode(errors="replace")
-            told, self._told = self._told, asyncio.Event()
-            told.set()
+            new_line, self._new_line = self._new_line, asyncio.Event()
+            new_line.set()
 
     def events(self, event: str, **fields: object) -> list[dict[str, Any]]:
-        """The lines of this event with these fields."""
+        """Return the log lines of this event that have these fields."""
         return [
             line
             for line in self.lines
@@ -127,23 +133,23 @@
         ]
 
     async def wait_for_event(self, event: str, **fields: object) -> dict[str, Any]:
-        """The first such line, once it has come."""
+        """Return the first such log line, once it has been written."""
         while not (found := self.events(event, **fields)):
             assert not self._reading.done(), (
                 f"ended without {event}: {self.other_output}{self.lines[-3:]}"
             )
-            told = asyncio.ensure_future(self._told.wait())
-            await asyncio.wait([told, self._reading], return_when=asyncio.FIRST_COMPLETED)
-            told.cancel()
+            new_line = asyncio.ensure_future(self._new_line.wait())
+            await asyncio.wait([new_line, self._reading], return_when=asyncio.FIRST_COMPLETED)
+            new_line.cancel()
         return found[0]
 
     async def port(self) -> int:
-        """Where it listens, once it has the whole list."""
+        """Return the port that it listens on, once it has the complete endpoint list."""
         await self.wait_for_event("list", form="full")
         return int((await self.wait_for_event("listening"))["listen"].rpartition(":")[2])
 
     async def terminate(self) -> int:
-        """SIGTERM, where it still runs; its exit code."""
+        """Send SIGTERM if the process still runs, wait for its end, and return its exit code."""
         if self.child.returncode is None:
             self.child.terminate()
         code = await self.child.wait()
@@ -151,7 +157,7 @@
         return code
 
     async def kill(self) -> None:
-        """SIGKILL, where it still runs, and close what belongs to it."""
+        """Send SIGKILL if the process still runs, wait for its end, and close its pipes."""
         if self.child.returncode is None:
             self.child.kill()
         await self.child.wait()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A small fleet and a driver that keeps the books of what a router asked for."""
+"""Settings and endpoints of a small fleet, and a driver that feeds events to one router."""
 
 from collections.abc import Sequence
 from dataclasses import replace
@@ -40,15 +40,22 @@
 def make_endpoints(
     prefill_servers: int = 4, decode_servers: int = 4, mixed_servers: int = 0
 ) -> tuple[contract.Endpoint, ...]:
-    made = []
+    """Return endpoints of each kind, alternately in two zones and two cells."""
+    endpoints = []
     for kind, count in (("r", prefill_servers), ("w", decode_servers), ("m", mixed_servers)):
         for i in range(count):
-            made.append(contract.Endpoint(id=f"{kind}{i}", kind=kind, zone=f"z{i % 2}", cell=i % 2))
-    return tuple(made)
+            endpoints.append(
+                contract.Endpoint(id=f"{kind}{i}", kind=kind, zone=f"z{i % 2}", cell=i % 2)
+            )
+    return tuple(endpoints)
 
 
 class RouterDriver:
-    """Feeds one router; ``sent`` maps a request to its sends, ``answers`` to its final answers."""
+    """Delivers events to one router and records its actions.
+
+    ``sent`` maps each request to the servers of its attempts, ``answers`` to its final answers,
+    which are rejections and failures, and ``last_actions`` holds the actions of the last event.
+    """
 
     def __init__(self, servers: Sequence[contract.Endpoint] = (), **settings: object) -> None:
         self.settings = replace(SETTINGS, **settings)  # type: ignore[arg-type]
@@ -64,6 +71,7 @@
         )
 
     def deliver(self, event: contract.Event, after_us: int = 0) -> list[contract.Action]:
+        """Advance the time, let the router handle the event, and return its actions."""
         self.now += after_us
         self.last_actions = self.router.handle(self.now, event)
         for action in self.last_actions:
@@ -74,40 +82,43 @@
         return self.last_actions
 
     def submit(
-        self, number: int, session: str = "s", prefix: str | None = "p", **more: object
+        self, number: int, session: str = "s", prefix: str | None = "p", **overrides: object
     ) -> str | None:
-        """A request arrives; returns the server it was sent to, if any."""
-        given: dict[str, object] = {
+        """Submit a request and return the server it was sent to, if any."""
+        fields: dict[str, object] = {
             "traffic_class": "light",
             "deadline_us": self.now + 5 * S,
             "prompt_tokens": 3_000,
             "prefix_tokens": 2_000,
             "max_tokens": 300,
         }
-        given.update(more)
-        self.deliver(contract.Arrival(id=number, session=session, prefix=prefix, **given))  # type: ignore[arg-type]
+        fields.update(overrides)
+        self.deliver(contract.Arrival(id=number, session=session, prefix=prefix, **fields))  # type: ignore[arg-type]
         return self.sent.get(number, [None])[-1]
 
-    def end_attempt(
-        self, number: int, status: contract.AttemptStatus, after_us: int = 50 * MS, **more: object
+    def deliver_outcome(
+        self, number: int, status: contract.AttemptStatus, after_us: int = 50 * MS, **fields: object
     ) -> list[contract.Action]:
-        """The attempt that is out ends."""
+        """Deliver the outcome of the last attempt of a request, and return the actions."""
         sends = self.sent[number]
-        event = contract.AttemptOutcome(number, len(sends) - 1, sends[-1], status, after_us, **more)  # type: ignore[arg-type]
+        event = contract.AttemptOutcome(
+            number, len(sends) - 1, sends[-1], status, after_us, **fields
+        )  # type: ignore[arg-type]
         return self.deliver(event, after_us)
 
     def complete_request(
-        self, number: int, session: str = "s", prefix: str | None = "p", **more: object
+        self, number: int, session: str = "s", prefix: str | None = "p", **overrides: object
     ) -> str:
-        """A whole good request; returns its reader."""
-        reader = self.submit(number, session, prefix, **more)
-        assert reader is not None
-        self.end_attempt(number, contract.AttemptStatus.PREFILLED, note=1_000)
-        writer = self.sent[number][-1]
-        self.deliver(contract.StreamStarted(number, 1, writer, 30 * MS), 30 * MS)
-        self.end_attempt(number, contract.AttemptStatus.COMPLETED, final=True)
-        return reader
+        """Submit a request that completes, and return its prefill server."""
+        prefill_server = self.submit(number, session, prefix, **overrides)
+        assert prefill_server is not None
+        self.deliver_outcome(number, contract.AttemptStatus.PREFILLED, note=1_000)
+        decode_server = self.sent[number][-1]
+        self.deliver(contract.StreamStarted(number, 1, decode_server, 30 * MS), 30 * MS)
+        self.deliver_outcome(number, contract.AttemptStatus.COMPLETED, final=True)
+        return prefill_server
 
     def tick(self, times: int = 1) -> None:
+        """Deliver timer events, 25 ms apart."""
         for _ in range(times):
             self.deliver(contract.TimerFired(0), 25 * MS)
--- a/tests/scheduling/test_affinity_and_projection.py
+++ b/tests/scheduling/test_affinity_and_projection.py
@@ -66,7 +66,7 @@
     for ordinal in range(12):
         driver = RouterDriver(routers=60, ordinal=ordinal)
         driver.submit(1)
-        driver.end_attempt(1, contract.AttemptStatus.PREFILLED)
+        driver.deliver_outcome(1, contract.AttemptStatus.PREFILLED)
         first_choices.add(driver.sent[1][1])
     assert len(first_choices) > 1
 
@@ -141,7 +141,7 @@
     driver = RouterDriver()
     driver.submit(1, expected_stream_us=6 * S)
     assert len(driver.sent[1]) == 1
-    driver.end_attempt(1, contract.AttemptStatus.PREFILLED)
+    driver.deliver_outcome(1, contract.AttemptStatus.PREFILLED)
     decode_server = driver.router.servers[driver.sent[1][1]]
     assert decode_server.streams[1][1] == 3_000 + 100
     driver.submit(2, "t")
@@ -154,7 +154,7 @@
     assert server and server.startswith("m")
     driver.deliver(contract.StreamStarted(1, 0, server, 40 * MS), 40 * MS)
     assert driver.router.affinity.entries["s|s"][0].id == server
-    driver.end_attempt(1, contract.AttemptStatus.COMPLETED, final=True)
+    driver.deliver_outcome(1, contract.AttemptStatus.COMPLETED, final=True)
     assert driver.sent[1] == [server] and not driver.answers
 
 
--- a/tests/scheduling/test_attempt_rules.py
+++ b/tests/scheduling/test_attempt_rules.py
@@ -37,7 +37,7 @@
     for _ in range(8):
         (send,) = [a for a in driver.last_actions if isinstance(a, contract.SendAttempt)]
         assert driver.now + send.timeout_us < deadline
-        driver.end_attempt(1, AttemptStatus.TIMED_OUT, send.timeout_us)
+        driver.deliver_outcome(1, AttemptStatus.TIMED_OUT, send.timeout_us)
         if 1 in driver.answers:
             break
     assert len(driver.answers[1]) == 1 and driver.now < deadline
@@ -53,7 +53,7 @@
             tuple(s for s in make_endpoints() if s.kind == "r"),
         )
     )
-    actions = driver.end_attempt(1, AttemptStatus.PREFILLED)
+    actions = driver.deliver_outcome(1, AttemptStatus.PREFILLED)
     assert contract.ReleaseState(1) in actions and driver.answers[1]
 
 
@@ -61,7 +61,7 @@
     driver = RouterDriver()
     driver.submit(1)
     assert contract.CancelAttempt(1, 0) in driver.deliver(contract.RequestWithdrawn(1))
-    assert contract.ReleaseState(1) in driver.end_attempt(1, AttemptStatus.PREFILLED)
+    assert contract.ReleaseState(1) in driver.deliver_outcome(1, AttemptStatus.PREFILLED)
     assert contract.ReleaseState(99) in driver.deliver(
         contract.AttemptOutcome(99, 0, "r0", AttemptStatus.PREFILLED)
     )
@@ -71,23 +71,23 @@
 def test_a_non_idempotent_request_is_not_resent_or_rejected_once_it_may_have_run() -> None:
     driver = RouterDriver()
     driver.submit(1, traffic_class="once")
-    driver.end_attempt(1, AttemptStatus.ERROR)
+    driver.deliver_outcome(1, AttemptStatus.ERROR)
     assert len(driver.sent[1]) == 2, "a failed prefill has had no effect"
-    driver.end_attempt(1, AttemptStatus.PREFILLED)
-    driver.end_attempt(1, AttemptStatus.OVERLOADED)
+    driver.deliver_outcome(1, AttemptStatus.PREFILLED)
+    driver.deliver_outcome(1, AttemptStatus.OVERLOADED)
     assert len(driver.sent[1]) == 4, "a decode server that rejected the request did not run it"
-    driver.end_attempt(1, AttemptStatus.RESET)
+    driver.deliver_outcome(1, AttemptStatus.RESET)
     assert driver.answers[1] == [contract.Fail(1)] and len(driver.sent[1]) == 4
 
 
 def test_a_keyed_request_is_retried_only_in_its_deduplication_scope_and_window() -> None:
     driver = RouterDriver(max_attempts=9)
     driver.submit(1, traffic_class="keyed", deadline_us=driver.now + 8 * S)
-    driver.end_attempt(1, AttemptStatus.PREFILLED)
+    driver.deliver_outcome(1, AttemptStatus.PREFILLED)
     zone = driver.router.servers[driver.sent[1][1]].endpoint.zone
-    driver.end_attempt(1, AttemptStatus.ERROR)
+    driver.deliver_outcome(1, AttemptStatus.ERROR)
     assert driver.router.servers[driver.sent[1][2]].endpoint.zone == zone
-    driver.end_attempt(1, AttemptStatus.ERROR, 5 * S)
+    driver.deliver_outcome(1, AttemptStatus.ERROR, 5 * S)
     assert driver.answers[1] == [contract.Fail(1)] and len(driver.sent[1]) == 3
 
 
@@ -224,7 +224,7 @@
                     holding.discard(request)
         assert not holding, "state left reserved"
 
-    def end_attempt(request: int, status: AttemptStatus) -> None:
+    def deliver_outcome(request: int, status: AttemptStatus) -> None:
         server, _ = in_flight.pop(request)
         if status is AttemptStatus.PREFILLED and not server.startswith("r"):
             status = AttemptStatus.OVERLOADED
@@ -241,7 +241,7 @@
             driver.tick()
             check_actions()
             for request in [r for r, (_, at) in in_flight.items() if at <= driver.now]:
-                end_attempt(request, AttemptStatus.TIMED_OUT)
+                deliver_outcome(request, AttemptStatus.TIMED_OUT)
             assert all(driver.now <= until + 25 * MS for until in open_until.values()), (
                 "no answer before the deadline"
             )
@@ -257,7 +257,7 @@
             )
             check_actions()
         elif kind in ("end", "late") and number in in_flight:
-            end_attempt(number, status)
+            deliver_outcome(number, status)
         elif (
             kind == "start"
             and number in in_flight
--- a/tests/scheduling/test_latency_and_placement.py
+++ b/tests/scheduling/test_latency_and_placement.py
@@ -120,10 +120,10 @@
     for n in range(30):
         prefill_server = driver.submit(n, f"s{n}", f"p{n}")
         if prefill_server is not None and prefill_server.startswith("r"):
-            driver.end_attempt(n, AttemptStatus.PREFILLED)
+            driver.deliver_outcome(n, AttemptStatus.PREFILLED)
             chosen.append(driver.sent[n][-1])
             driver.deliver(contract.StreamStarted(n, 1, chosen[-1], 30 * MS), 30 * MS)
-            driver.end_attempt(n, AttemptStatus.COMPLETED, final=True)
+            driver.deliver_outcome(n, AttemptStatus.COMPLETED, final=True)
     assert len(chosen) > 10 and all(name.startswith("w") for name in chosen)
 
 
@@ -131,6 +131,6 @@
     for status in (AttemptStatus.CANCELLED, AttemptStatus.TIMED_OUT):
         driver = RouterDriver(make_endpoints(2, 2), routers=MANY_ROUTERS)
         driver.submit(1)
-        driver.end_attempt(1, AttemptStatus.PREFILLED)
-        driver.end_attempt(1, status, 900 * MS)
+        driver.deliver_outcome(1, AttemptStatus.PREFILLED)
+        driver.deliver_outcome(1, status, 900 * MS)
         assert driver.router.baselines.state_fetch_share["w"] > 0
--- a/tests/scheduling/test_overload_defences.py
+++ b/tests/scheduling/test_overload_defences.py
@@ -40,7 +40,7 @@
         while server and i not in driver.answers and driver.sent[i][-1].startswith("r"):
             used.append(driver.sent[i][-1])
             at_faulty = used[-1] in faulty
-            driver.end_attempt(
+            driver.deliver_outcome(
                 i,
                 status if at_faulty else AttemptStatus.PREFILLED,
                 50 * MS * (slowdown if at_faulty else 1),
@@ -50,7 +50,7 @@
                 contract.StreamStarted(i, len(driver.sent[i]) - 1, driver.sent[i][-1], 30 * MS),
                 30 * MS,
             )
-            driver.end_attempt(i, AttemptStatus.COMPLETED, final=True)
+            driver.deliver_outcome(i, AttemptStatus.COMPLETED, final=True)
     return used
 
 
@@ -96,7 +96,7 @@
         driver.router.requests[2].silence_deadline_us
         == driver.router.requests[2].arrival.deadline_us
     ), "cancelled, once"
-    driver.end_attempt(2, AttemptStatus.CANCELLED)
+    driver.deliver_outcome(2, AttemptStatus.CANCELLED)
     assert (
         driver.sent[2][1] != owner
         and ejected(driver) == {owner}
@@ -180,7 +180,7 @@
     """Servers rejected one class above a rate, late, and accepted the others."""
     driver = RouterDriver()
     owner = driver.submit(1, traffic_class="light")
-    driver.end_attempt(1, AttemptStatus.OVERLOADED)
+    driver.deliver_outcome(1, AttemptStatus.OVERLOADED)
     assert driver.sent[1][1] != owner and not ejected(driver)
     assert driver.submit(2, traffic_class="light") != owner, (
         "the class avoids the server for a while"
@@ -194,13 +194,13 @@
     """With 51 routers, prefills that were late already were repeated and lengthened the queues."""
     driver = RouterDriver()
     driver.submit(1)
-    driver.end_attempt(1, AttemptStatus.TIMED_OUT, 1 * S)
+    driver.deliver_outcome(1, AttemptStatus.TIMED_OUT, 1 * S)
     assert len(driver.sent[1]) == 2, "in time: another prefill server is tried"
-    driver.end_attempt(1, AttemptStatus.TIMED_OUT, 1 * S)
+    driver.deliver_outcome(1, AttemptStatus.TIMED_OUT, 1 * S)
     assert len(driver.sent[1]) == 2 and driver.answers[1]
     driver.submit(2, "t", "q")
-    driver.end_attempt(2, AttemptStatus.PREFILLED, 2 * S)
-    driver.end_attempt(2, AttemptStatus.OVERLOADED)
+    driver.deliver_outcome(2, AttemptStatus.PREFILLED, 2 * S)
+    driver.deliver_outcome(2, AttemptStatus.OVERLOADED)
     assert len(driver.sent[2]) == 3, "an existing state is still fetched"
 
 
@@ -288,8 +288,8 @@
     """With a zone cut off, a state stayed reserved after its fetch failed and its request ended."""
     driver = RouterDriver(max_attempts=3)
     driver.submit(1)
-    driver.end_attempt(1, AttemptStatus.PREFILLED)
-    actions = driver.end_attempt(1, AttemptStatus.OVERLOADED, note=1)
+    driver.deliver_outcome(1, AttemptStatus.PREFILLED)
+    actions = driver.deliver_outcome(1, AttemptStatus.OVERLOADED, note=1)
     assert contract.ReleaseState(1) in actions and driver.answers[1]
 
 
@@ -318,10 +318,10 @@
             max_tokens=200,
             deadline_us=driver.now + 60 * S,
         )
-        driver.end_attempt(i, AttemptStatus.PREFILLED, 20 * MS)
+        driver.deliver_outcome(i, AttemptStatus.PREFILLED, 20 * MS)
         driver.deliver(contract.StreamStarted(i, 1, driver.sent[i][1], 30 * MS), interval_us)
         if i >= 6:  # six streams run at a time
-            driver.end_attempt(i - 6, AttemptStatus.COMPLETED, final=True)
+            driver.deliver_outcome(i - 6, AttemptStatus.COMPLETED, final=True)
         prefill_cell = driver.router.servers[driver.sent[i][0]].endpoint.cell
         if prefill_cell == cell:
             prefilled, near = (
@@ -360,9 +360,9 @@
         )
         rejected += server is None and i in driver.answers
         if server:
-            driver.end_attempt(i, AttemptStatus.PREFILLED, prefill_us)
+            driver.deliver_outcome(i, AttemptStatus.PREFILLED, prefill_us)
             driver.deliver(contract.StreamStarted(i, 1, driver.sent[i][1], 30 * MS), 30 * MS)
-            driver.end_attempt(i, AttemptStatus.COMPLETED, final=True)
+            driver.deliver_outcome(i, AttemptStatus.COMPLETED, final=True)
         driver.now += interval_us
     return rejected
 
@@ -422,7 +422,7 @@
     servers = set()
     for i in range(first, first + 60):
         servers.add(driver.submit(i, f"t{i}", prefix, prompt_tokens=100))
-        driver.end_attempt(i, AttemptStatus.ERROR, 1 * MS, final=True)
+        driver.deliver_outcome(i, AttemptStatus.ERROR, 1 * MS, final=True)
         driver.router.servers[driver.sent[i][0]].failure_rate = 0.0  # the failure is not under test
         driver.router.affinity.recent_prefixes.pop()
     return len(servers)
@@ -470,7 +470,7 @@
         driver = RouterDriver(make_endpoints(8, 4), max_attempts=5)
         driver.submit(1)
         while 1 not in driver.answers:
-            driver.end_attempt(1, status, 1 * MS)
+            driver.deliver_outcome(1, status, 1 * MS)
         assert len(driver.sent[1]) == attempts
 
 
@@ -515,10 +515,10 @@
     """Guards against an attempt for a state that was fetched already, which is rejected as full."""
     driver = RouterDriver()
     driver.submit(1)
-    driver.end_attempt(1, AttemptStatus.PREFILLED)
-    driver.end_attempt(1, AttemptStatus.RESET, note=1)
+    driver.deliver_outcome(1, AttemptStatus.PREFILLED)
+    driver.deliver_outcome(1, AttemptStatus.RESET, note=1)
     assert driver.sent[1][2].startswith("r"), "the prompt is prefilled again"
-    driver.end_attempt(1, AttemptStatus.PREFILLED)
+    driver.deliver_outcome(1, AttemptStatus.PREFILLED)
     assert driver.sent[1][3].startswith("w")
 
 
@@ -536,7 +536,7 @@
     driver = RouterDriver()
     for i in range(20):
         driver.submit(i)
-        driver.end_attempt(i, AttemptStatus.INVALID_REQUEST)
+        driver.deliver_outcome(i, AttemptStatus.INVALID_REQUEST)
         assert [type(a) for a in driver.answers[i]] == [contract.Fail] and len(driver.sent[i]) == 1
     assert not ejected(driver)
 
@@ -546,25 +546,25 @@
     driver, answers_by_server = RouterDriver(), Counter[str]()
     for i in range(200):
         driver.submit(i, f"s{i}", f"p{i}")
-        driver.end_attempt(i, AttemptStatus.PREFILLED)
+        driver.deliver_outcome(i, AttemptStatus.PREFILLED)
         answers_by_server[driver.sent[i][-1]] += 1
         if answers_by_server[driver.sent[i][-1]] % 10 < 2:
-            driver.end_attempt(i, AttemptStatus.RESET, note=1)
+            driver.deliver_outcome(i, AttemptStatus.RESET, note=1)
             driver.deliver(contract.RequestWithdrawn(i))
         else:
             driver.deliver(contract.StreamStarted(i, 1, driver.sent[i][-1], 30 * MS), 30 * MS)
-            driver.end_attempt(i, AttemptStatus.COMPLETED, final=True)
+            driver.deliver_outcome(i, AttemptStatus.COMPLETED, final=True)
         assert not ejected(driver)
     faulty = driver.sent[199][-1]
     for i in range(200, 280):
         driver.submit(i, f"s{i}", f"p{i}")
-        driver.end_attempt(i, AttemptStatus.PREFILLED)
+        driver.deliver_outcome(i, AttemptStatus.PREFILLED)
         if driver.sent[i][-1] == faulty:
-            driver.end_attempt(i, AttemptStatus.RESET, note=1)
+            driver.deliver_outcome(i, AttemptStatus.RESET, note=1)
             driver.deliver(contract.RequestWithdrawn(i))
         else:
             driver.deliver(contract.StreamStarted(i, 1, driver.sent[i][-1], 30 * MS), 30 * MS)
-            driver.end_attempt(i, AttemptStatus.COMPLETED, final=True)
+            driver.deliver_outcome(i, AttemptStatus.COMPLETED, final=True)
     assert ejected(driver) == {faulty}
 
 
@@ -585,10 +585,10 @@
 
         def serve(number: int, driver: RouterDriver = driver, prefill_ms: int = prefill_ms) -> None:
             driver.submit(number, f"w{number}")
-            driver.end_attempt(number, AttemptStatus.PREFILLED, prefill_ms * MS, note=1_000)
+            driver.deliver_outcome(number, AttemptStatus.PREFILLED, prefill_ms * MS, note=1_000)
             decode_server = driver.sent[number][-1]
             driver.deliver(contract.StreamStarted(number, 1, decode_server, 30 * MS), 30 * MS)
-            driver.end_attempt(number, AttemptStatus.COMPLETED, final=True)
+            driver.deliver_outcome(number, AttemptStatus.COMPLETED, final=True)
 
         for i in range(60):
             serve(i)
@@ -613,7 +613,7 @@
     driver = RouterDriver(routers=40, health_checks_allowed=True)
     owner = driver.complete_request(1)
     driver.submit(2)
-    driver.end_attempt(2, AttemptStatus.CANCELLED, 600 * MS)
+    driver.deliver_outcome(2, AttemptStatus.CANCELLED, 600 * MS)
     server = driver.router.servers[owner]
     assert server.ejection_level and not server.is_healthy(driver.now)
     driver.now += outlier_detection.EJECTION_US
@@ -621,7 +621,7 @@
     assert contract.HealthCheck(owner) in driver.last_actions
     driver.deliver(contract.HealthCheckResult(owner, True, 1 * MS))
     assert server.is_healthy(driver.now) and driver.submit(3) == owner
-    driver.end_attempt(3, AttemptStatus.TIMED_OUT, 600 * MS)
+    driver.deliver_outcome(3, AttemptStatus.TIMED_OUT, 600 * MS)
     assert not server.is_healthy(driver.now + outlier_detection.MAX_EJECTION_US - 1 * S), (
         "after a timeout the server may be gone: a long ejection"
     )
@@ -696,18 +696,18 @@
     """With a zone cut off, two decode servers took 250 ms each to fail while the state was held."""
     driver = RouterDriver(max_attempts=6)
     driver.submit(1)
-    driver.end_attempt(1, AttemptStatus.PREFILLED)
-    driver.end_attempt(1, AttemptStatus.UNREACHABLE, 150 * MS)
+    driver.deliver_outcome(1, AttemptStatus.PREFILLED)
+    driver.deliver_outcome(1, AttemptStatus.UNREACHABLE, 150 * MS)
     assert [s[0] for s in driver.sent[1]] == ["r", "w", "w"], "there is time for one more"
     assert not [a for a in driver.last_actions if isinstance(a, contract.ReleaseState)]
-    driver.end_attempt(1, AttemptStatus.UNREACHABLE, 75 * MS)
+    driver.deliver_outcome(1, AttemptStatus.UNREACHABLE, 75 * MS)
     assert (
         isinstance(driver.last_actions[0], contract.ReleaseState) and driver.sent[1][-1][0] == "r"
     ), "released, and prefilled again"
     driver.submit(2)
-    driver.end_attempt(2, AttemptStatus.PREFILLED)
-    driver.end_attempt(2, AttemptStatus.OVERLOADED, 400 * MS)
-    driver.end_attempt(2, AttemptStatus.UNREACHABLE, 150 * MS)
+    driver.deliver_outcome(2, AttemptStatus.PREFILLED)
+    driver.deliver_outcome(2, AttemptStatus.OVERLOADED, 400 * MS)
+    driver.deliver_outcome(2, AttemptStatus.UNREACHABLE, 150 * MS)
     assert [s[0] for s in driver.sent[2]] == ["r", "w", "w", "w"], (
         "the first attempt was received: its time started over"
     )
@@ -717,9 +717,9 @@
     """After a queue of 2 s at the decode servers, every later request was rejected."""
     driver = RouterDriver()
     driver.submit(1)
-    driver.end_attempt(1, AttemptStatus.PREFILLED)
+    driver.deliver_outcome(1, AttemptStatus.PREFILLED)
     driver.deliver(contract.StreamStarted(1, 1, driver.sent[1][-1], 2_500 * MS), 2_500 * MS)
-    driver.end_attempt(1, AttemptStatus.COMPLETED, final=True)
+    driver.deliver_outcome(1, AttemptStatus.COMPLETED, final=True)
     assert driver.submit(100) is None, "no answer of its class would be in time now"
     driver.now += 10 * latency_baselines.QUEUE_HALF_LIFE_US
     assert driver.submit(101) is not None, (
@@ -772,10 +772,10 @@
     """A server that drained while connecting, or a lack of descriptors, restarted that time."""
     driver = RouterDriver(release_within_us=300 * MS)
     driver.submit(1)
-    driver.end_attempt(1, AttemptStatus.PREFILLED)
+    driver.deliver_outcome(1, AttemptStatus.PREFILLED)
     for _ in range(2):
         assert not [a for a in driver.last_actions if isinstance(a, contract.ReleaseState)]
-        driver.end_attempt(1, AttemptStatus.NOT_SENT, 100 * MS)
+        driver.deliver_outcome(1, AttemptStatus.NOT_SENT, 100 * MS)
     assert [a for a in driver.last_actions if isinstance(a, contract.ReleaseState)], (
         "released before its time is over"
     )
--- a/tests/scheduling/test_settings_families.py
+++ b/tests/scheduling/test_settings_families.py
@@ -122,10 +122,10 @@
                 contract.StreamStarted(number, len(self.sent[number]) - 1, server, after_us),
                 after_us,
             )
-            self.end_attempt(number, AttemptStatus.COMPLETED, after_us, final=True)
+            self.deliver_outcome(number, AttemptStatus.COMPLETED, after_us, final=True)
         else:
             self.ended.setdefault(number, []).append(status)
-            self.end_attempt(number, status, after_us)
+            self.deliver_outcome(number, status, after_us)
 
     def needs_prefill(self, number: int) -> bool:
         request = self.router.requests.get(number)
--- a/tests/scheduling/test_slow_start_budget.py
+++ b/tests/scheduling/test_slow_start_budget.py
@@ -129,7 +129,7 @@
             contract.EndpointUpdate(contract.EndpointUpdateForm.DELTA, tuple(leaving)), 3 * S
         )
         if driver.submit(1_000 + ordinal, f"t{ordinal}", f"q{ordinal}") not in (None, cold):
-            driver.end_attempt(1_000 + ordinal, contract.AttemptStatus.PREFILLED)
+            driver.deliver_outcome(1_000 + ordinal, contract.AttemptStatus.PREFILLED)
         sent += cold in driver.sent.get(1_000 + ordinal, [])
     half_budget = (
         routers
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -1,6 +1,4 @@
-"""A fleet of real modules on one clock, without sockets: uneven traffic, servers that answer
-all.
-"""
+"""Real routers on one simulated clock, with simulated servers and traffic and without sockets."""
 
 import heapq
 import random
@@ -12,20 +10,25 @@
 from onyxpass.scheduling import contract
 from onyxpass.scheduling.router import Router
 
-PREFILL_US, FIRST_TOKEN_US, STREAM_US = (
-    80 * MS,
-    60 * MS,
-    900 * MS,
-)  # of an answer, where servers are quick
+# Duration of a prefill, and times from a decode attempt to its first token and to its end
+PREFILL_US, FIRST_TOKEN_US, STREAM_US = 80 * MS, 60 * MS, 900 * MS
 
 
 class SimulatedFleet:
-    """Routers with uneven traffic before servers that answer all; counts the sends to one of
-    them.
+    """Routers that get different shares of the traffic, and servers that complete every request.
+
+    ``rate`` is the number of requests per second at all routers together. ``sent`` records the
+    time of each attempt at the server ``cold``.
     """
 
     def __init__(
-        self, cold: str, routers: int, readers: int, rate: float, seed: int, **settings: object
+        self,
+        cold: str,
+        routers: int,
+        prefill_servers: int,
+        rate: float,
+        seed: int,
+        **settings: object,
     ) -> None:
         self.cold, self.random = cold, random.Random(seed)
         self.settings = [
@@ -41,21 +44,22 @@
         ]
         self.servers = {
             f"{kind}{n:02}": contract.Endpoint(f"{kind}{n:02}", kind, f"z{n % 3}", n % 6)
-            for kind, most in (("r", readers), ("w", 2 * readers), ("m", 2))
-            for n in range(most)
+            for kind, size in (("r", prefill_servers), ("w", 2 * prefill_servers), ("m", 2))
+            for n in range(size)
         }
         self.now, self.order = 1_000 * S, count()
         self.events: list[tuple[int, int, int, contract.Event]] = []
         self.weights = [self.random.lognormvariate(0, 0.8) for _ in range(routers)]
         self.rate, self.numbers, self.arrivals = rate, count(1), dict[int, contract.Arrival]()
-        self.answered: dict[int, bool] = {}  # whether an answer began
-        self.sent: list[int] = []  # to the cold one: when
+        self.answered: dict[int, bool] = {}  # False: rejected or failed
+        self.sent: list[int] = []  # times of the attempts at the cold server
         self.routers: list[Router] = []
         for n in range(routers):
             self.start_router(n)
-        self.prefixes = [f"p{n}" for n in range(readers)]
+        self.prefixes = [f"p{n}" for n in range(prefill_servers)]
 
     def start_router(self, n: int) -> None:
+        """Replace router ``n`` by a new one and deliver the complete endpoint list to it."""
         self.routers[n : n + 1] = [Router(self.settings[n], self.random.randrange(2**32))]
         self.deliver(
             n,
@@ -65,40 +69,46 @@
         )
 
     def update_endpoints(self, *servers: contract.Endpoint) -> None:
+        """Deliver these changed endpoints to all routers."""
         self.servers.update({server.id: server for server in servers})
         for n in range(len(self.routers)):
             self.deliver(n, contract.EndpointUpdate(contract.EndpointUpdateForm.DELTA, servers, 2))
 
     def schedule(self, us: int, router_index: int, event: contract.Event) -> None:
+        """Schedule an event of one router ``us`` from now."""
         heapq.heappush(self.events, (self.now + us, next(self.order), router_index, event))
 
     def run(self, for_us: int) -> None:
+        """Play arrivals, a Poisson process, and scheduled events for this time."""
         until = self.now + for_us
         while True:
             gap_us = round(self.random.expovariate(self.rate) * S)
             while self.events and self.events[0][0] <= min(until, self.now + gap_us):
                 self.now, _, router_index, event = heapq.heappop(self.events)
                 self.deliver(router_index, event)
-                gap_us = round(self.random.expovariate(self.rate) * S)  # arrivals have no memory
+                gap_us = round(
+                    self.random.expovariate(self.rate) * S
+                )  # the exponential gap is memoryless
             if self.now + gap_us > until:
                 self.now = until
                 return
             self.now += gap_us
             (router_index,) = self.random.choices(range(len(self.routers)), self.weights)
-            ask = self.make_arrival(next(self.numbers))
-            self.arrivals[ask.id] = ask
-            self.deliver(router_index, ask)
+            arrival = self.make_arrival(next(self.numbers))
+            self.arrivals[arrival.id] = arrival
+            self.deliver(router_index, arrival)
 
     def make_arrival(self, number: int) -> contract.Arrival:
-        begin = self.prefixes[int(len(self.prefixes) * self.random.random() ** 2)]
+        prefix = self.prefixes[int(len(self.prefixes) * self.random.random() ** 2)]
         session = f"s{self.random.randrange(2000)}"
-        return contract.Arrival(number, "light", session, self.now + 6 * S, 2000, 200, begin, 1200)
+        return contract.Arrival(number, "light", session, self.now + 6 * S, 2000, 200, prefix, 1200)
 
     def prefill_us(self, server: str, tokens: int) -> int:
-        """How long a read that is sent now takes."""
+        """Return the duration of a prefill that starts now."""
         return PREFILL_US
 
     def deliver(self, router_index: int, event: contract.Event) -> None:
+        """Let the router handle the event, and simulate the effects of its actions."""
         router = self.routers[router_index]
         if isinstance(event, contract.StreamStarted):
             self.answered[event.id] = True
@@ -116,6 +126,7 @@
                     )
 
     def send(self, router: Router, router_index: int, number: int, server: str) -> None:
+        """Schedule the events of an attempt at this server."""
         attempt = router.requests[number].attempts - 1
         if server == self.cold:
             self.sent.append(self.now)
@@ -140,7 +151,7 @@
         self.schedule(STREAM_US, router_index, end)
 
     def restart_routers(self, share: float) -> None:
-        """Processes that start anew know nothing but the list, and have no request."""
+        """Restart a random share of the routers: their requests and all their other state are lost."""
         for n in self.random.sample(range(len(self.routers)), round(share * len(self.routers))):
             self.events = [event for event in self.events if event[2] != n]
             heapq.heapify(self.events)
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,7 +1,7 @@
-"""Stand-ins for the JSON-RPC front, written from the public specification, on loopback ports of
-their own.
+"""Scripted JSON-RPC servers and a client for tests of the JSON-RPC front, on loopback ports.
 
-Each counts what reaches it, so that tests can look for what came twice.
+They are written from the public specification, and each server records the messages that reach it,
+so that tests can detect duplicates.
 """
 
 import asyncio
@@ -14,11 +14,15 @@
 
 
 def send_message(writer: asyncio.StreamWriter, **message: Any) -> None:
+    """Write one JSON-RPC message as a line."""
     writer.write(json.dumps({"jsonrpc": "2.0", **message}).encode() + b"\n")
 
 
 class LineServer(Server):
-    """JSON-RPC, one object a line; ``hear`` is called with each message."""
+    """A server of JSON-RPC messages, one object a line.
+
+    ``requests`` holds the messages with an id, ``notifications`` those without one.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -34,14 +38,19 @@
     async def handle_message(
         self, message: dict[str, Any], reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
+        """Handle one message, which has been recorded already."""
         raise NotImplementedError
 
     def count(self, method: str) -> int:
-        return sum(m.get("method") == method for m in self.requests)
+        """Return how many requests of this method have arrived."""
+        return sum(request.get("method") == method for request in self.requests)
 
 
 class PrefillServer(LineServer):
-    """Answers reads as ``ends`` says, one after another; then well."""
+    """Answers each ``read`` with the next of ``prefill_replies``, and then with success.
+
+    An empty reply stands for no answer. ``released`` holds the ids of the released requests.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -52,13 +61,13 @@
         self, message: dict[str, Any], reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         if message.get("method") == "read":
-            end = (
+            reply = (
                 self.prefill_replies.pop(0)
                 if self.prefill_replies
                 else {"result": {"cached_tokens": 7}}
             )
-            if end:  # an empty one: silence
-                send_message(writer, id=message["id"], **end)
+            if reply:
+                send_message(writer, id=message["id"], **reply)
         elif message.get("method") == "release":
             self.released.append(message["params"]["request"])
             send_message(writer, id=message["id"], result={})
@@ -68,7 +77,7 @@
 
 
 class DecodeServer(LineServer):
-    """Plays ``steps`` on each stream; what comes back for its calls is in ``results``."""
+    """Plays ``steps`` on each stream; ``results`` holds the responses to its tool calls."""
 
     def __init__(self, *steps: Step) -> None:
         super().__init__()
@@ -88,6 +97,7 @@
         send_message(writer, id=message["id"], result={"finish": "stop"})
 
     async def receive(self, reader: asyncio.StreamReader) -> dict[str, Any]:
+        """Return the next message; raise ConnectionResetError at the end of the connection."""
         line = await reader.readline()
         if not line:
             raise ConnectionResetError
@@ -98,6 +108,8 @@
 
 
 def send_text(text: str) -> Step:
+    """Return a step that sends a piece of the answer's text."""
+
     async def step(
         self: DecodeServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
@@ -107,6 +119,8 @@
 
 
 def call_tool(id: str | int, name: str = "book_out", wait: bool = True) -> Step:
+    """Return a step that calls a tool and, if ``wait`` is set, records the next message."""
+
     async def step(
         self: DecodeServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
@@ -123,6 +137,8 @@
 
 
 def send_line(line: bytes) -> Step:
+    """Return a step that writes these bytes as a line."""
+
     async def step(
         self: DecodeServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
@@ -134,13 +150,14 @@
 async def receive_one(
     self: DecodeServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
+    """Record the next message as a result."""
     self.results.append(await self.receive(reader))
 
 
 async def abort_on_event(
     self: DecodeServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
-    """Hold on till the test lets go; then break the connection."""
+    """Wait until the test sets ``abort_event``, then reset the connection."""
     await self.abort_event.wait()
     writer.transport.abort()
     raise ConnectionResetError
@@ -149,46 +166,49 @@
 async def read_until_closed(
     self: DecodeServer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
-    """Say nothing till the other side closes; what it sends before is kept."""
+    """Write nothing until the other side closes; record the notifications that it sends."""
     while True:
         await self.receive(reader)
 
 
 class ToolServer(LineServer):
-    """The tool server. ``ledger`` holds every call that ever reached it, in order."""
+    """A tool server; ``call_ids`` holds the id of each call that reached it, in order.
+
+    While ``release`` is cleared, results are held back.
+    """
 
     def __init__(self) -> None:
         super().__init__()
-        self.ledger: list[str] = []
-        self.answers: dict[str, dict[str, Any]] = {}  # by tool name, in place of the usual result
+        self.call_ids: list[str] = []
+        self.answers: dict[str, dict[str, Any]] = {}  # by tool name, instead of the usual result
         self.release = asyncio.Event()
-        self.release.set()  # cleared: results wait
+        self.release.set()
         self.replies_garbage = False
-        self.waiting: set[asyncio.Task[None]] = set()
+        self.reply_tasks: set[asyncio.Task[None]] = set()
 
     async def handle_message(
         self, message: dict[str, Any], reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         if message.get("method") != "tools/call":
             return
-        self.ledger.append(message["id"])
+        self.call_ids.append(message["id"])
         if self.replies_garbage:
             writer.write(b"%% not json %%\n")
             return
         answer = self.answers.get(
-            message["params"]["name"], {"result": {"booked": len(self.ledger)}}
+            message["params"]["name"], {"result": {"booked": len(self.call_ids)}}
         )
-        task = asyncio.create_task(self._later(writer, message["id"], answer))
-        self.waiting.add(task)
-        task.add_done_callback(self.waiting.discard)
+        task = asyncio.create_task(self._reply(writer, message["id"], answer))
+        self.reply_tasks.add(task)
+        task.add_done_callback(self.reply_tasks.discard)
 
-    async def _later(self, writer: asyncio.StreamWriter, id: str, answer: dict[str, Any]) -> None:
+    async def _reply(self, writer: asyncio.StreamWriter, id: str, answer: dict[str, Any]) -> None:
         await self.release.wait()
         send_message(writer, id=id, **answer)
 
 
 class Client:
-    """A client of the JSON-RPC front; ``texts`` and ``responses`` by id, in the order they came."""
+    """A client of the JSON-RPC front; ``texts`` and ``responses`` are in order of arrival."""
 
     def __init__(self, port: int) -> None:
         self.port = port
@@ -198,10 +218,10 @@
 
     async def start(self) -> "Client":
         self.reader, self.writer = await asyncio.open_connection("127.0.0.1", self.port)
-        self.task = asyncio.create_task(self._follow())
+        self.task = asyncio.create_task(self._read_messages())
         return self
 
-    async def _follow(self) -> None:
+    async def _read_messages(self) -> None:
         try:
             while line := await self.reader.readline():
                 message = json.loads(line)
@@ -215,10 +235,17 @@
             self.closed = True
 
     def generate(self, id: str | int, traffic_class: str = "stock-booking", **params: Any) -> None:
-        given = {"class": traffic_class, "session": "s1", "prompt": "book out one board", **params}
-        send_message(self.writer, id=id, method="generate", params=given)
+        """Send a ``generate`` request; ``params`` override the usual parameters."""
+        message_params = {
+            "class": traffic_class,
+            "session": "s1",
+            "prompt": "book out one board",
+            **params,
+        }
+        send_message(self.writer, id=id, method="generate", params=message_params)
 
     async def response(self, id: str | int | None) -> dict[str, Any]:
+        """Return the first response with this id, once it has arrived."""
         await until(lambda: any(r.get("id") == id for r in self.responses))
         return next(r for r in self.responses if r.get("id") == id)
 
--- a/tests/test_crossings_list.py
+++ b/tests/test_crossings_list.py
@@ -325,7 +325,7 @@
 
         made: list[Any] = []
         watching = asyncio.create_task(look())
-        async with running_cluster([], [], discovery=d, known=known, made=made.append) as w:
+        async with running_cluster([], [], discovery=d, known=known, on_created=made.append) as w:
             assert w.dispatcher.endpoint_watcher.ready and b" 200 " in await health(w.port)
         await watching
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -266,7 +266,7 @@
 def test_a_server_ejected_by_the_router_counts_as_avoided() -> None:
     d = RouterDriver(make_endpoints(4, 4))
     victim = d.submit(1)
-    d.end_attempt(1, AttemptStatus.UNREACHABLE)
+    d.deliver_outcome(1, AttemptStatus.UNREACHABLE)
     d.deliver(contract.HealthCheckResult(str(victim), False))
     assert victim in d.router.avoided(d.now)
 
--- a/tests/test_toolcalls.py
+++ b/tests/test_toolcalls.py
@@ -24,7 +24,7 @@
     """The front end with a store, a tool server, two readers and two writers."""
 
     def __init__(self, *steps: st.Step) -> None:
-        self.store, self.ledger = st.RespStore(), st.ToolServer()
+        self.store, self.tool_server = st.RespStore(), st.ToolServer()
         self.readers, self.writers = (
             [st.PrefillServer(), st.PrefillServer()],
             [st.DecodeServer(*steps), st.DecodeServer(*steps)],
@@ -34,7 +34,7 @@
     def config(self, **tools: int) -> dict[str, Any]:
         raw = tomllib.loads((ROOT / "deploy" / "toolcalls.toml").read_text())
         raw["listen"], raw["store"]["url"] = "127.0.0.1:0", f"redis://{self.store.address}/0"
-        raw["tools"] |= {"address": self.ledger.address, **tools}
+        raw["tools"] |= {"address": self.tool_server.address, **tools}
         raw["servers"] = [
             {"id": f"{kind}-{i}", "kind": kind, "address": server.address}
             for kind, servers in (("reader", self.readers), ("writer", self.writers))
@@ -44,7 +44,7 @@
 
     @property
     def parts(self) -> list[st.Server]:
-        return [self.store, self.ledger, *self.readers, *self.writers]
+        return [self.store, self.tool_server, *self.readers, *self.writers]
 
     async def client(self) -> st.Client:
         self.clients.append(await st.Client(self.service.front.port).start())
@@ -52,8 +52,10 @@
 
     def check_calls(self, expected: int) -> None:
         """Assert that this many calls reached the tool server, none of them twice."""
-        assert max(Counter(self.ledger.ledger).values(), default=0) <= 1, self.ledger.ledger
-        assert len(self.ledger.ledger) == expected
+        assert max(Counter(self.tool_server.call_ids).values(), default=0) <= 1, (
+            self.tool_server.call_ids
+        )
+        assert len(self.tool_server.call_ids) == expected
 
     @property
     def writes(self) -> int:
@@ -109,16 +111,16 @@
 
     async def go() -> None:
         async with world(st.call_tool("c1", wait=False), st.abort_on_event) as w:
-            w.ledger.release.clear()
+            w.tool_server.release.clear()
             client = await w.client()
             client.generate(1, request="r1")
-            await st.until(lambda: w.ledger.ledger)
+            await st.until(lambda: w.tool_server.call_ids)
             for writer in w.writers:
                 writer.abort_event.set()
             error = (await client.response(1))["error"]
             assert error["code"] == rpc.OUTCOME_UNKNOWN
             assert error["data"]["calls"] == [{"call": "c1", "name": "book_out", "state": "sent"}]
-            w.ledger.release.set()  # the late result is recorded
+            w.tool_server.release.set()  # the late result is recorded
             await st.until(lambda: w.store.recorded_calls()["r1:c1"]["state"] == "done")
             assert w.store.recorded_calls()["r1:c1"]["result"] == {"booked": 1}
             assert w.writes == 1, "there must be no new attempt"
@@ -137,10 +139,10 @@
         async with world(
             st.send_text("Wait. "), st.call_tool("c1", wait=False), st.read_until_closed
         ) as w:
-            w.ledger.release.clear()
+            w.tool_server.release.clear()
             client = await w.client()
             client.generate(1, request="r1")
-            await st.until(lambda: w.ledger.ledger)
+            await st.until(lambda: w.tool_server.call_ids)
             if ending == "close":
                 await client.stop()
             else:
@@ -153,11 +155,11 @@
             await st.until(
                 lambda: any(n["method"] == "cancel" for x in w.writers for n in x.notifications)
             )
-            await st.until(lambda: w.ledger.notifications)
-            assert w.ledger.notifications[0]["method"] == "notifications/cancelled"
-            assert w.ledger.notifications[0]["params"]["requestId"] == "r1:c1"
+            await st.until(lambda: w.tool_server.notifications)
+            assert w.tool_server.notifications[0]["method"] == "notifications/cancelled"
+            assert w.tool_server.notifications[0]["params"]["requestId"] == "r1:c1"
             await st.until(lambda: w.store.recorded_calls()["r1:c1"].get("withdrawn"))
-            w.ledger.release.set()
+            w.tool_server.release.set()
             await st.until(lambda: w.store.recorded_calls()["r1:c1"]["state"] == "done")
             assert w.store.recorded_calls()["r1:c1"]["withdrawn"] is True
             await st.until(lambda: not w.service.core.registry.by_number)
@@ -195,10 +197,10 @@
 def test_a_retry_after_a_lost_writer_does_not_repeat_the_call() -> None:
     async def go() -> None:
         async with world(st.call_tool("c1", wait=False), st.abort_on_event) as w:
-            w.ledger.release.clear()
+            w.tool_server.release.clear()
             client = await w.client()
             client.generate(1, request="r1")
-            await st.until(lambda: w.ledger.ledger)
+            await st.until(lambda: w.tool_server.call_ids)
             for writer in w.writers:
                 writer.abort_event.set()
             assert (await client.response(1))["error"]["code"] == rpc.OUTCOME_UNKNOWN
@@ -263,16 +265,16 @@
     async def go() -> None:
         async with world(st.call_tool("c1"), st.send_text("."), timeout_ms=200) as w:
             client = await w.client()
-            w.ledger.release.clear()  # slow
+            w.tool_server.release.clear()  # slow
             client.generate("slow", request="slow")
             answer = await client.response("slow")
             assert answer["result"]["calls"][0]["state"] == "unknown"
-            w.ledger.release.set()  # a late result is still recorded
+            w.tool_server.release.set()  # a late result is still recorded
             await st.until(lambda: w.store.recorded_calls()["slow:c1"]["state"] == "done")
-            w.ledger.replies_garbage = True
+            w.tool_server.replies_garbage = True
             client.generate("garbage", request="garbage")
             assert (await client.response("garbage"))["result"]["calls"][0]["state"] == "unknown"
-            await w.ledger.stop()
+            await w.tool_server.stop()
             client.generate("down", request="down")
             assert (await client.response("down"))["result"]["calls"][0]["state"] == "not made"
             codes = [r["error"]["code"] for x in w.writers for r in x.results]
@@ -291,9 +293,9 @@
             for id in ("a", "b", "c"):
                 client.generate(id, request=id)
                 assert (await client.response(id))["result"]["calls"][0]["state"] == "done"
-                await w.ledger.stop()
-                await w.ledger.start()
-            assert w.ledger.connections == 3
+                await w.tool_server.stop()
+                await w.tool_server.start()
+            assert w.tool_server.connections == 3
             w.check_calls(3)
 
     run(go)
@@ -302,12 +304,12 @@
 def test_a_writer_that_ends_before_its_call_has_a_result_leaves_the_outcome_unknown() -> None:
     async def go() -> None:
         async with world(st.call_tool("c1", wait=False)) as w:
-            w.ledger.release.clear()
+            w.tool_server.release.clear()
             client = await w.client()
             client.generate(1, request="r1")
             error = (await client.response(1))["error"]
             if error["code"] == rpc.OUTCOME_UNKNOWN:
-                await st.until(lambda: w.ledger.ledger)
+                await st.until(lambda: w.tool_server.call_ids)
                 w.check_calls(1)
             else:  # the writer ended before the claim, so the call is not made
                 assert error["code"] == rpc.FAILED
@@ -325,7 +327,9 @@
         async with world(
             st.call_tool("c1"), st.call_tool("c1"), st.call_tool("c2", "no_such")
         ) as w:
-            w.ledger.answers["no_such"] = {"error": {"code": -32602, "message": "no such tool"}}
+            w.tool_server.answers["no_such"] = {
+                "error": {"code": -32602, "message": "no such tool"}
+            }
             client = await w.client()
             client.generate(1)
             states = [c["state"] for c in (await client.response(1))["result"]["calls"]]
@@ -451,7 +455,7 @@
             held = [await w.client() for _ in range(2)]
             for client in held:
                 client.generate(1)
-            await st.until(lambda: len(w.ledger.ledger) == 2)
+            await st.until(lambda: len(w.tool_server.call_ids) == 2)
             assert all(client.closed for client in silent)
             late = await w.client()
             assert (await late.response(None))["error"]["code"] == rpc.REFUSED
@@ -463,14 +467,14 @@
 def test_a_graceful_stop_finishes_open_requests() -> None:
     async def go() -> None:
         async with world(st.send_text("a"), st.call_tool("c1"), st.send_text("b")) as w:
-            w.ledger.release.clear()
+            w.tool_server.release.clear()
             client = await w.client()
             client.generate(1)
-            await st.until(lambda: w.ledger.ledger)
+            await st.until(lambda: w.tool_server.call_ids)
             stopping = asyncio.create_task(w.service.front.stop())
             client.generate(2)
             assert (await client.response(2))["error"]["code"] == rpc.REFUSED
-            w.ledger.release.set()
+            w.tool_server.release.set()
             assert "result" in await client.response(1)
             await stopping
             assert client.texts == ["a", "b"]
