--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -101,7 +101,7 @@
 async def never_answer(
     self: Replica, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, _: bytes
 ) -> None:
-    """Write nothing; close the connection once the dispatcher closes it or sends another byte."""
+    """Write nothing until the dispatcher closes the connection; another byte counts as a close."""
     await reader.read(1)
     self.eof += 1
     raise ConnectionResetError
--- a/tests/fault_injection.py
+++ b/tests/fault_injection.py
@@ -1,4 +1,4 @@
-"""Runs the program in child processes whose system calls and clock a test can make fail."""
+"""Runs the program in child processes whose system calls, clock and disk a test can make fail."""
 
 import asyncio
 import contextlib
--- a/tests/proofs/goldens.py
+++ b/tests/proofs/goldens.py
@@ -1,6 +1,6 @@
-"""What earlier builds showed, kept as JSON files under ``tests/data/goldens``.
+"""Outputs of earlier builds, stored as JSON files under ``tests/data/goldens``.
 
-``ONYXPASS_RECORD_GOLDENS=1`` writes them anew. Do that only for an intended change.
+``ONYXPASS_RECORD_GOLDENS=1`` records them again, which is right only after an intended change.
 """
 
 import json
@@ -13,7 +13,7 @@
 
 
 def golden(name: str, found: Any) -> Any:
-    """What is on record under this name; while recording, what was found goes on record."""
+    """Return the recorded value of this name; while recording, record ``found`` first."""
     path = DATA / "goldens" / f"{name}.json"
     if RECORDING:
         path.parent.mkdir(parents=True, exist_ok=True)
--- a/tests/proofs/test_decision_digests.py
+++ b/tests/proofs/test_decision_digests.py
@@ -1,9 +1,9 @@
-"""The decisions of this build, byte by byte, against digests that an earlier build wrote.
+"""The decisions of this build have the digests that an earlier build recorded, byte by byte.
 
-The command that ``deploy/balancer.toml`` names as ``sim`` is driven through its pipe. No module of
-the code is named here, so the test stays as it is when modules are renamed or split. To record new
-digests after an intended change of decisions: ``ONYXPASS_RECORD_DIGESTS=1 python -m pytest
-tests/proofs``.
+The tests drive the command ``sim`` of ``deploy/balancer.toml`` through its pipe. They name no
+module of the code, so renaming or splitting modules does not change them. To record new digests
+after an intended change of decisions, run
+``ONYXPASS_RECORD_DIGESTS=1 python -m pytest tests/proofs``.
 """
 
 import ast
@@ -16,40 +16,40 @@
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 
-from tests.support.server_model import Run, Simulation
+from tests.support.server_model import RunResult, Simulation
 
 ROOT = Path(__file__).parent.parent.parent
 DIGESTS = ROOT / "tests" / "data" / "decision_digests.json"
 SEEDS = range(21)
-PLANTED_SEEDS = (1, 3, 4, 8)
-PLANTED_CONSTANTS = 4
+SENSITIVITY_SEEDS = (1, 3, 4, 8)
+CHANGED_CONSTANTS = 4
 PROCESSES = 4
 
 
 def adapter_command() -> list[str]:
-    """The deploy file's ``sim`` command, run by this interpreter."""
+    """Return the deploy file's ``sim`` command, with this interpreter."""
     words = shlex.split(tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["sim"])
     if words[0] == "exec":
         del words[0]
     return [sys.executable, *words[1:]]
 
 
-def play(seeds: "range | tuple[int, ...]", root: Path = ROOT) -> dict[int, Run]:
-    """Play each seed in a process of its own, a few at once."""
+def run_seeds(seeds: "range | tuple[int, ...]", root: Path = ROOT) -> dict[int, RunResult]:
+    """Run each seed against an adapter process of its own, ``PROCESSES`` at once."""
     with ThreadPoolExecutor(PROCESSES) as pool:
         runs = pool.map(lambda seed: Simulation(seed, adapter_command(), root).run(), seeds)
         return dict(zip(seeds, runs, strict=True))
 
 
 def test_every_action_is_the_same_to_the_byte() -> None:
-    found = {str(seed): run.digest for seed, run in play(SEEDS).items()}
+    found = {str(seed): run.digest for seed, run in run_seeds(SEEDS).items()}
     if os.environ.get("ONYXPASS_RECORD_DIGESTS"):
         DIGESTS.write_text(json.dumps(found, indent=1) + "\n")
     assert found == json.loads(DIGESTS.read_text())
 
 
-def test_the_model_brings_about_every_kind_of_action() -> None:
-    actions = {name for run in play((0, 1, 4, 9, 12)).values() for name in run.actions}
+def test_the_server_model_causes_every_kind_of_action_but_bail_out() -> None:
+    actions = {name for run in run_seeds((0, 1, 4, 9, 12)).values() for name in run.actions}
     assert actions >= {
         "transmit",
         "overloadReply",
@@ -62,8 +62,8 @@
     assert "bailOut" not in actions
 
 
-def constants(source: str) -> list[ast.Constant]:
-    """The numbers between 0.01 and 10 that are the values of constants of a module."""
+def float_constants(source: str) -> list[ast.Constant]:
+    """Return the floats from 0.01 to below 10 in the values of a module's constants."""
     found = []
     for statement in ast.parse(source).body:
         if isinstance(statement, ast.Assign | ast.AnnAssign) and statement.value is not None:
@@ -77,8 +77,8 @@
     return found
 
 
-def plant(folder: Path, path: str, constant: ast.Constant) -> None:
-    """Copy the code to ``folder`` with this one constant moved by a hundredth of it."""
+def copy_with_changed_constant(folder: Path, path: str, constant: ast.Constant) -> None:
+    """Copy the code to ``folder`` and increase this one constant by 1 %."""
     shutil.copytree(
         ROOT / "onyxpass", folder / "onyxpass", ignore=shutil.ignore_patterns("__pycache__")
     )
@@ -91,7 +91,7 @@
 
 
 def decision_files() -> list[str]:
-    """The files of the deploy file's ``policy`` list."""
+    """Return the Python files that the deploy file lists under ``policy``."""
     listed = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
     files = []
     for name in listed:
@@ -100,22 +100,22 @@
     return [str(path.relative_to(ROOT)) for path in files]
 
 
-def test_a_constant_moved_by_a_hundredth_changes_a_digest(tmp_path: Path) -> None:
-    places = [
+def test_half_of_the_constants_changed_by_one_percent_change_a_digest(tmp_path: Path) -> None:
+    candidates = [
         (path, constant)
         for path in decision_files()
-        for constant in constants((ROOT / path).read_text())
+        for constant in float_constants((ROOT / path).read_text())
     ]
-    places.sort(key=lambda place: (place[1].value, place[0], place[1].lineno, place[1].col_offset))
-    chosen = places[:: max(1, len(places) // PLANTED_CONSTANTS)][:PLANTED_CONSTANTS]
+    candidates.sort(key=lambda item: (item[1].value, item[0], item[1].lineno, item[1].col_offset))
+    chosen = candidates[:: max(1, len(candidates) // CHANGED_CONSTANTS)][:CHANGED_CONSTANTS]
     expected = json.loads(DIGESTS.read_text())
-    noticed = []
+    detected = []
     for number, (path, constant) in enumerate(chosen):
         folder = tmp_path / str(number)
-        plant(folder, path, constant)
-        runs = play(PLANTED_SEEDS, folder)
+        copy_with_changed_constant(folder, path, constant)
+        runs = run_seeds(SENSITIVITY_SEEDS, folder)
         if any(run.digest != expected[str(seed)] for seed, run in runs.items()):
-            noticed.append((path, constant.lineno))
-    assert len(noticed) >= PLANTED_CONSTANTS // 2, [
+            detected.append((path, constant.lineno))
+    assert len(detected) >= CHANGED_CONSTANTS // 2, [
         (path, constant.lineno, constant.value) for path, constant in chosen
     ]
--- a/tests/proofs/test_schema_and_help_goldens.py
+++ b/tests/proofs/test_schema_and_help_goldens.py
@@ -1,6 +1,4 @@
-"""What commands print that needs nothing to run: schemas word for word, and the options of each
-command.
-"""
+"""Schemas, options and exit codes of the commands, compared with those of earlier builds."""
 
 import re
 from concurrent.futures import ThreadPoolExecutor
@@ -58,21 +56,21 @@
 
 
 def options(command: str, folder: Path) -> list[str]:
-    """All options that a command's help names."""
+    """Return all options that the help of a command names."""
     done = run(*command.split(), "--help", folder=folder)
     assert done.returncode == 0, (command, done.stderr)
     return sorted(set(OPTION.findall(done.stdout)))
 
 
-def test_every_command_and_option_of_before_is_there(tmp_path: Path) -> None:
+def test_every_recorded_command_and_option_exists(tmp_path: Path) -> None:
     with ThreadPoolExecutor(PROCESSES) as pool:
-        answers = pool.map(lambda command: options(command, tmp_path), COMMANDS)
-        found = dict(zip(COMMANDS, answers, strict=True))
+        results = pool.map(lambda command: options(command, tmp_path), COMMANDS)
+        found = dict(zip(COMMANDS, results, strict=True))
     for command, expected in golden("options", found).items():
         assert set(expected) <= set(found[command]), command
 
 
-def test_schemas_are_the_same_to_the_byte(tmp_path: Path) -> None:
+def test_schemas_equal_the_recorded_ones_byte_for_byte(tmp_path: Path) -> None:
     found = {command: digest(run(*command.split(), folder=tmp_path).stdout) for command in SCHEMAS}
     assert found == golden("schemas", found)
 
--- a/tests/proofs/test_site_goldens.py
+++ b/tests/proofs/test_site_goldens.py
@@ -1,9 +1,8 @@
-"""A live site of one agent with two dispatchers: what its addresses and files show, against
-earlier builds.
+"""Outputs and files of a running site, an agent with two dispatchers, compared with earlier builds.
 
-The agent and the fleet tool start with the state that an earlier build had written, so it also
-proves that stored data stays readable. The keys and types of every JSON form are compared, and the
-schemas of databases.
+The agent and the fleet tool start with the state that an earlier build stored, which also proves
+that stored data stays readable. The tests compare the keys and types of every JSON form and the
+schemas of the databases.
 """
 
 import fcntl
@@ -23,14 +22,14 @@
 from tests.proofs.goldens import DATA, RECORDING, golden
 from tests.support.black_box import (
     Site,
-    ask,
-    call,
     database_schema,
     dispatcher_file,
     free_port,
+    http_call,
     run,
     running,
     same_shape,
+    send_request,
     shape,
     stand_in_fleet,
     stand_in_store,
@@ -44,31 +43,31 @@
 DISPATCHER_FOLDER = re.compile(r"onyxpass-[0-9a-f]{12}\Z")
 
 
-def as_expected(name: str, found: Any) -> None:
-    """Fail unless keys and types are those on record."""
+def assert_recorded_shape(name: str, found: Any) -> None:
+    """Fail unless keys and types are those that are recorded under this name."""
     expected = golden(f"shape_{name}", shape(found))
     assert same_shape(expected, shape(found)), (name, expected, shape(found))
 
 
 @pytest.fixture(scope="module")
 def site(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Site]:
-    """A site that serves, started on the stored state of an earlier build."""
+    """Run a site on the stored state of an earlier build; yield it once it serves requests."""
     folder = tmp_path_factory.mktemp("site")
     with stand_in_fleet(folder) as discovery, stand_in_store(folder) as store:
-        made = Site(folder, discovery, store)
-        made.write()
+        running_site = Site(folder, discovery, store)
+        running_site.write_files()
         if not RECORDING:
             shutil.copytree(STORED / "agent", folder / "state")
             shutil.copytree(STORED / "fleet", folder / "rollouts")
         with running("agent", "run", "--config", "agent.toml", folder=folder):
-            wait_for(made.serving, "the site to serve")
-            yield made
+            wait_for(running_site.is_serving, "the site to serve")
+            yield running_site
         if RECORDING:
-            keep_databases(folder)
+            record_databases(folder)
 
 
-def keep_databases(folder: Path) -> None:
-    """Put what this build has stored on record."""
+def record_databases(folder: Path) -> None:
+    """Record the databases that this build has written."""
     for source, target in (
         ("state/agent.db", "agent/agent.db"),
         ("rollouts/rollouts.db", "fleet/rollouts.db"),
@@ -81,8 +80,8 @@
         shutil.copy(folder / source, STORED / target)
 
 
-def rows_of(text: str) -> list[Any]:
-    """All JSON values of a text, one after another."""
+def json_values(text: str) -> list[Any]:
+    """Return the JSON values of a text that holds one after another."""
     decoder = json.JSONDecoder()
     found = []
     rest = text.lstrip()
@@ -96,34 +95,34 @@
 def test_a_rollout_by_reload_and_by_restart(site: Site) -> None:
     for name in site.names:
         site.configure(name, sockets=900)
-    plan = site.fleet("rollout", "plan", "--json")
+    plan = site.run_fleet("rollout", "plan", "--json")
     assert plan.returncode == 0, plan.stderr
-    as_expected("rollout_plan", json.loads(plan.stdout))
+    assert_recorded_shape("rollout_plan", json.loads(plan.stdout))
     for method in ("reload", "restart"):
-        done = site.fleet("rollout", "run", "--json", "--method", method)
+        done = site.run_fleet("rollout", "run", "--json", "--method", method)
         assert done.returncode == 0, done.stdout + done.stderr
-        as_expected("rollout_run", json.loads(done.stdout))
-    status = site.fleet("rollout", "status", "--json")
-    as_expected("rollout_status", json.loads(status.stdout))
-    wait_for(site.serving, "the site to serve again")
+        assert_recorded_shape("rollout_run", json.loads(done.stdout))
+    status = site.run_fleet("rollout", "status", "--json")
+    assert_recorded_shape("rollout_status", json.loads(status.stdout))
+    wait_for(site.is_serving, "the site to serve again")
 
 
-def test_orders_and_what_the_agent_tells_of_instances(site: Site) -> None:
+def test_orders_and_the_agents_reports_on_instances(site: Site) -> None:
     for order in ("reload", "drain", "undrain"):
-        done = site.fleet(order, "two", "--json", "--deadline", "10")
+        done = site.run_fleet(order, "two", "--json", "--deadline", "10")
         assert done.returncode == 0, done.stdout + done.stderr
-        as_expected(f"order_{order}", json.loads(done.stdout))
-    wait_for(site.serving, "the site to serve again")
-    as_expected("fleet_list", json.loads(site.fleet("list", "--json").stdout))
-    inspected = json.loads(site.fleet("inspect", "--deadline", "10").stdout)
-    as_expected("fleet_inspect", inspected)
-    events = rows_of(site.fleet("events", "--json").stdout)
-    as_expected("fleet_events", events)
+        assert_recorded_shape(f"order_{order}", json.loads(done.stdout))
+    wait_for(site.is_serving, "the site to serve again")
+    assert_recorded_shape("fleet_list", json.loads(site.run_fleet("list", "--json").stdout))
+    inspected = json.loads(site.run_fleet("inspect", "--deadline", "10").stdout)
+    assert_recorded_shape("fleet_inspect", inspected)
+    events = json_values(site.run_fleet("events", "--json").stdout)
+    assert_recorded_shape("fleet_events", events)
 
 
 def test_the_database_of_an_earlier_build_is_read_and_keeps_its_schema(site: Site) -> None:
-    stored = rows_of(site.fleet("events", "--json").stdout)
-    as_expected("database_agent", database_schema(site.folder / "state" / "agent.db"))
+    stored = json_values(site.run_fleet("events", "--json").stdout)
+    assert_recorded_shape("database_agent", database_schema(site.folder / "state" / "agent.db"))
     found = database_schema(site.folder / "state" / "agent.db")
     assert found == golden("schema_agent", found)
     found = database_schema(site.folder / "rollouts" / "rollouts.db")
@@ -140,9 +139,9 @@
         "SELECT id, state FROM rollouts ORDER BY number LIMIT 1"
     ).fetchone()
     old.close()
-    status = json.loads(site.fleet("rollout", "status", rollout, "--json").stdout)
+    status = json.loads(site.run_fleet("rollout", "status", rollout, "--json").stdout)
     assert status["state"] == state
-    as_expected("rollout_status", status)
+    assert_recorded_shape("rollout_status", status)
 
 
 def test_an_agents_database_of_the_first_schema_is_brought_up_to_date(tmp_path: Path) -> None:
@@ -167,20 +166,20 @@
 def test_records_in_the_store(site: Site) -> None:
     store = redis.Redis.from_url(site.store, protocol=2, driver_info=None)
 
-    def told() -> dict[str, Any]:
+    def stored_records() -> dict[str, Any]:
         keys = sorted(key.decode() for key in store.keys("*"))
         return {key: json.loads(store.get(key)) for key in keys}
 
     wait_for(
-        lambda: len([key for key in told() if ":instance:" in key]) == len(site.names),
+        lambda: len([key for key in stored_records() if ":instance:" in key]) == len(site.names),
         "both instances",
     )
-    found = told()
-    as_expected("store", found)
+    found = stored_records()
+    assert_recorded_shape("store", found)
     store.close()
 
 
-def test_the_address_of_the_operators(site: Site, tmp_path: Path) -> None:
+def test_the_http_interface_for_operators(site: Site, tmp_path: Path) -> None:
     port, control = free_port(), free_port()
     (tmp_path / "n1.json").write_text(
         json.dumps(dispatcher_file("n1", f"127.0.0.1:{port}", site.discovery))
@@ -190,13 +189,14 @@
         "--config",
         "n1.json",
         folder=tmp_path,
-        more={"ROUTER_CONTROL": f"127.0.0.1:{control}"},
+        variables={"ROUTER_CONTROL": f"127.0.0.1:{control}"},
     ):
         wait_for(
-            lambda: answers(control, "GET", "/api/ready") == (200, "ready\n"), "the dispatcher"
+            lambda: try_http_call(control, "GET", "/api/ready") == (200, "ready\n"),
+            "the dispatcher",
         )
-        assert ask(port, 1).read()
-        status, telemetry = call(control, "GET", "/api/telemetry")
+        assert send_request(port, 1).read()
+        status, telemetry = http_call(control, "GET", "/api/telemetry")
         calls = [
             ("GET", "/api/ready"),
             ("POST", "/api/ready"),
@@ -209,42 +209,47 @@
             ("POST", f"/api/exclude?host={READER}"),
             ("POST", f"/api/include?host={READER}"),
         ]
-        found = {f"{method} {target}": call(control, method, target) for method, target in calls}
+        found = {
+            f"{method} {target}": http_call(control, method, target) for method, target in calls
+        }
         found["telemetry"] = (status, sorted(row.partition("=")[0] for row in telemetry.split()))
         assert json.loads(json.dumps(found)) == golden("operators_address", found)
-        shared_files(tmp_path)
+        check_shared_files(tmp_path)
 
 
-def answers(port: int, method: str, target: str) -> tuple[int, str] | None:
-    """The answer, or None where nothing listens yet."""
+def try_http_call(port: int, method: str, target: str) -> tuple[int, str] | None:
+    """Return status and body, or None if the call failed, as while nothing listens yet."""
     try:
-        return call(port, method, target)
+        return http_call(port, method, target)
     except OSError:
         return None
 
 
-def shared_files(folder: Path) -> None:
-    """The files between the processes of one dispatcher have their known names and keys."""
+def check_shared_files(folder: Path) -> None:
+    """Check names and keys of the files that the processes of one dispatcher share."""
     (shared,) = [path for path in folder.iterdir() if DISPATCHER_FOLDER.match(path.name)]
     (process,) = [path for path in shared.iterdir() if PROCESS_FILE.match(path.name)]
-    as_expected("process_file", json.loads(process.read_text()))
+    assert_recorded_shape("process_file", json.loads(process.read_text()))
     excluded = json.loads((shared / "excluded.json").read_text())
-    as_expected("exclusions", excluded)
+    assert_recorded_shape("exclusions", excluded)
     assert excluded["excluded"] == []
 
 
-def test_exclusions_of_an_earlier_process_hold(site: Site, tmp_path: Path) -> None:
+def test_exclusions_of_an_earlier_process_stay_in_force(site: Site, tmp_path: Path) -> None:
     port, control = free_port(), free_port()
     (tmp_path / "n1.json").write_text(
         json.dumps(dispatcher_file("n1", f"127.0.0.1:{port}", site.discovery))
     )
-    control_at = {"ROUTER_CONTROL": f"127.0.0.1:{control}"}
+    control_variables = {"ROUTER_CONTROL": f"127.0.0.1:{control}"}
     for attempt in range(2):
-        with running("serve", "--config", "n1.json", folder=tmp_path, more=control_at):
+        with running("serve", "--config", "n1.json", folder=tmp_path, variables=control_variables):
             wait_for(
-                lambda: answers(control, "GET", "/api/ready") == (200, "ready\n"), "the dispatcher"
+                lambda: try_http_call(control, "GET", "/api/ready") == (200, "ready\n"),
+                "the dispatcher",
+            )
+            rows = dict(
+                row.split("=") for row in http_call(control, "GET", "/api/telemetry")[1].split()
             )
-            rows = dict(row.split("=") for row in call(control, "GET", "/api/telemetry")[1].split())
             assert rows["svc.members_unavailable"] == str(attempt)
             if not attempt:
                 (shared,) = [
@@ -254,10 +259,8 @@
         (shared / "excluded.json").write_text(stored)
 
 
-def test_the_message_of_a_streams_migration(site: Site, tmp_path: Path) -> None:
-    """A successor made of sockets takes the message of the process before it, and does not go
-    on.
-    """
+def test_the_message_that_offers_a_stream_for_migration(site: Site, tmp_path: Path) -> None:
+    """The test acts as the successor process: it receives an offer and does not accept it."""
     port, control = free_port(), free_port()
     (tmp_path / "n1.json").write_text(
         json.dumps(dispatcher_file("n1", f"127.0.0.1:{port}", site.discovery))
@@ -267,25 +270,26 @@
         "--config",
         "n1.json",
         folder=tmp_path,
-        more={"ROUTER_CONTROL": f"127.0.0.1:{control}"},
+        variables={"ROUTER_CONTROL": f"127.0.0.1:{control}"},
     ) as process:
         wait_for(
-            lambda: answers(control, "GET", "/api/ready") == (200, "ready\n"), "the dispatcher"
+            lambda: try_http_call(control, "GET", "/api/ready") == (200, "ready\n"),
+            "the dispatcher",
         )
         (shared,) = [path for path in tmp_path.iterdir() if DISPATCHER_FOLDER.match(path.name)]
         receiver = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        here = os.getcwd()
+        original_folder = os.getcwd()
         os.chdir(shared)
         receiver.bind(f"{SUCCESSOR}.heir")
-        os.chdir(here)
+        os.chdir(original_folder)
         receiver.listen(8)
         receiver.settimeout(30)
-        with (shared / f"{SUCCESSOR}.new").open("w") as own:
-            fcntl.flock(own, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            own.write(json.dumps({"seen": 0, "limit": 512}).ljust(64))
-            own.flush()
+        with (shared / f"{SUCCESSOR}.new").open("w") as process_file:
+            fcntl.flock(process_file, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            process_file.write(json.dumps({"seen": 0, "limit": 512}).ljust(64))
+            process_file.flush()
             (shared / f"{SUCCESSOR}.new").rename(shared / f"{SUCCESSOR}.process")
-            stream = ask(port, 7, tokens=5_000)
+            stream = send_request(port, 7, tokens=5_000)
             assert stream.read(1)
             process.terminate()
             offer, _ = receiver.accept()
@@ -294,7 +298,7 @@
             for descriptor in descriptors:
                 os.close(descriptor)
             assert len(descriptors) == 2
-            as_expected("migration", json.loads(message))
+            assert_recorded_shape("migration", json.loads(message))
             assert json.loads(message)["version"] == 2
             if RECORDING:
                 (STORED / "migration.json").write_bytes(message)
@@ -302,8 +306,8 @@
 
 
 @pytest.mark.parametrize("version", [1, 2])
-def test_a_stored_message_of_a_migration_is_taken(site: Site, tmp_path: Path, version: int) -> None:
-    """A process before it, made of sockets, offers a stream; the real successor is willing."""
+def test_a_stored_migration_message_is_accepted(site: Site, tmp_path: Path, version: int) -> None:
+    """The test acts as the previous process and offers a stream; the real successor accepts it."""
     if RECORDING:
         return
     port, control = free_port(), free_port()
@@ -315,13 +319,16 @@
         "--config",
         "n1.json",
         folder=tmp_path,
-        more={"ROUTER_CONTROL": f"127.0.0.1:{control}"},
+        variables={"ROUTER_CONTROL": f"127.0.0.1:{control}"},
     ):
         wait_for(
-            lambda: answers(control, "GET", "/api/ready") == (200, "ready\n"), "the dispatcher"
+            lambda: try_http_call(control, "GET", "/api/ready") == (200, "ready\n"),
+            "the dispatcher",
         )
         (shared,) = [path for path in tmp_path.iterdir() if DISPATCHER_FOLDER.match(path.name)]
-        (place,) = wait_for(lambda: list(shared.glob("*.heir")), "the place to offer streams at")
+        (offer_socket,) = wait_for(
+            lambda: list(shared.glob("*.heir")), "the socket for offers of streams"
+        )
         message = json.loads((STORED / "migration.json").read_text())
         message["version"] = version
         with socket.create_server(("127.0.0.1", 0)) as server:
@@ -331,14 +338,14 @@
             ]
         with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as offer:
             offer.settimeout(30)
-            here = os.getcwd()
+            original_folder = os.getcwd()
             os.chdir(shared)
-            offer.connect(place.name)
-            os.chdir(here)
+            offer.connect(offer_socket.name)
+            os.chdir(original_folder)
             socket.send_fds(
-                offer, [json.dumps(message).encode()], [one.fileno() for one, _ in pairs]
+                offer, [json.dumps(message).encode()], [near.fileno() for near, _ in pairs]
             )
             assert offer.recv(1) == b"1"
-        for one, other in pairs:
-            one.close()
-            other.close()
+        for near, far in pairs:
+            near.close()
+            far.close()
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -151,7 +151,7 @@
         self.schedule(STREAM_US, router_index, end)
 
     def restart_routers(self, share: float) -> None:
-        """Restart a random share of the routers: their requests and all their other state are lost."""
+        """Restart this share of the routers, chosen at random; all their requests and state are lost."""
         for n in self.random.sample(range(len(self.routers)), round(share * len(self.routers))):
             self.events = [event for event in self.events if event[2] != n]
             heapq.heapify(self.events)
--- a/tests/support/black_box.py
+++ b/tests/support/black_box.py
@@ -1,7 +1,6 @@
-"""Runs the program as its users do, and describes what it shows without naming any module of it.
+"""Runs the program as its users do, and describes its output without naming any of its modules.
 
-Everything here goes through commands, sockets and files, so it stays as it is when the code is
-renamed.
+All access is through commands, sockets and files, so that renaming code does not change the tests.
 """
 
 import hashlib
@@ -23,7 +22,7 @@
 
 ROOT = Path(__file__).parent.parent.parent
 PROGRAM = (sys.executable, "-m", "onyxpass")
-LIMIT_S = 60.0  # ends a trial that hangs; what is meant is waited for
+TIMEOUT_S = 60.0  # only ends a command or a wait that hangs
 POLL_S = 0.05
 Shape = Any  # JSON with each leaf replaced by the name of its type
 
@@ -68,45 +67,45 @@
 
 
 def free_port() -> int:
-    """A loopback port that nothing listens on at present."""
+    """Return a loopback port that nothing listens on at present."""
     with socket.create_server(("127.0.0.1", 0)) as sock:
         return int(sock.getsockname()[1])
 
 
-def wait_for(condition: Callable[[], Any], what: str, limit_s: float = LIMIT_S) -> Any:
-    """The first true value of the condition; AssertionError if there is none in time."""
+def wait_for(condition: Callable[[], Any], description: str, limit_s: float = TIMEOUT_S) -> Any:
+    """Return the first true value of the condition; raise AssertionError after ``limit_s``."""
     end_s = time.monotonic() + limit_s
     while time.monotonic() < end_s:
         if found := condition():
             return found
         time.sleep(POLL_S)
-    raise AssertionError(f"waited in vain for {what}")
+    raise AssertionError(f"timed out waiting for {description}")
 
 
-def clean_environment(folder: Path, more: Mapping[str, str] | None = None) -> dict[str, str]:
-    """This process's variables without those that tell the program something."""
-    told = ("ROUTER_", "ONYXPASS_")
-    kept = {name: value for name, value in os.environ.items() if not name.startswith(told)}
+def clean_environment(folder: Path, variables: Mapping[str, str] | None = None) -> dict[str, str]:
+    """Return this process's environment without the variables that configure the program."""
+    prefixes = ("ROUTER_", "ONYXPASS_")
+    kept = {name: value for name, value in os.environ.items() if not name.startswith(prefixes)}
     return {
         **kept,
         "TMPDIR": str(folder),
         "COLUMNS": "120",
         "PYTHONPATH": str(ROOT),
-        **(more or {}),
+        **(variables or {}),
     }
 
 
 def run(
-    *arguments: str, folder: Path, more: Mapping[str, str] | None = None
+    *arguments: str, folder: Path, variables: Mapping[str, str] | None = None
 ) -> "subprocess.CompletedProcess[str]":
-    """One command of the program, run to its end in ``folder``."""
+    """Run one command of the program to its end, in ``folder``."""
     return subprocess.run(
         [*PROGRAM, *arguments],
         cwd=folder,
-        env=clean_environment(folder, more),
+        env=clean_environment(folder, variables),
         capture_output=True,
         text=True,
-        timeout=LIMIT_S,
+        timeout=TIMEOUT_S,
         check=False,
     )
 
@@ -115,14 +114,14 @@
 def running(
     *arguments: str,
     folder: Path,
-    more: Mapping[str, str] | None = None,
+    variables: Mapping[str, str] | None = None,
     pass_fds: Sequence[int] = (),
 ) -> Iterator["subprocess.Popen[str]"]:
-    """One command of the program in the background; SIGTERM at the block's end."""
+    """Run one command of the program in the background; SIGTERM ends it at the end of the block."""
     process = subprocess.Popen(
         [*PROGRAM, *arguments],
         cwd=folder,
-        env=clean_environment(folder, more),
+        env=clean_environment(folder, variables),
         stdout=subprocess.PIPE,
         stderr=(folder / f"{arguments[0]}.stderr").open("ab"),
         text=True,
@@ -133,7 +132,7 @@
     finally:
         process.send_signal(signal.SIGTERM)
         try:
-            process.communicate(timeout=LIMIT_S)
+            process.communicate(timeout=TIMEOUT_S)
         except subprocess.TimeoutExpired:
             process.kill()
             process.communicate()
@@ -141,7 +140,7 @@
 
 @contextmanager
 def stand_in_fleet(folder: Path) -> Iterator[str]:
-    """Readers, writers and discovery; yields discovery's address."""
+    """Run stand-ins of model servers and discovery; yield the address of discovery."""
     with running("standin", "fleet", "--port", "0", folder=folder) as process:
         assert process.stdout is not None
         line = process.stdout.readline()
@@ -152,14 +151,14 @@
 
 @contextmanager
 def stand_in_store(folder: Path) -> Iterator[str]:
-    """A Redis stand-in; yields its URL."""
+    """Run a stand-in of Redis; yield its URL."""
     with running("standin", "store", "--port", "0", folder=folder) as process:
         assert process.stdout is not None
         yield process.stdout.readline().strip()
 
 
 def dispatcher_file(name: str, listen: str, discovery: str) -> dict[str, Any]:
-    """The platform's JSON of one dispatcher."""
+    """Return the content of the JSON file by which the platform configures one dispatcher."""
     return {
         "name": name,
         "listen": listen,
@@ -171,21 +170,21 @@
     }
 
 
-def call(port: int, method: str, target: str) -> tuple[int, str]:
-    """Status and body of one HTTP call."""
+def http_call(port: int, method: str, target: str) -> tuple[int, str]:
+    """Make one HTTP call and return its status and body."""
     connection = http.client.HTTPConnection("127.0.0.1", port, timeout=10)
     try:
         connection.request(method, target)
-        answer = connection.getresponse()
-        return answer.status, answer.read().decode()
+        response = connection.getresponse()
+        return response.status, response.read().decode()
     finally:
         connection.close()
 
 
-def ask(
+def send_request(
     port: int, number: int, traffic_class: str = "part-lookup", tokens: int = 40
 ) -> http.client.HTTPResponse:
-    """Send one request to a dispatcher; its answer, whose body is yet to be read."""
+    """Send one request to a dispatcher; return the response, whose body has not been read."""
     connection = http.client.HTTPConnection("127.0.0.1", port, timeout=20)
     headers = {
         "x-request-id": f"q{number}",
@@ -204,7 +203,10 @@
 
 @dataclass
 class Site:
-    """An agent with two dispatchers, before stand-in servers and a stand-in store."""
+    """An agent with two dispatchers, and stand-ins of the model servers and the store.
+
+    ``discovery`` and ``store`` are the address and the URL of stand-ins that run already.
+    """
 
     folder: Path
     discovery: str
@@ -213,8 +215,8 @@
     ports: dict[str, int] = field(default_factory=dict)
     agent_port: int = 0
 
-    def write(self) -> None:
-        """All files of the site."""
+    def write_files(self) -> None:
+        """Write the files of the agent, the fleet tool and the dispatchers."""
         assert run("agent", "key", "fleet.key", folder=self.folder).returncode == 0
         self.agent_port = free_port()
         rows = [
@@ -241,25 +243,25 @@
         )
 
     def configure(self, name: str, sockets: int = 1024) -> None:
-        """Write one dispatcher's file."""
-        made = dispatcher_file(name, f"127.0.0.1:{self.ports[name]}", self.discovery)
-        made["limits"]["sockets"] = sockets
-        (self.folder / f"{name}.json").write_text(json.dumps(made))
+        """Write the file of one dispatcher."""
+        content = dispatcher_file(name, f"127.0.0.1:{self.ports[name]}", self.discovery)
+        content["limits"]["sockets"] = sockets
+        (self.folder / f"{name}.json").write_text(json.dumps(content))
 
-    def fleet(self, *arguments: str) -> "subprocess.CompletedProcess[str]":
-        """One command of the fleet tool."""
+    def run_fleet(self, *arguments: str) -> "subprocess.CompletedProcess[str]":
+        """Run one command of the fleet tool."""
         return run("fleet", *arguments, "--fleet", "fleet.toml", folder=self.folder)
 
-    def serving(self) -> bool:
-        """Whether all instances take requests."""
-        done = self.fleet("list", "--json")
-        return done.returncode == 0 and all(self._ready(port) for port in self.ports.values())
+    def is_serving(self) -> bool:
+        """Return whether ``fleet list`` succeeds and all instances answer requests."""
+        done = self.run_fleet("list", "--json")
+        return done.returncode == 0 and all(self._answers(port) for port in self.ports.values())
 
     @staticmethod
-    def _ready(port: int) -> bool:
+    def _answers(port: int) -> bool:
         try:
-            answer = ask(port, 1)
-            return answer.status == 200 and bool(answer.read())
+            response = send_request(port, 1)
+            return response.status == 200 and bool(response.read())
         except (OSError, http.client.HTTPException):
             return False
 
@@ -268,7 +270,7 @@
 
 
 def shape(value: Any) -> Shape:
-    """The value with each leaf replaced by its type's name; a list becomes its distinct shapes."""
+    """Replace each leaf by its type's name, and each list by the list of its distinct shapes."""
     if isinstance(value, dict):
         return {str(key): shape(inner) for key, inner in sorted(value.items())}
     if isinstance(value, list):
@@ -278,7 +280,7 @@
 
 
 def same_shape(expected: Shape, found: Shape) -> bool:
-    """Whether keys and types agree; what is null on either side may be of any type."""
+    """Return whether keys and types agree; a null on either side matches any type."""
     if "NoneType" in (expected, found):
         return True
     if isinstance(expected, dict) and isinstance(found, dict):
@@ -291,7 +293,10 @@
 
 
 def database_schema(path: Path, immutable: bool = False) -> dict[str, Any]:
-    """Version, tables and columns of a SQLite file; ``immutable``: nothing is written beside it."""
+    """Return version, tables and columns of a SQLite file.
+
+    ``immutable`` prevents SQLite from writing files next to it.
+    """
     database = sqlite3.connect(f"file:{path}?mode=ro&immutable={int(immutable)}", uri=True)
     try:
         names = [
@@ -309,5 +314,5 @@
 
 
 def digest(text: str) -> str:
-    """A short digest of long text."""
+    """Return a digest of 16 hexadecimal digits."""
     return hashlib.sha256(text.encode()).hexdigest()[:16]
--- a/tests/support/definitions.py
+++ b/tests/support/definitions.py
@@ -1,20 +1,24 @@
-"""Which functions, methods and classes a module defines."""
+"""The names of the functions, methods and classes that a module defines."""
 
 import ast
 
 
-def functions(tree: ast.Module) -> set[str]:
-    """Return functions, and methods as ``Class.method``."""
+def function_names(tree: ast.Module) -> set[str]:
+    """Return the names of functions, and of methods as ``Class.method``."""
     found = set()
     for node in tree.body:
         if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef):
             found.add(node.name)
         elif isinstance(node, ast.ClassDef):
-            inner = [n for n in node.body if isinstance(n, ast.FunctionDef | ast.AsyncFunctionDef)]
-            found |= {f"{node.name}.{method.name}" for method in inner}
+            methods = [
+                n for n in node.body if isinstance(n, ast.FunctionDef | ast.AsyncFunctionDef)
+            ]
+            found |= {f"{node.name}.{method.name}" for method in methods}
     return found
 
 
-def defined(tree: ast.Module) -> set[str]:
-    """Return functions, classes, and methods as ``Class.method``."""
-    return functions(tree) | {node.name for node in tree.body if isinstance(node, ast.ClassDef)}
+def definition_names(tree: ast.Module) -> set[str]:
+    """Return the names of functions and classes, and of methods as ``Class.method``."""
+    return function_names(tree) | {
+        node.name for node in tree.body if isinstance(node, ast.ClassDef)
+    }
--- a/tests/support/dispatcher_bed.py
+++ b/tests/support/dispatcher_bed.py
@@ -1,4 +1,4 @@
-"""A dispatcher of requests without sockets: its router, fleet and client do what a test says."""
+"""A request dispatcher without sockets, with a scripted router and fakes of fleet and client."""
 
 from typing import Any
 
@@ -12,7 +12,7 @@
 
 
 class ManualClock(Clock):
-    """A clock that stands until it is moved."""
+    """A clock that stands still until a test moves it."""
 
     def __init__(self) -> None:
         self.us = 1_000_000_000
@@ -23,70 +23,73 @@
 
 
 class FakeFleet:
-    """A fleet that does nothing by itself, and notes what it is asked to do."""
+    """A fleet that records its calls and does nothing else; ``started`` holds the attempts."""
 
     def __init__(self) -> None:
         self.calls: list[tuple[str, Any]] = []
         self.started: list[Attempt] = []
 
     def start(self, attempt: Attempt) -> None:
-        """Note the attempt."""
+        """Record the attempt."""
         self.started.append(attempt)
 
     def stop(self, attempt: Attempt) -> None:
-        """Note the stop."""
+        """Record the stop."""
         self.calls.append(("stop", attempt.number))
 
     def release(self, request: Request, prefill_interrupted: bool) -> None:
-        """Note the release."""
+        """Record the release."""
         self.calls.append(("release", prefill_interrupted))
 
     def check_health(self, server: str) -> None:
-        """Note the health check."""
+        """Record the health check."""
         self.calls.append(("probe", server))
 
 
 class FakeClient:
-    """A client that notes its final answers."""
+    """A client that records its final answers."""
 
     def __init__(self) -> None:
         self.final_answers: list[str] = []
-        self.disconnected = False  # by the kernel's word
+        self.disconnected = False  # as the kernel reports it
 
     def has_disconnected(self) -> bool:
-        """Return whether the test had it leave."""
+        """Return whether the test has set ``disconnected``."""
         return self.disconnected
 
     async def forward(self, event: bytes) -> None:
-        """Fail: no stream comes this far."""
+        """Raise NotImplementedError: no test forwards an event of a stream."""
         raise NotImplementedError
 
     def complete(self) -> None:
-        """Note the answer."""
+        """Record the answer."""
         self.final_answers.append("finish")
 
     def abort(self, reason: str) -> None:
-        """Note the answer."""
+        """Record the answer."""
         self.final_answers.append("cut")
 
     def reject(self, retry_after_us: int) -> None:
-        """Note the answer."""
+        """Record the answer."""
         self.final_answers.append("refuse")
 
     def fail(self, reason: str, late: bool) -> None:
-        """Note the answer."""
+        """Record the answer."""
         self.final_answers.append("late" if late else "fail")
 
 
 class ScriptedRouter:
-    """A module that does what the test says."""
+    """A router that records its events and returns the actions that a test scripts.
+
+    Each event takes the next element of ``answers``, or no actions if there is none.
+    """
 
     def __init__(self) -> None:
         self.answers: list[list[contract.Action]] = []
         self.heard: list[contract.Event] = []
 
     def handle(self, now_us: int, event: contract.Event) -> list[contract.Action]:
-        """Note the event, and return what the test scripted next."""
+        """Record the event, and return the next scripted actions."""
         self.heard.append(event)
         return self.answers.pop(0) if self.answers else []
 
@@ -107,7 +110,7 @@
         self.step([])
 
     def step(self, *answers: list[contract.Action]) -> None:
-        """Handle all that is in the mailbox, as the actor does."""
+        """Script these actions, and handle all messages in the mailbox as the actor does."""
         self.script.answers += answers
         while not self.core.mailbox.empty():
             message = self.core.mailbox.get_nowait()
@@ -119,13 +122,13 @@
     def submit(
         self, *actions: contract.Action, traffic_class: str = "once", wait_us: int = 1_000_000
     ) -> Request:
-        """Submit a request, and answer its arrival with these actions."""
+        """Submit a request; the scripted router answers its arrival with these actions."""
         arrival = contract.Arrival(7, traffic_class, "s", self.clock.us + wait_us, 100, 100)
         request = self.core.submit("abc", arrival, self.client, None)
         self.step(list(actions))
         return request
 
     def advance(self, us: int) -> None:
-        """Move the clock, and fire what is due."""
+        """Advance the clock, and fire the timers that are due."""
         self.clock.us += us
         self.wheel.advance()
--- a/tests/support/server_model.py
+++ b/tests/support/server_model.py
@@ -1,6 +1,6 @@
 """A small seeded model of servers and clients that drives the simulator adapter through its pipe.
 
-The model knows only the adapter's wire, not the code behind it. Every reply line goes into a
+The model uses only the adapter's protocol, not the code behind it. Every reply line goes into a
 digest, so two builds have the same digest for a seed if and only if they replied with the same
 bytes.
 """
@@ -32,7 +32,7 @@
     {"name": "summary", "promiseUs": 1_500_000, "deadlineUs": 6_000_000, "value": 3.0},
     {"name": "booking", "promiseUs": 1_200_000, "deadlineUs": 5_000_000, "value": 2.0},
 )
-EFFECTS: tuple[dict[str, Any], ...] = (
+IDEMPOTENCY_SETTINGS: tuple[dict[str, Any], ...] = (
     {"repeat": "read_like", "group": "all"},
     {"repeat": "idempotency_key", "group": "all", "windowUs": 2_000_000},
     {"repeat": "idempotency_key", "group": "zone", "windowUs": 2_000_000},
@@ -43,13 +43,13 @@
 
 @dataclass
 class ModelServer:
-    """One server: what it is, how it fails, and the work that it has."""
+    """One server: its place and kind, its faults, and the work in progress."""
 
     name: str
     kind: str
     zone: str
     cell: int
-    fault_share: float
+    fault_rate: float
     slowness: float
     started_us: int | None = None
     condition: str = "up"
@@ -60,7 +60,7 @@
     running: int = 0
 
     def row(self) -> list[Any]:
-        """The server as the adapter's wire lists it."""
+        """Return the server as an entry of the list in the adapter's protocol."""
         return [
             self.zone,
             self.kind,
@@ -74,7 +74,7 @@
 
 @dataclass
 class ModelRequest:
-    """A client's request at one router."""
+    """A client's request at one router; ``in_flight`` maps attempts to server names."""
 
     number: int
     router: int
@@ -83,22 +83,20 @@
     answer_tokens: int
     attempts: int = 0
     finished: bool = False
-    state_read: bool = False
-    under_way: dict[int, str] = field(default_factory=dict)
+    is_prefilled: bool = False
+    in_flight: dict[int, str] = field(default_factory=dict)
 
 
 @dataclass(frozen=True)
-class Run:
-    """What came of one seed."""
+class RunResult:
+    """The digest of all replies to one seed, and the number of actions by name."""
 
     digest: str
     actions: dict[str, int]
 
 
 class Simulation:
-    """Plays one seed against an adapter process, in a closed loop: its actions cause the next
-    events.
-    """
+    """Runs one seed against an adapter process, whose actions cause later events."""
 
     def __init__(
         self, seed: int, command: Sequence[str], root: Path, duration_us: int = 4 * SECOND_US
@@ -123,10 +121,10 @@
             list(command), cwd=root, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True
         )
 
-    def run(self) -> Run:
-        """Play the whole seed and return its digest."""
+    def run(self) -> RunResult:
+        """Run the whole simulation and return its result."""
         try:
-            self._begin()
+            self._start_routers()
             end_us = self._now_us + self._duration_us
             while self._queue and self._queue[0][0] <= end_us:
                 self._step()
@@ -134,34 +132,37 @@
             assert self._process.stdin is not None
             self._process.stdin.close()
             code = self._process.wait(timeout=30)
-        assert code == 0, f"the adapter ended with {code}"
-        return Run(self._digest.hexdigest(), dict(sorted(self._actions.items())))
+        assert code == 0, f"the adapter exited with code {code}"
+        return RunResult(self._digest.hexdigest(), dict(sorted(self._actions.items())))
 
     def _make_servers(self) -> list[ModelServer]:
-        made = []
+        servers = []
         mixed = self._seed % 2 == 1
-        least, most = (8, 12) if self._routers == max(ROUTER_COUNTS) else (3, 6)
-        readers = self._random.randint(least, most)
-        writers = self._random.randint(least, most)
+        fewest, most = (8, 12) if self._routers == max(ROUTER_COUNTS) else (3, 6)
+        readers = self._random.randint(fewest, most)
+        writers = self._random.randint(fewest, most)
         counts = {"r": readers, "w": writers, "m": 3 if mixed else 0}
         for kind, count in counts.items():
             for i in range(count):
-                made.append(
+                servers.append(
                     ModelServer(
                         name=f"{kind}{i}",
                         kind=kind,
                         zone=f"z{i % 2}",
                         cell=i % 3,
-                        fault_share=self._random.choice((0.0, 0.0, 0.02, 0.3)),
+                        fault_rate=self._random.choice((0.0, 0.0, 0.02, 0.3)),
                         slowness=self._random.choice((1.0, 1.0, 1.1, 5.0)),
                         started_us=self._random.choice((None, None, SECOND_US // 2)),
                         weight=self._random.choice((1, 1, 0.5, 0.15, None)),
                     )
                 )
-        return made
+        return servers
 
     def _settings(self, router: int) -> dict[str, Any]:
-        classes = [{**c, **EFFECTS[(self._seed + i) % len(EFFECTS)]} for i, c in enumerate(CLASSES)]
+        classes = [
+            {**c, **IDEMPOTENCY_SETTINGS[(self._seed + i) % len(IDEMPOTENCY_SETTINGS)]}
+            for i, c in enumerate(CLASSES)
+        ]
         return {
             "az": f"z{router % 2}",
             "ordinal": router,
@@ -197,7 +198,7 @@
             "tickUs": 1_000,
         }
 
-    def _begin(self) -> None:
+    def _start_routers(self) -> None:
         self._exchange([])
         events: list[list[Any]] = [self._list_event()]
         for router in range(self._routers):
@@ -205,11 +206,11 @@
             events.append(["rosterChange", router, "Persisted", 1, self._list_version])
         self._exchange(events)
         for router in range(self._routers):
-            self._at(self._random.randint(0, 200_000), ["arrive", router, 0])
+            self._schedule(self._random.randint(0, 200_000), ["arrive", router, 0])
         for _ in range(8):
-            self._at(self._random.randint(300_000, self._duration_us), ["change"])
+            self._schedule(self._random.randint(300_000, self._duration_us), ["change"])
 
-    def _at(self, delay_us: int, event: list[Any]) -> None:
+    def _schedule(self, delay_us: int, event: list[Any]) -> None:
         self._order += 1
         due_us = (
             self._now_us + max(0, delay_us)
@@ -220,7 +221,7 @@
         self._now_us = self._queue[0][0]
         events: list[list[Any]] = []
         while self._queue and self._queue[0][0] == self._now_us:
-            events += self._happen(heapq.heappop(self._queue)[2])
+            events += self._process_event(heapq.heappop(self._queue)[2])
         if events:
             self._exchange(events)
 
@@ -232,15 +233,15 @@
         self._process.stdin.write(json.dumps(message) + "\n")
         self._process.stdin.flush()
         reply = self._process.stdout.readline()
-        assert reply, "the adapter ended before its time"
+        assert reply, "the adapter closed its output before the end of the run"
         self._digest.update(reply.encode())
         for action in json.loads(reply)["outbox"]:
             self._actions[action[0]] = self._actions.get(action[0], 0) + 1
-            self._act(action)
+            self._apply_action(action)
 
-    # What happens at its time: each method returns the events that the adapter is given.
+    # Events that are due: each of these methods returns the events to send to the adapter.
 
-    def _happen(self, event: list[Any]) -> list[list[Any]]:
+    def _process_event(self, event: list[Any]) -> list[list[Any]]:
         match event:
             case ["arrive", router, count]:
                 return self._arrive(router, count)
@@ -249,16 +250,20 @@
             case ["change"]:
                 return self._change_servers()
             case ["first", router, number, attempt, *_]:
-                return [self._first_token(event)] if self._is_out(router, number, attempt) else []
+                return (
+                    [self._first_token(event)]
+                    if self._is_in_flight(router, number, attempt)
+                    else []
+                )
             case ["end", router, number, attempt, *_]:
-                return [self._end(event)] if self._is_out(router, number, attempt) else []
+                return [self._end(event)] if self._is_in_flight(router, number, attempt) else []
             case _:
                 return [event]
 
     def _arrive(self, router: int, count: int) -> list[list[Any]]:
         rate_per_s = 200 / self._routers
         burst = 2.5 if self._seed % 2 and 1.5 * SECOND_US < self._now_us < 3 * SECOND_US else 1.0
-        self._at(
+        self._schedule(
             round(self._random.expovariate(rate_per_s * burst) * SECOND_US),
             ["arrive", router, count + 1],
         )
@@ -272,7 +277,7 @@
             (None, "p0", "p0", "p0", "p1", f"p{self._random.randint(2, 30)}")
         )
         if self._random.random() < 0.05:
-            self._at(self._random.randint(10_000, 700_000), ["leave", router, number])
+            self._schedule(self._random.randint(10_000, 700_000), ["leave", router, number])
         return [
             [
                 "knock",
@@ -300,8 +305,9 @@
         return [["withdrawn", router, number]]
 
     def _change_servers(self) -> list[list[Any]]:
-        """Drain, remove, restart or silence a server; routers hear of it in one of the list's
-        forms.
+        """Change a random server: drain, remove, restart, silence or reweight it, or fail the list.
+
+        Routers get the change in one of the forms of a list update, except for a silent server.
         """
         server = self._random.choice([self._servers[name] for name in sorted(self._servers)])
         change = self._random.choice(
@@ -322,10 +328,12 @@
             server.running = 0
         else:
             server.condition = "draining" if change == "drain" else "removed"
-            self._at(900_000, ["change"])
+            self._schedule(900_000, ["change"])
         form = self._random.choice(forms)
-        rows = [server] if form == "Partial" else list(self._servers.values())
-        event = self._list_event([s for s in rows if form == "Partial" or s.condition != "removed"])
+        listed = [server] if form == "Partial" else list(self._servers.values())
+        event = self._list_event(
+            [s for s in listed if form == "Partial" or s.condition != "removed"]
+        )
         changes = [
             ["rosterChange", router, form, self._list_version, self._list_version]
             for router in range(self._routers)
@@ -337,25 +345,25 @@
         listed = list(self._servers.values()) if servers is None else servers
         return ["list", self._list_version, [server.row() for server in listed]]
 
-    def _is_out(self, router: int, number: int, attempt: int) -> bool:
-        return attempt in self._requests[router, number].under_way
+    def _is_in_flight(self, router: int, number: int, attempt: int) -> bool:
+        return attempt in self._requests[router, number].in_flight
 
     def _first_token(self, event: list[Any]) -> list[Any]:
         _, router, number, attempt, sent_us, server, stream_us = event
-        self._at(stream_us, ["end", router, number, attempt, sent_us, "ok", 0])
+        self._schedule(stream_us, ["end", router, number, attempt, sent_us, "ok", 0])
         self._requests[router, number].finished = True
         return ["underWay", router, number, attempt, self._now_us - sent_us, server]
 
     def _end(self, event: list[Any]) -> list[Any]:
         _, router, number, attempt, sent_us, status, note = event
         request = self._requests[router, number]
-        server = self._servers[request.under_way.pop(attempt)]
+        server = self._servers[request.in_flight.pop(attempt)]
         server.running = max(0, server.running - 1)
         server.tokens = max(0, server.tokens - request.prompt_tokens - request.answer_tokens)
         if status == "READ":
-            request.state_read = True
+            request.is_prefilled = True
         elif note == 1:
-            request.state_read = False
+            request.is_prefilled = False
         final = status == "ok" or (status != "READ" and self._random.random() < 0.03)
         if final:
             request.finished = True
@@ -383,9 +391,9 @@
         flight = round(server.running * noise, 2) if self._seed % 3 else None
         return [share, queue, flight, len(server.name), 12.5]
 
-    # What the adapter asked for.
+    # Actions of the adapter.
 
-    def _act(self, action: list[Any]) -> None:
+    def _apply_action(self, action: list[Any]) -> None:
         name, router = action[0], action[1]
         if name == "transmit":
             self._transmit(router, *action[2:])
@@ -393,82 +401,94 @@
             self._requests[router, action[2]].finished = True
         elif name == "revoke":
             number, attempt = action[2], action[3]
-            self._at(2_000, ["end", router, number, attempt, self._now_us, "cancelled", 0])
+            self._schedule(2_000, ["end", router, number, attempt, self._now_us, "cancelled", 0])
         elif name == "ping":
             server = self._servers[action[2]]
-            well = self._now_us >= server.silent_until_us and server.condition != "removed"
-            elapsed_us = 3_000 if well else 200_000
-            status = "ok" if well else "timeout"
-            report = self._report(server, True) if well else None
-            self._at(elapsed_us, ["probeDone", router, server.name, status, elapsed_us, report])
+            is_healthy = self._now_us >= server.silent_until_us and server.condition != "removed"
+            elapsed_us = 3_000 if is_healthy else 200_000
+            status = "ok" if is_healthy else "timeout"
+            report = self._report(server, True) if is_healthy else None
+            self._schedule(
+                elapsed_us, ["probeDone", router, server.name, status, elapsed_us, report]
+            )
         elif name == "defer":
-            self._at(action[3], ["wake", router, action[2]])
+            self._schedule(action[3], ["wake", router, action[2]])
         elif name in ("pull", "watch"):
-            self._at(20_000, ["rosterChange", router, "Complete", 1, 1])
+            self._schedule(20_000, ["rosterChange", router, "Complete", 1, 1])
 
     def _transmit(self, router: int, number: int, name: str, timeout_us: int) -> None:
         request = self._requests[router, number]
         server = self._servers[name]
         attempt = request.attempts
         request.attempts += 1
-        request.under_way[attempt] = name
-        begun = [router, number, attempt, self._now_us]
+        request.in_flight[attempt] = name
+        attempt_fields = [router, number, attempt, self._now_us]
         if server.condition == "removed":
-            self._at(1_000, ["end", *begun, "connect_failed", 0])
+            self._schedule(1_000, ["end", *attempt_fields, "connect_failed", 0])
             return
         if self._now_us < server.silent_until_us:
-            self._at(timeout_us, ["end", *begun, "timeout", 0])
+            self._schedule(timeout_us, ["end", *attempt_fields, "timeout", 0])
             return
-        if self._random.random() < server.fault_share:
-            self._fail(begun, timeout_us)
+        if self._random.random() < server.fault_rate:
+            self._fail(attempt_fields, timeout_us)
             return
         server.running += 1
         server.tokens += request.prompt_tokens + request.answer_tokens
-        reads = server.kind == "r" or not (request.state_read or server.kind == "m")
+        needs_prefill = server.kind == "r" or not (request.is_prefilled or server.kind == "m")
         if server.kind == "r":
-            self._read(begun, request, server, timeout_us)
+            self._prefill(attempt_fields, request, server, timeout_us)
         else:
-            self._write(begun, request, server, timeout_us, reads)
+            self._decode(attempt_fields, request, server, timeout_us, needs_prefill)
 
-    def _fail(self, begun: list[Any], timeout_us: int) -> None:
+    def _fail(self, attempt_fields: list[Any], timeout_us: int) -> None:
         fault = self._random.choice(FAULTS)
         delay_us = self._random.randint(1_000, 150_000)
         if fault == "silence":
-            self._at(timeout_us, ["end", *begun, "timeout", self._random.choice((0, 3))])
+            self._schedule(
+                timeout_us, ["end", *attempt_fields, "timeout", self._random.choice((0, 3))]
+            )
         elif fault.endswith("_without_state"):
-            self._at(delay_us, ["end", *begun, fault.removesuffix("_without_state"), 1])
+            self._schedule(
+                delay_us, ["end", *attempt_fields, fault.removesuffix("_without_state"), 1]
+            )
         elif fault == "reset":
-            self._at(delay_us, ["end", *begun, fault, self._random.choice((0, 2, 3))])
+            self._schedule(
+                delay_us, ["end", *attempt_fields, fault, self._random.choice((0, 2, 3))]
+            )
         else:
-            self._at(delay_us, ["end", *begun, fault, 0])
+            self._schedule(delay_us, ["end", *attempt_fields, fault, 0])
 
-    def _read(
-        self, begun: list[Any], request: ModelRequest, server: ModelServer, timeout_us: int
+    def _prefill(
+        self, attempt_fields: list[Any], request: ModelRequest, server: ModelServer, timeout_us: int
     ) -> None:
         duration_us = round(request.prompt_tokens * 12 * server.slowness)
         server.busy_until_us = max(server.busy_until_us, self._now_us) + duration_us
         delay_us = server.busy_until_us - self._now_us
         if delay_us >= timeout_us:
-            self._at(timeout_us, ["end", *begun, "timeout", 0])
+            self._schedule(timeout_us, ["end", *attempt_fields, "timeout", 0])
         else:
             cached = self._random.choice((0, request.prompt_tokens // 2))
-            self._at(delay_us, ["end", *begun, "READ", cached])
+            self._schedule(delay_us, ["end", *attempt_fields, "READ", cached])
 
-    def _write(
+    def _decode(
         self,
-        begun: list[Any],
+        attempt_fields: list[Any],
         request: ModelRequest,
         server: ModelServer,
         timeout_us: int,
-        reads: bool,
+        needs_prefill: bool,
     ) -> None:
-        router, number, attempt, sent_us = begun
+        router, number, attempt, sent_us = attempt_fields
         if server.tokens > 45_000:
-            self._at(2_000, ["end", *begun, "full", 0])
+            self._schedule(2_000, ["end", *attempt_fields, "full", 0])
             return
-        first_us = round(20_000 * server.slowness + (request.prompt_tokens * 15 if reads else 0))
+        first_us = round(
+            20_000 * server.slowness + (request.prompt_tokens * 15 if needs_prefill else 0)
+        )
         if first_us >= timeout_us:
-            self._at(timeout_us, ["end", *begun, "timeout", 0])
+            self._schedule(timeout_us, ["end", *attempt_fields, "timeout", 0])
             return
         stream_us = request.answer_tokens * round(2_000 * server.slowness)
-        self._at(first_us, ["first", router, number, attempt, sent_us, server.name, stream_us])
+        self._schedule(
+            first_us, ["first", router, number, attempt, sent_us, server.name, stream_us]
+        )
--- a/tests/support/simulator_settings.py
+++ b/tests/support/simulator_settings.py
@@ -1,4 +1,4 @@
-"""Settings of one instance, as the simulator's wire has them."""
+"""Settings of one instance in the form of the simulator's protocol, with an unknown key."""
 
 WIRE_SETTINGS = {
     "az": "z0",
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known red tests, tried with planted ones in a project of its own."""
+"""The list of expected failures in ``KNOWN-RED.txt``, applied to a small project of two tests."""
 
 import subprocess
 import sys
@@ -6,7 +6,7 @@
 
 import pytest
 
-PLANTED = """
+TEST_MODULE = """
 def test_red():
     assert False
 
@@ -15,9 +15,10 @@
 """
 
 
-def verdict(folder: Path, *lines: str) -> tuple[int, str]:
+def run_pytest(folder: Path, *lines: str) -> tuple[int, str]:
+    """Run pytest with these lines in ``KNOWN-RED.txt``; return its exit code and output."""
     (folder / "conftest.py").write_text((Path(__file__).parent / "conftest.py").read_text())
-    (folder / "test_planted.py").write_text(PLANTED)
+    (folder / "test_planted.py").write_text(TEST_MODULE)
     (folder / "pytest.ini").write_text("[pytest]\n")
     (folder / "KNOWN-RED.txt").write_text("".join(f"{line}\n" for line in lines))
     command = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider"]
@@ -25,30 +26,34 @@
     return done.returncode, done.stdout + done.stderr
 
 
-RED, GREEN = "test_planted.py::test_red", "test_planted.py::test_green"
+FAILING, PASSING = "test_planted.py::test_red", "test_planted.py::test_green"
 
 
 @pytest.mark.parametrize(
-    ("lines", "code", "told"),
+    ("lines", "exit_code", "expected_text"),
     [
         ([], 1, "FAILED test_planted.py::test_red"),
-        ([f"{RED} | a planted fault | 7"], 0, f"KNOWN RED: {RED}: a planted fault (issue 7)"),
         (
-            [f"{RED} | a planted fault | 7", f"{GREEN} | mended | 7"],
+            [f"{FAILING} | a planted fault | 7"],
+            0,
+            f"KNOWN RED: {FAILING}: a planted fault (issue 7)",
+        ),
+        (
+            [f"{FAILING} | a planted fault | 7", f"{PASSING} | mended | 7"],
             1,
             "FAILED test_planted.py::test_green",
         ),
         (
-            [f"{RED} | a planted fault | 7", "test_planted.py::test_gone | x | 7"],
+            [f"{FAILING} | a planted fault | 7", "test_planted.py::test_gone | x | 7"],
             4,
             "no test test_planted",
         ),
-        ([f"{RED} | no issue"], 4, "KNOWN-RED.txt:1: not 'test | cause | issue'"),
-        ([f"{RED}{n} | x | 7" for n in range(4)], 4, "4 tests, 3 at most"),
+        ([f"{FAILING} | no issue"], 4, "KNOWN-RED.txt:1: not 'test | cause | issue'"),
+        ([f"{FAILING}{n} | x | 7" for n in range(4)], 4, "4 tests, 3 at most"),
     ],
 )
-def test_only_listed_red_tests_are_passed_over(
-    tmp_path: Path, lines: list[str], code: int, told: str
+def test_only_listed_tests_are_expected_to_fail(
+    tmp_path: Path, lines: list[str], exit_code: int, expected_text: str
 ) -> None:
-    found, output = verdict(tmp_path, *lines)
-    assert (found, told in output) == (code, True), output
+    found_code, output = run_pytest(tmp_path, *lines)
+    assert (found_code, expected_text in output) == (exit_code, True), output
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""The pages for readers name only modules and functions that exist."""
+"""The documentation agrees with the code: modules, functions, contract names and log events."""
 
 import ast
 import re
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.support.definitions import defined
+from tests.support.definitions import definition_names
 
 ROOT = Path(__file__).parent.parent
 ARCHITECTURE = (ROOT / "docs" / "ARCHITECTURE.md").read_text()
@@ -15,13 +15,13 @@
 FUNCTIONS = sorted(set(re.findall(r"`(onyxpass/[\w/]+\.py):([\w.]+)`", ARCHITECTURE)))
 
 
-def test_the_architecture_names_what_a_request_passes() -> None:
+def test_the_architecture_page_names_functions() -> None:
     assert len(FUNCTIONS) > 25
 
 
 @pytest.mark.parametrize(("path", "name"), FUNCTIONS)
 def test_each_function_of_the_architecture_exists(path: str, name: str) -> None:
-    assert name in defined(ast.parse((ROOT / path).read_text()))
+    assert name in definition_names(ast.parse((ROOT / path).read_text()))
 
 
 def test_each_module_of_the_glossary_exists() -> None:
@@ -39,8 +39,8 @@
             assert re.search(rf"\b{part}\b", text), name
 
 
-def logged(levels: set[str]) -> set[str]:
-    """The events that the package logs at these levels."""
+def logged_events(levels: set[str]) -> set[str]:
+    """Return the names of the events that the package logs at these levels."""
     found = set()
     for path in (ROOT / "onyxpass").rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
@@ -49,21 +49,21 @@
                     func=ast.Attribute(value=ast.Name("log"), attr=level), args=[event, *_]
                 ):
                     if level in levels:
-                        chosen = (
+                        names = (
                             [event.body, event.orelse] if isinstance(event, ast.IfExp) else [event]
                         )
-                        found |= {c.value for c in chosen if isinstance(c, ast.Constant)}
+                        found |= {name.value for name in names if isinstance(name, ast.Constant)}
     return found
 
 
 def test_each_event_of_warning_and_above_has_its_row_in_the_runbook() -> None:
     page = (ROOT / "docs" / "ONCALL.md").read_text()
     rows = set(re.findall(r"`([a-z_]+)`", page.partition("## Log events of warning and above")[2]))
-    events = logged({"warning", "error", "exception", "critical"})
+    events = logged_events({"warning", "error", "exception", "critical"})
     assert len(events) > 40
     assert events <= rows, events - rows
 
 
-def test_log_events_are_stable_names_and_no_sentences() -> None:
-    events = logged({"debug", "info", "warning", "error", "exception", "critical"})
+def test_log_events_are_names_and_not_sentences() -> None:
+    events = logged_events({"debug", "info", "warning", "error", "exception", "critical"})
     assert {event for event in events if not re.fullmatch(r"[a-z0-9_]+", event)} == set()
--- a/tests/test_repository.py
+++ b/tests/test_repository.py
@@ -1,4 +1,4 @@
-"""What must agree between the repository's own files."""
+"""Files of the repository that must agree with each other, and imports that are not allowed."""
 
 import tomllib
 from pathlib import Path
@@ -8,7 +8,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_pins_version_and_deploy_file_agree() -> None:
+def test_requirements_version_and_deploy_file_agree() -> None:
     project = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]
     assert sorted(project["dependencies"]) == sorted(
         (ROOT / "requirements.txt").read_text().split()
@@ -20,11 +20,14 @@
     assert {"run", "sim", "build"} <= set(deploy)
 
 
-def test_the_core_knows_no_wire() -> None:
+def test_the_core_imports_no_protocol_or_store() -> None:
     for path in (ROOT / "onyxpass" / "core").glob("*.py"):
         for line in path.read_text().splitlines():
-            wires = ("onyxpass.net", "onyxpass.toolcalls", "onyxpass.store", "h11", "redis")
-            assert not (line.startswith(("import ", "from ")) and any(w in line for w in wires)), (
+            forbidden = ("onyxpass.net", "onyxpass.toolcalls", "onyxpass.store", "h11", "redis")
+            assert not (
+                line.startswith(("import ", "from "))
+                and any(module in line for module in forbidden)
+            ), (
                 path,
                 line,
             )
