--- a/tests/scheduling/test_attempt_rules.py
+++ b/tests/scheduling/test_attempt_rules.py
@@ -224,7 +224,7 @@
                     holding.discard(request)
         assert not holding, "state left reserved"
 
-    def deliver_outcome(request: int, status: AttemptStatus) -> None:
+    def end_attempt(request: int, status: AttemptStatus) -> None:
         server, _ = in_flight.pop(request)
         if status is AttemptStatus.PREFILLED and not server.startswith("r"):
             status = AttemptStatus.OVERLOADED
@@ -241,7 +241,7 @@
             driver.tick()
             check_actions()
             for request in [r for r, (_, at) in in_flight.items() if at <= driver.now]:
-                deliver_outcome(request, AttemptStatus.TIMED_OUT)
+                end_attempt(request, AttemptStatus.TIMED_OUT)
             assert all(driver.now <= until + 25 * MS for until in open_until.values()), (
                 "no answer before the deadline"
             )
@@ -257,7 +257,7 @@
             )
             check_actions()
         elif kind in ("end", "late") and number in in_flight:
-            deliver_outcome(number, status)
+            end_attempt(number, status)
         elif (
             kind == "start"
             and number in in_flight
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -86,9 +86,8 @@
             while self.events and self.events[0][0] <= min(until, self.now + gap_us):
                 self.now, _, router_index, event = heapq.heappop(self.events)
                 self.deliver(router_index, event)
-                gap_us = round(
-                    self.random.expovariate(self.rate) * S
-                )  # the exponential gap is memoryless
+                # An exponential gap has no memory, so it may be drawn again after an event.
+                gap_us = round(self.random.expovariate(self.rate) * S)
             if self.now + gap_us > until:
                 self.now = until
                 return
@@ -99,6 +98,7 @@
             self.deliver(router_index, arrival)
 
     def make_arrival(self, number: int) -> contract.Arrival:
+        """Return a request with a random session and a random prefix, of which some are popular."""
         prefix = self.prefixes[int(len(self.prefixes) * self.random.random() ** 2)]
         session = f"s{self.random.randrange(2000)}"
         return contract.Arrival(number, "light", session, self.now + 6 * S, 2000, 200, prefix, 1200)
--- a/tests/test_faults_calls.py
+++ b/tests/test_faults_calls.py
@@ -28,7 +28,7 @@
     def __init__(self, process: ChildProcess, port: int, faults: FaultControl) -> None:
         self.process, self.port, self.faults = process, port, faults
 
-    async def chat_request(self, name: str) -> bytes:
+    async def request(self, name: str) -> bytes:
         """Return the complete answer, or nothing if the connection was reset or refused."""
         try:
             async with open_connection(self.port) as (reader, writer):
@@ -63,7 +63,7 @@
             async with faulty_dispatcher(tmp_path) as s:
                 s.faults.force(ForcedFault(SystemCall.ACCEPT, error, per_thousand=500))
                 s.process.child.terminate()
-                answers = await asyncio.gather(*(s.ask(f"a{n}") for n in range(CLIENTS)))
+                answers = await asyncio.gather(*(s.request(f"a{n}") for n in range(CLIENTS)))
                 assert all(a.startswith(b"HTTP/1.1") for a in answers), (error, answers.count(b""))
 
     run_async(go())
@@ -76,7 +76,7 @@
         async with faulty_dispatcher(tmp_path) as s:
             s.faults.force(ForcedFault(SystemCall.ACCEPT, errno.ENFILE))
             s.process.child.terminate()
-            asked = [asyncio.create_task(s.ask(f"a{n}")) for n in range(CLIENTS)]
+            asked = [asyncio.create_task(s.request(f"a{n}")) for n in range(CLIENTS)]
             # By then the second pass over the accept queue has failed as well.
             while s.faults.count(SystemCall.ACCEPT) < 4:
                 await asyncio.sleep(0.05)
@@ -94,7 +94,7 @@
     async def go() -> None:
         faults = (ForcedFault(SystemCall.ACCEPT, errno.ENFILE, times=3),)
         async with faulty_dispatcher(tmp_path, *faults, environment={"TMPDIR": str(tmp_path)}) as s:
-            assert (await s.ask("a1")).startswith(b"HTTP/1.1 200")
+            assert (await s.request("a1")).startswith(b"HTTP/1.1 200")
 
     run_async(go())
 
@@ -112,7 +112,7 @@
         ):
             async with faulty_dispatcher(tmp_path) as s:
                 s.faults.force(ForcedFault(call, error, times=3))
-                answer = await s.ask("a1")
+                answer = await s.request("a1")
                 assert answer.startswith(b"HTTP/1.1 200"), (
                     call,
                     error,
@@ -133,7 +133,7 @@
             tmp_path, *short, ForcedFault(SystemCall.WAIT, errno.EINTR, per_thousand=200)
         ) as s:
             for number in range(10):
-                answer = await s.ask(f"a{number}")
+                answer = await s.request(f"a{number}")
                 assert answer.startswith(b"HTTP/1.1 200") and answer.endswith(b"0\r\n\r\n")
 
     run_async(go())
@@ -165,10 +165,12 @@
                 ForcedFault(SystemCall.WRITE, SHORT_TRANSFER, per_thousand=500),
             ):
                 faults.force(forced)
-                answers = await asyncio.gather(*(s.ask(f"{forced.error}x{n}") for n in range(4)))
+                answers = await asyncio.gather(
+                    *(s.request(f"{forced.error}x{n}") for n in range(4))
+                )
                 assert all(a.startswith(b"HTTP/1.1 200") for a in answers), (forced, answers)
             faults.clear()
-            assert (await s.ask("last")).startswith(b"HTTP/1.1 200")
+            assert (await s.request("last")).startswith(b"HTTP/1.1 200")
             process.child.terminate()
             assert await process.child.wait() == 0
             last_lines = [line for line in log_file.read_bytes().splitlines() if b'"last"' in line]
