--- a/tests/support/black_box.py
+++ b/tests/support/black_box.py
@@ -83,7 +83,10 @@
 
 
 def clean_environment(folder: Path, variables: Mapping[str, str] | None = None) -> dict[str, str]:
-    """Return this process's environment without the variables that configure the program."""
+    """Return this process's environment without variables of the program, plus ``variables``.
+
+    Temporary files go to ``folder``, and help texts have a width of 120 columns.
+    """
     prefixes = ("ROUTER_", "ONYXPASS_")
     kept = {name: value for name, value in os.environ.items() if not name.startswith(prefixes)}
     return {
