--- a/tests/support/dispatcher_bed.py
+++ b/tests/support/dispatcher_bed.py
@@ -1,8 +1,8 @@
-"""A dispatcher of requests without sockets: its router, fleet and client do what a test says."""
+"""A request dispatcher without sockets, with a scripted router and fakes of fleet and client."""
 
 from typing import Any
 
-from helpers import SETTINGS, fleet
+from helpers import SETTINGS, make_endpoints
 
 from onyxpass.core.clock import Clock
 from onyxpass.core.dispatcher import RequestDispatcher
@@ -11,8 +11,8 @@
 from onyxpass.scheduling import contract
 
 
-class HandClock(Clock):
-    """A clock that stands until it is moved."""
+class ManualClock(Clock):
+    """A clock that stands still until a test moves it."""
 
     def __init__(self) -> None:
         self.us = 1_000_000_000
@@ -23,91 +23,94 @@
 
 
 class FakeFleet:
-    """A fleet that does nothing by itself, and notes what it is asked to do."""
+    """A fleet that records its calls and does nothing else; ``started`` holds the attempts."""
 
     def __init__(self) -> None:
-        self.did: list[tuple[str, Any]] = []
+        self.calls: list[tuple[str, Any]] = []
         self.started: list[Attempt] = []
 
     def start(self, attempt: Attempt) -> None:
-        """Note the attempt."""
+        """Record the attempt."""
         self.started.append(attempt)
 
     def stop(self, attempt: Attempt) -> None:
-        """Note the stop."""
-        self.did.append(("stop", attempt.number))
+        """Record the stop."""
+        self.calls.append(("stop", attempt.number))
 
     def release(self, request: Request, prefill_interrupted: bool) -> None:
-        """Note the release."""
-        self.did.append(("release", prefill_interrupted))
+        """Record the release."""
+        self.calls.append(("release", prefill_interrupted))
 
     def check_health(self, server: str) -> None:
-        """Note the health check."""
-        self.did.append(("probe", server))
+        """Record the health check."""
+        self.calls.append(("probe", server))
 
 
 class FakeClient:
-    """A client that notes its final answers."""
+    """A client that records its final answers."""
 
     def __init__(self) -> None:
-        self.finals: list[str] = []
-        self.left = False  # by the kernel's word
+        self.final_answers: list[str] = []
+        self.disconnected = False  # as the kernel reports it
 
     def has_disconnected(self) -> bool:
-        """Return whether the test had it leave."""
-        return self.left
+        """Return whether the test has set ``disconnected``."""
+        return self.disconnected
 
     async def forward(self, event: bytes) -> None:
-        """Fail: no stream comes this far."""
+        """Raise NotImplementedError: no test forwards an event of a stream."""
         raise NotImplementedError
 
     def complete(self) -> None:
-        """Note the answer."""
-        self.finals.append("finish")
+        """Record the answer."""
+        self.final_answers.append("finish")
 
     def abort(self, reason: str) -> None:
-        """Note the answer."""
-        self.finals.append("cut")
+        """Record the answer."""
+        self.final_answers.append("cut")
 
     def reject(self, retry_after_us: int) -> None:
-        """Note the answer."""
-        self.finals.append("refuse")
+        """Record the answer."""
+        self.final_answers.append("refuse")
 
     def fail(self, reason: str, late: bool) -> None:
-        """Note the answer."""
-        self.finals.append("late" if late else "fail")
+        """Record the answer."""
+        self.final_answers.append("late" if late else "fail")
 
 
-class Script:
-    """A module that does what the test says."""
+class ScriptedRouter:
+    """A router that records its events and returns the actions that a test scripts.
+
+    Each event takes the next element of ``answers``, or no actions if there is none.
+    """
 
     def __init__(self) -> None:
         self.answers: list[list[contract.Action]] = []
         self.heard: list[contract.Event] = []
 
     def handle(self, now_us: int, event: contract.Event) -> list[contract.Action]:
-        """Note the event, and return what the test scripted next."""
+        """Record the event, and return the next scripted actions."""
         self.heard.append(event)
         return self.answers.pop(0) if self.answers else []
 
 
-class Bed:
+class DispatcherBed:
     """A dispatcher between a scripted router, a fake fleet and a fake client."""
 
     def __init__(self) -> None:
-        self.clock = HandClock()
+        self.clock = ManualClock()
         self.wheel = TimerWheel(self.clock)
         self.core = RequestDispatcher(SETTINGS, 1, self.clock, self.wheel)
-        self.fleet, self.script, self.client = FakeFleet(), Script(), FakeClient()
+        self.fleet, self.script, self.client = FakeFleet(), ScriptedRouter(), FakeClient()
         self.core.connect_fleet(self.fleet)  # type: ignore[arg-type]
         self.core.router = self.script  # type: ignore[assignment]
         self.core.update_endpoints(
-            contract.EndpointUpdate(contract.EndpointUpdateForm.COMPLETE, fleet())
+            contract.EndpointUpdate(contract.EndpointUpdateForm.COMPLETE, make_endpoints())
         )
         self.step([])
 
     def step(self, *answers: list[contract.Action]) -> None:
-        """Handle all that is in the mailbox, as the actor does."""
+        """Script these actions, and handle all messages in the mailbox as the actor does."""
         self.script.answers += answers
         while not self.core.mailbox.empty():
             message = self.core.mailbox.get_nowait()
@@ -116,16 +119,16 @@
             except RuntimeError:
                 self.core.recover(message)
 
-    def ask(
+    def submit(
         self, *actions: contract.Action, traffic_class: str = "once", wait_us: int = 1_000_000
     ) -> Request:
-        """Submit a request, and answer its arrival with these actions."""
+        """Submit a request; the scripted router answers its arrival with these actions."""
         arrival = contract.Arrival(7, traffic_class, "s", self.clock.us + wait_us, 100, 100)
         request = self.core.submit("abc", arrival, self.client, None)
         self.step(list(actions))
         return request
 
-    def later(self, us: int) -> None:
-        """Move the clock, and fire what is due."""
+    def advance(self, us: int) -> None:
+        """Advance the clock, and fire the timers that are due."""
         self.clock.us += us
         self.wheel.advance()
--- a/tests/support/simulator_settings.py
+++ b/tests/support/simulator_settings.py
@@ -1,6 +1,6 @@
-"""Settings of one instance, as the simulator's wire has them."""
+"""Settings of one instance in the form of the simulator's protocol, with an unknown key."""
 
-CONF = {
+WIRE_SETTINGS = {
     "az": "z0",
     "peersTotal": 2,
     "grades": [
