--- a/onyxpass/toolcalls/replicas.py
+++ b/onyxpass/toolcalls/replicas.py
@@ -245,7 +245,7 @@
             self.core.tell(HealthCheckResult(self.name, ok, self.core.clock.now_us() - began_us))
 
     async def call(self, method: str, params: Mapping[str, Any]) -> bool | None:
-        """Send one request on a connection of its own, beside the attempts.
+        """Send one request that is not an attempt, on a connection of its own.
 
         Returns whether it was answered without an error, or None if this process has no resources
         for a connection.
--- a/onyxpass/toolcalls/service.py
+++ b/onyxpass/toolcalls/service.py
@@ -224,22 +224,22 @@
 
         The change names the keys that need a restart. Raises ConfigError if the file is invalid.
         """
-        fresh, old = read(), self.config
-        if unknown := {server.kind for server, _ in fresh.servers} - set(self.core.endpoints.roles):
+        new, old = read(), self.config
+        if unknown := {server.kind for server, _ in new.servers} - set(self.core.endpoints.roles):
             raise ConfigError(f"kinds that need a restart: {', '.join(sorted(unknown))}")
-        change = compare(toolcalls_values(old), toolcalls_values(fresh), is_reloadable)
+        change = compare(toolcalls_values(old), toolcalls_values(new), is_reloadable)
         self.config = replace(
             old,
-            servers=fresh.servers,
-            claim_ttl_s=fresh.claim_ttl_s,
-            settings=with_reloaded_keys(old.settings, fresh.settings),
+            servers=new.servers,
+            claim_ttl_s=new.claim_ttl_s,
+            settings=with_reloaded_keys(old.settings, new.settings),
         )
-        self.relay.ttl_s = fresh.claim_ttl_s
+        self.relay.ttl_s = new.claim_ttl_s
         if self.config.settings != old.settings:
             self.core.apply_settings(self.config.settings)
         if self.files is None:
-            self._apply_servers(fresh)
-        log.info("reloaded", servers=len(fresh.servers), needs_a_restart=list(change.needs_restart))
+            self._apply_servers(new)
+        log.info("reloaded", servers=len(new.servers), needs_a_restart=list(change.needs_restart))
         return change
 
     # Interface for the admin server
