--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -378,7 +378,7 @@
 
 def test_the_json_rpc_front_answers_queued_connections_as_it_closes() -> None:
     async def go() -> None:
-        async with test_toolcalls.world(test_toolcalls.st.say("x")) as w:
+        async with test_toolcalls.world(test_toolcalls.st.send_text("x")) as w:
             service = w.service  # type: ignore[attr-defined]
             idle_client = await w.client()
             idle_client.generate(1)
