--- a/onyxpass/cli.py
+++ b/onyxpass/cli.py
@@ -94,7 +94,7 @@
     classes = ", ".join(c.name for c in loaded.settings.classes)
     typer.echo(f"{loaded.name}: listens on {loaded.listen}, discovery at {loaded.discovery}")
     typer.echo(
-        f"operators' address: {loaded.control or 'none'}; state in {loaded.folder or 'memory only'}"
+        f"operators' address: {loaded.control or 'none'}; kept in {loaded.folder or 'memory only'}"
     )
     listener = (
         "bound here"
@@ -104,14 +104,14 @@
     typer.echo(f"clients' socket: {listener}")
     typer.echo(f"classes: {classes}; servers known: {known_count}")
     typer.echo(
-        f"descriptors: {loaded.sockets}, of them {loaded.connection_limit} for clients and as many for replicas"
+        f"descriptors: {loaded.sockets}, of them {loaded.connection_limit} for clients, as many for replicas"
     )
     typer.echo(
         f"clients: {front.REQUEST_TIMEOUT_US / 1e6:g} s for a request, "
-        f"{front.IDLE_TIMEOUT_US / 1e6:g} s between two requests"
+        f"{front.IDLE_TIMEOUT_US / 1e6:g} s between two"
     )
     open_s, silence_s = replica.FIRST_EVENT_TIMEOUT_US / 1e6, replica.STREAM_STALL_TIMEOUT_US / 1e6
-    typer.echo(f"streams: {open_s:g} s to open, aborted after {silence_s:g} s of silence")
+    typer.echo(f"streams: {open_s:g} s to open, cut off after {silence_s:g} s of silence")
     typer.echo(f"on SIGHUP: discovery at {configuration.load(config, reloading=True).discovery}")
 
 
