--- a/onyxpass/net/poll_schedule.py
+++ b/onyxpass/net/poll_schedule.py
@@ -28,7 +28,7 @@
 RESPONSE_TIMEOUT_MS, MAX_RESPONSE_TIMEOUT_MS = 250.0, 500.0
 # a shared discovery rejects within 2 s a call that it can't serve in turn
 SHARED_RESPONSE_TIMEOUT_MS = 3_000.0
-# time of one call at a shared discovery, rounded up: 5 to 8 calls per second were observed
+# time of one call at a shared discovery, rounded up: it serves 5 to 8 calls per second
 SHARED_CALL_MS = 200
 # share of ``first_call_within_ms`` over which the first calls are spread at most
 FIRST_CALL_SHARE = 0.8
