--- a/onyxpass/emulator/capacity.py
+++ b/onyxpass/emulator/capacity.py
@@ -24,10 +24,12 @@
 FAILED_PER_DAY, REPLACED_PER_DAY = 17, 58
 LIST_CHANGES_PER_DAY = 2 * (FAILED_PER_DAY + REPLACED_PER_DAY)  # each leaves the list and returns
 DAY_S = 86_400
-IDLE_CONNECTION_S = 15.0  # for which replicas keep an idle connection: the trials' setting, assumed
-DISPATCHERS_PER_HOST = 6  # assumed
-REPLICAS_PER_RACK, ZONE_COUNT = 8, 6  # replicas that one rack's failure removes: assumed
-DISCOVERY_CALL_S = 0.2  # time of one call at a shared discovery server: ``net/pacing.py``
+IDLE_CONNECTION_S = 15.0  # for which replicas keep an idle connection, as set in the trials
+DISPATCHERS_PER_HOST = 6
+REPLICAS_PER_RACK, ZONE_COUNT = 8, 6  # one rack's failure removes 8 replicas
+DISCOVERY_CALL_S = (
+    0.2  # time of one call at a shared discovery server, as in ``net/poll_schedule.py``
+)
 
 
 @dataclass(frozen=True, slots=True)
--- a/onyxpass/emulator/full_scale.py
+++ b/onyxpass/emulator/full_scale.py
@@ -15,7 +15,7 @@
 TENANTS = 4_000
 FIRST_TOKEN_US, TOKEN_US = 1_100_000, 25_000  # objectives for 95% of the requests
 ZONES = tuple(f"{region}/{zone}" for region in ("north", "south") for zone in ("a", "b", "c"))
-# per pair of dispatcher and server; half of it was measured at full size
+# per pair of dispatcher and server: twice the memory that a run at full size uses
 MB_PER_PAIR = 0.002
 MB_BASE = 120.0
 MB_PER_PROCESS = 50.0  # of a node or an agent, whichever is larger
--- a/tests/support/dispatcher_bed.py
+++ b/tests/support/dispatcher_bed.py
@@ -86,11 +86,11 @@
 
     def __init__(self) -> None:
         self.answers: list[list[contract.Action]] = []
-        self.heard: list[contract.Event] = []
+        self.events: list[contract.Event] = []
 
     def handle(self, now_us: int, event: contract.Event) -> list[contract.Action]:
         """Record the event, and return the next scripted actions."""
-        self.heard.append(event)
+        self.events.append(event)
         return self.answers.pop(0) if self.answers else []
 
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -18,7 +18,7 @@
     bed = DispatcherBed()
     bed.submit(contract.SendAttempt(7, "r0", 500_000), contract.SendAttempt(7, "r1", 500_000))
     assert [attempt.server for attempt in bed.fleet.started] == ["r0"]
-    (unsent,) = [event for event in bed.script.heard if isinstance(event, contract.AttemptOutcome)]
+    (unsent,) = [event for event in bed.script.events if isinstance(event, contract.AttemptOutcome)]
     assert unsent.status is AttemptStatus.NOT_SENT and unsent.attempt == 1
     for number in range(4):
         bed.core.outcomes.attempt_ended(bed.fleet.started[-1], AttemptStatus.OVERLOADED)
@@ -65,14 +65,14 @@
     bed.step([contract.CancelAttempt(7, 0)])
     assert bed.fleet.calls == [("stop", 0)]
     assert not [
-        event for event in bed.script.heard if isinstance(event, contract.AttemptOutcome)
+        event for event in bed.script.events if isinstance(event, contract.AttemptOutcome)
     ], "the end is not reported before the close"
     assert not bed.core.outcomes.stream_event_received(bed.fleet.started[0]), (
         "events of a cancelled attempt are not forwarded"
     )
     bed.core.outcomes.attempt_ended(bed.fleet.started[0], AttemptStatus.CANCELLED)
     bed.step([contract.ReleaseState(7), contract.SendAttempt(7, "r1", 400_000)])
-    assert bed.script.heard[-1].status is AttemptStatus.CANCELLED  # type: ignore[union-attr]
+    assert bed.script.events[-1].status is AttemptStatus.CANCELLED  # type: ignore[union-attr]
     assert bed.fleet.calls[-1] == ("release", True), (
         "released at once; the next send waits for the release (see test_net)"
     )
@@ -134,7 +134,7 @@
     assert bed.fleet.calls == [("stop", 0)]
     bed.core.outcomes.attempt_ended(bed.fleet.started[0], AttemptStatus.CANCELLED)
     bed.step([])
-    assert bed.script.heard[-1].status is AttemptStatus.TIMED_OUT  # type: ignore[union-attr]
+    assert bed.script.events[-1].status is AttemptStatus.TIMED_OUT  # type: ignore[union-attr]
 
 
 def test_a_client_that_leaves_gets_no_answer_and_its_state_is_released() -> None:
@@ -142,7 +142,7 @@
     request = bed.submit(contract.SendAttempt(7, "r0", 500_000))
     bed.core.answers.client_disconnected(request)
     bed.step([], [])
-    assert isinstance(bed.script.heard[-1], contract.RequestWithdrawn)
+    assert isinstance(bed.script.events[-1], contract.RequestWithdrawn)
     bed.core.outcomes.attempt_ended(bed.fleet.started[0], AttemptStatus.PREFILLED)
     bed.step([])
     assert bed.fleet.calls == [("stop", 0), ("release", False)]
@@ -171,7 +171,7 @@
     bed.core.outcomes.stream_event_received(bed.fleet.started[0])
     bed.core.outcomes.attempt_ended(bed.fleet.started[0], AttemptStatus.COMPLETED)
     bed.step()
-    assert bed.script.heard[-1].final and not bed.core.registry.by_number  # type: ignore[union-attr]
+    assert bed.script.events[-1].final and not bed.core.registry.by_number  # type: ignore[union-attr]
 
 
 def test_a_request_that_the_router_does_not_answer_is_failed_before_its_client_leaves() -> None:
@@ -195,7 +195,7 @@
     )
     bed.submit(contract.SendAttempt(7, "r0", 500_000))
     assert not bed.fleet.started
-    assert bed.script.heard[-1].status is AttemptStatus.NOT_SENT  # type: ignore[union-attr]
+    assert bed.script.events[-1].status is AttemptStatus.NOT_SENT  # type: ignore[union-attr]
 
 
 def test_a_complete_list_removes_the_servers_that_it_does_not_name() -> None:
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -63,13 +63,13 @@
     actor = w.dispatcher.replicas.actors[name]
     connect = actor._open
 
-    async def held(timeout_us: int | None = None) -> Any:
+    async def connect_then_wait(timeout_us: int | None = None) -> Any:
         wire = await connect(timeout_us)
         up.set()
         await go_on.wait()
         return wire
 
-    actor._open = held  # type: ignore[method-assign]
+    actor._open = connect_then_wait  # type: ignore[method-assign]
     return up, go_on
 
 
@@ -136,13 +136,15 @@
             up, go_on = asyncio.Event(), asyncio.Event()
             for replica in w.service.replicas.actors.values():  # type: ignore[attr-defined]
 
-                async def held(timeout_us: int | None = None, connect: Any = replica._open) -> Any:
+                async def connect_then_wait(
+                    timeout_us: int | None = None, connect: Any = replica._open
+                ) -> Any:
                     streams = await connect(timeout_us)
                     up.set()
                     await go_on.wait()
                     return streams
 
-                replica._open = held
+                replica._open = connect_then_wait
             client = socket.create_connection(("127.0.0.1", w.service.front.port))  # type: ignore[attr-defined]
             params = {"class": next(iter(core.deadlines)), "prompt": "x"}
             call = {"jsonrpc": "2.0", "id": 1, "method": "generate", "params": params}
@@ -199,7 +201,7 @@
 
 def test_a_request_that_arrived_as_the_previous_answer_ended_is_answered_at_shutdown() -> None:
     async def go() -> None:
-        hold, held, go_on = asyncio.Event(), asyncio.Event(), asyncio.Event()
+        hold, draining, go_on = asyncio.Event(), asyncio.Event(), asyncio.Event()
         async with running_cluster(
             [Replica(PREFILLED)], [Replica(hold_last_chunk(hold), STREAM)]
         ) as w:
@@ -209,12 +211,12 @@
             assert peer.wire is not None
 
             async def drain() -> None:
-                held.set()
+                draining.set()
                 await go_on.wait()
 
             peer.wire.writer.drain = drain  # type: ignore[method-assign]
             hold.set()
-            await held.wait()  # the answer was written, and its end is in transit
+            await draining.wait()  # the answer was written, and its end is in transit
             w.dispatcher.front.closing = True
             client.setblocking(True)
             client.sendall(chat_request("a2"))
--- a/tests/test_crossings_list.py
+++ b/tests/test_crossings_list.py
@@ -155,14 +155,14 @@
     async def go() -> None:
         d = Scripted()
 
-        async def at_once(
+        async def start_with_change(
             d: Scripted, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
             leaving = [{**h, "health": "leaving"} for h in d.hosts if h["host"] == "r0"]
             writer.write(WATCH + chunk(b"\n" + change(42, *leaving, indent=indent) + b"\n"))
             await reader.read()
 
-        d.scripts = [at_once]
+        d.scripts = [start_with_change]
         async with running_cluster(
             [Replica(PREFILLED), Replica(PREFILLED)], [Replica(STREAM)], discovery=d
         ) as w:
@@ -255,7 +255,7 @@
     async def go() -> None:
         d = Scripted()
 
-        async def anew(
+        async def send_complete_list(
             d: Scripted, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
             text = json.dumps({"seq": 2, "whole": True, "hosts": d.hosts[1:]}).encode()
@@ -264,7 +264,7 @@
             )
             await reader.read()
 
-        d.scripts = [anew]
+        d.scripts = [send_complete_list]
         async with running_cluster(
             [Replica(PREFILLED), Replica(PREFILLED)], [Replica(STREAM)], discovery=d
         ) as w:
@@ -308,15 +308,15 @@
     async def go() -> None:
         known = {"seq": 41, "whole": True, "hosts": [Discovery().entry("r0", "r", "127.0.0.1:9")]}
 
-        async def later(
+        async def stay_silent_once_released(
             d: Scripted, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
             await hold.wait()
             await stay_silent(d, reader, writer)
 
-        hold, d = asyncio.Event(), Scripted(later)
+        hold, d = asyncio.Event(), Scripted(stay_silent_once_released)
 
-        async def look() -> None:
+        async def check_not_ready() -> None:
             await until(lambda: d.requested_targets)
             assert not made[0].endpoint_watcher.ready and b" 503 " in await health(
                 made[0].front.port
@@ -324,7 +324,7 @@
             hold.set()
 
         made: list[Any] = []
-        watching = asyncio.create_task(look())
+        watching = asyncio.create_task(check_not_ready())
         async with running_cluster([], [], discovery=d, known=known, on_created=made.append) as w:
             assert w.dispatcher.endpoint_watcher.ready and b" 200 " in await health(w.port)
         await watching
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -419,9 +419,9 @@
 
         async def late(self: Replica, reader: Any, writer: asyncio.StreamWriter, _: bytes) -> None:
             await hold.wait()
-            says_read(writer)
+            send_prefill_answer(writer)
 
-        def says_read(writer: asyncio.StreamWriter) -> None:
+        def send_prefill_answer(writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 202 X\r\nContent-Length: 2\r\n\r\n{}")
 
         async with running_cluster([Replica(late)], [Replica(STREAM)]) as w:
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -34,7 +34,9 @@
     return lines
 
 
-def hold(at: int, end: int | None, token: int, holder: str, until: int = 0) -> list[HistoryLine]:
+def held_lease(
+    at: int, end: int | None, token: int, holder: str, until: int = 0
+) -> list[HistoryLine]:
     lines = [line(at, "held", token=token, holder=holder)]
     if end is not None:
         lines.append(line(end, "lost", token=token, holder=holder, until_ns=until or None))
@@ -44,14 +46,14 @@
 SOUND = [
     *effect(10, 20, 1, "a"), *effect(21, 30, 2, "b"), *effect(22, 24, 2, "b"), *effect(40, None, 3, "c"),
     *grant(1, 5, 1, "a"), *grant(2, 20, 2, "b"), *grant(3, None, 0, "x"), *grant(21, 35, 4, "c"),
-    *hold(5, 19, 1, "a"), *hold(20, 34, 2, "b"), *hold(35, None, 4, "c"), *hold(50, 60, 5, "d"),
+    *held_lease(5, 19, 1, "a"), *held_lease(20, 34, 2, "b"), *held_lease(35, None, 4, "c"), *held_lease(50, 60, 5, "d"),
 ]  # fmt: skip
 PLANTED_FAULTS = {
     "effects apart": [*effect(10, 25, 1, "a"), *effect(20, 30, 2, "b")],
     "effects apart, one without an end": [*effect(10, None, 1, "a"), *effect(20, 30, 2, "b")],
     "tokens grow": [*effect(10, 15, 2, "b"), *effect(20, 30, 1, "a")],
     "tokens grow, one number of two": [*effect(10, 15, 2, "b"), *effect(20, 30, 2, "a")],
-    "holders apart": [*hold(5, 30, 1, "a"), *hold(20, 34, 2, "b")],
+    "holders apart": [*held_lease(5, 30, 1, "a"), *held_lease(20, 34, 2, "b")],
     "grants in order": [*grant(1, 5, 2, "a"), *grant(6, 9, 1, "b")],
     "grants in order, one number of two": [*grant(1, 5, 2, "a"), *grant(2, 9, 2, "b")],
 }
@@ -72,7 +74,7 @@
 
 
 def test_a_suspended_holder_held_its_lease_until_it_expired_not_until_it_was_resumed() -> None:
-    lines = [*hold(5, 90, 1, "a", until=18), *hold(20, 34, 2, "b")]
+    lines = [*held_lease(5, 90, 1, "a", until=18), *held_lease(20, 34, 2, "b")]
     assert not history.breaches(in_time_order(lines), ["holders apart"])
 
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -196,10 +196,10 @@
             await asyncio.wait([task])
             return ends
 
-    async def both() -> None:
+    async def run_both_cases() -> None:
         assert await go(9) == [AttemptStatus.NOT_SENT] and await go(0) == [AttemptStatus.CANCELLED]
 
-    run_async(both)
+    run_async(run_both_cases)
 
 
 def test_a_400_from_a_replica_does_not_count_as_its_failure() -> None:
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -305,7 +305,7 @@
 
 
 def test_a_reader_of_higher_weight_gets_more_prefixes_and_only_those_move() -> None:
-    def homes(weight: float) -> list[str]:
+    def chosen_readers(weight: float) -> list[str]:
         servers = [
             contract.Endpoint(f"r{i}", "r", weight=weight if i == 0 else 1.0) for i in range(4)
         ]
@@ -314,7 +314,7 @@
         )
         return [driver.complete_request(n, f"s{n}", f"p{n}") for n in range(240)]
 
-    even, heavy, light = homes(1.0), homes(3.0), homes(0.2)
+    even, heavy, light = chosen_readers(1.0), chosen_readers(3.0), chosen_readers(0.2)
     assert heavy.count("r0") > 1.5 * even.count("r0") > 4 * light.count("r0")
     assert all(b in (a, "r0") for a, b in zip(even, heavy, strict=True)), (
         "only prefixes of the heavier reader move"
@@ -397,7 +397,7 @@
         path.parent.mkdir(exist_ok=True)
         path.write_bytes(text.encode() if isinstance(text, str) else text)
 
-    async def holds(self, *names: str) -> None:
+    async def wait_for_servers(self, *names: str) -> None:
         await until(
             lambda: set(self.core.endpoints.by_id) == set(names) == set(self.fleet.addresses)
         )
@@ -428,34 +428,34 @@
             await w.refuses(1)  # the folder is missing: no reader and no writer
             assert not w.source.ready
             w.write(GOOD)  # the folder appears later
-            await w.holds("r1", "r2", "w1", "w2")
+            await w.wait_for_servers("r1", "r2", "w1", "w2")
             w.write(GOOD[: len(GOOD) // 2])  # partly written
             await w.refuses(2)
             w.write(GOOD + row("r3", port=5))
-            await w.holds("r1", "r2", "r3", "w1", "w2")
+            await w.wait_for_servers("r1", "r2", "r3", "w1", "w2")
             # An editor writes a temporary file and renames it.
             temporary = tmp_path / "servers.d" / ".a.toml.swp"
             temporary.write_text(GOOD)
             temporary.replace(tmp_path / "servers.d" / "a.toml")
-            await w.holds("r1", "r2", "w1", "w2")
+            await w.wait_for_servers("r1", "r2", "w1", "w2")
             (tmp_path / "servers.d" / "a.toml").unlink()  # removed, and written again
             w.write(GOOD + row("r4", port=6))
-            await w.holds("r1", "r2", "r4", "w1", "w2")
+            await w.wait_for_servers("r1", "r2", "r4", "w1", "w2")
             w.write(row("r5", port=7), "more.toml")
-            await w.holds("r1", "r2", "r4", "r5", "w1", "w2")
+            await w.wait_for_servers("r1", "r2", "r4", "r5", "w1", "w2")
             # The server moves to the other file and is in both files for a moment.
             w.write(GOOD + row("r5", port=7))
             w.write("", "more.toml")
-            await w.holds("r1", "r2", "r5", "w1", "w2")
+            await w.wait_for_servers("r1", "r2", "r5", "w1", "w2")
             for name, text in (("1", GOOD), ("2", GOOD + row("r6", port=8))):
                 (tmp_path / name).mkdir()
                 (tmp_path / name / "a.toml").write_text(text)
             shutil.rmtree(tmp_path / "servers.d")
             (tmp_path / "servers.d").symlink_to("1")
-            await w.holds("r1", "r2", "w1", "w2")
+            await w.wait_for_servers("r1", "r2", "w1", "w2")
             (tmp_path / "next").symlink_to("2")
             (tmp_path / "next").replace(tmp_path / "servers.d")  # the symlink is replaced
-            await w.holds("r1", "r2", "r6", "w1", "w2")
+            await w.wait_for_servers("r1", "r2", "r6", "w1", "w2")
             version = w.source.view.number
             for _ in range(500):  # the file is replaced with the same contents
                 (tmp_path / "2" / "b").write_text(GOOD + row("r6", port=8))
@@ -470,9 +470,9 @@
     async def go() -> None:
         async with watched_folder(tmp_path) as w:
             w.source.watcher.changed.set = lambda: None  # type: ignore[method-assign]
-            await w.holds("r1", "r2", "w1", "w2")
+            await w.wait_for_servers("r1", "r2", "w1", "w2")
             w.write(GOOD + row("r3", port=5))
-            await w.holds("r1", "r2", "r3", "w1", "w2")
+            await w.wait_for_servers("r1", "r2", "r3", "w1", "w2")
 
     run_async(go)
 
@@ -480,18 +480,18 @@
 def test_a_start_with_invalid_files_serves_from_the_snapshot_and_logs_it(tmp_path: Path) -> None:
     async def go() -> None:
         async with watched_folder(tmp_path) as w:
-            await w.holds("r1", "r2", "w1", "w2")
+            await w.wait_for_servers("r1", "r2", "w1", "w2")
             w.write(GOOD + row("r3", port=5))
-            await w.holds("r1", "r2", "r3", "w1", "w2")
+            await w.wait_for_servers("r1", "r2", "r3", "w1", "w2")
             number = w.source.view.number
             await until(lambda: snapshot.load(tmp_path / "snap").number == number)
         with structlog.testing.capture_logs() as lines:
             async with watched_folder(tmp_path, GOOD[:-20]) as w:
-                await w.holds("r1", "r2", "r3", "w1", "w2")
+                await w.wait_for_servers("r1", "r2", "r3", "w1", "w2")
                 assert w.source.from_snapshot and w.source.view.number == number
                 assert any("SNAPSHOT" in line["event"].upper() for line in lines)
                 w.write(GOOD)
-                await w.holds("r1", "r2", "w1", "w2")
+                await w.wait_for_servers("r1", "r2", "w1", "w2")
                 assert w.source.view.number == number + 1 and not w.source.from_snapshot
                 # A thread saves the snapshot; without this wait it would overwrite the damage
                 # below.
@@ -512,17 +512,17 @@
 ) -> None:
     async def go() -> None:
         async with watched_folder(tmp_path) as old:
-            await old.holds("r1", "r2", "w1", "w2")
+            await old.wait_for_servers("r1", "r2", "w1", "w2")
             old.write(GOOD + row("r3", port=5))
-            await old.holds("r1", "r2", "r3", "w1", "w2")
+            await old.wait_for_servers("r1", "r2", "r3", "w1", "w2")
             await until(lambda: snapshot.load(tmp_path / "snap").number == 2)
             async with watched_folder(tmp_path, GOOD + row("r3", port=5)) as new:
-                await new.holds("r1", "r2", "r3", "w1", "w2")
+                await new.wait_for_servers("r1", "r2", "r3", "w1", "w2")
                 assert new.source.view == old.source.view and new.source.view.number == 2
                 for number in range(4, 9):
                     old.write(GOOD + row(f"r{number}", port=number + 10))
                     names = ("r1", "r2", f"r{number}", "w1", "w2")
-                    await asyncio.gather(old.holds(*names), new.holds(*names))
+                    await asyncio.gather(old.wait_for_servers(*names), new.wait_for_servers(*names))
                 assert old.source.view.number == new.source.view.number == 7
             await until(lambda: snapshot.load(tmp_path / "snap").number == 7)
             # The thread of the cancelled source may still be saving; it finishes the file.
--- a/tests/test_state_reservations.py
+++ b/tests/test_state_reservations.py
@@ -158,7 +158,7 @@
     assert bed.fleet.calls == [("release", False)] and request.in_flight is attempt
     bed.core.outcomes.attempt_ended(attempt, AttemptStatus.RESET)
     bed.step([contract.Fail(7)])
-    outcome = bed.script.heard[-1]
+    outcome = bed.script.events[-1]
     assert isinstance(outcome, contract.AttemptOutcome)
     assert outcome.note == contract.DELIVERY_UNCONFIRMED
     assert request.reserved_since_us == reserved_since_us, (
--- a/tests/test_toolcalls.py
+++ b/tests/test_toolcalls.py
@@ -43,7 +43,7 @@
         return raw
 
     @property
-    def parts(self) -> list[st.Server]:
+    def servers(self) -> list[st.Server]:
         return [self.store, self.tool_server, *self.readers, *self.writers]
 
     async def client(self) -> st.Client:
@@ -65,8 +65,8 @@
 @asynccontextmanager
 async def world(*steps: st.Step, **tools: int) -> AsyncIterator[ToolCallTestBed]:
     bed = ToolCallTestBed(*steps)
-    for part in bed.parts:
-        await part.start()
+    for server in bed.servers:
+        await server.start()
     bed.service = ToolcallService(parse(bed.config(**tools)))  # type: ignore[attr-defined]
     await bed.service.start()  # type: ignore[attr-defined]
     try:
@@ -74,8 +74,8 @@
     finally:
         for client in bed.clients:
             await client.stop()
-        for part in bed.parts:
-            await part.stop()
+        for server in bed.servers:
+            await server.stop()
         bed.service.front.server.close()  # type: ignore[attr-defined]
         await bed.service.close()  # type: ignore[attr-defined]
 
