--- a/onyxpass/emulator/capacity.py
+++ b/onyxpass/emulator/capacity.py
@@ -27,9 +27,8 @@
 IDLE_CONNECTION_S = 15.0  # for which replicas keep an idle connection, as set in the trials
 DISPATCHERS_PER_HOST = 6
 REPLICAS_PER_RACK, ZONE_COUNT = 8, 6  # one rack's failure removes 8 replicas
-DISCOVERY_CALL_S = (
-    0.2  # time of one call at a shared discovery server, as in ``net/poll_schedule.py``
-)
+# time of one call at a shared discovery server, as in ``net/poll_schedule.py``
+DISCOVERY_CALL_S = 0.2
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/hot_restart/test_inherited_listener.py
+++ b/tests/hot_restart/test_inherited_listener.py
@@ -26,7 +26,7 @@
 
 
 def test_a_request_that_waited_for_the_next_process_tells_the_time_left(tmp_path: Path) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         reader, writer = Replica(PREFILLED), Replica(STREAM)
         async with servers_and_config(tmp_path, [reader], [writer]) as (path, _):
             with socket.create_server(("127.0.0.1", 0)) as inherited:
@@ -45,7 +45,7 @@
                     )
                 assert await process.terminate() == 0
 
-    run_async(go())
+    run_async(scenario())
 
 
 def test_the_time_in_the_queue_counts_for_a_client_that_stopped_within_its_request(
@@ -57,7 +57,7 @@
     its client had stopped.
     """
 
-    async def go() -> None:
+    async def scenario() -> None:
         async with servers_and_config(tmp_path, [Replica(PREFILLED)], [Replica(STREAM)]) as (
             path,
             _,
@@ -73,4 +73,4 @@
                     assert time.monotonic() - listening_s <= MAX_END_S
                 assert await process.terminate() == 0
 
-    run_async(go())
+    run_async(scenario())
--- a/tests/hot_restart/test_process_registry.py
+++ b/tests/hot_restart/test_process_registry.py
@@ -42,7 +42,7 @@
 def test_a_confirmed_exclusion_is_in_force_in_both_processes_and_in_the_next_one(
     tmp_path: Path,
 ) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         pair = ProcessPair(tmp_path)
         older, younger = pair.process(), pair.process()
         changes: list[frozenset[str]] = []
@@ -55,13 +55,13 @@
         younger.end()
         assert pair.process().exclusions.servers == {"w1"}
 
-    asyncio.run(go())
+    asyncio.run(scenario())
 
 
 def test_an_exclusion_is_not_confirmed_while_the_other_process_does_not_refresh(
     tmp_path: Path,
 ) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         pair = ProcessPair(tmp_path)
         older, younger = pair.process(), pair.process()
         younger.refresh = lambda: None  # type: ignore[method-assign]
@@ -69,7 +69,7 @@
         assert older.exclusions.servers == {"r1"}, "in force in this process nevertheless"
         assert not younger.exclusions.servers
 
-    asyncio.run(go())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(
--- a/tests/test_client_time.py
+++ b/tests/test_client_time.py
@@ -67,7 +67,7 @@
 
 
 def test_the_time_in_the_accept_queue_counts_as_the_clients_time() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             found, clock = deadlines(w.dispatcher.core), w.dispatcher.clock
             with connected(w) as client:
@@ -78,11 +78,11 @@
                 assert (await answer(client)).startswith(b"HTTP/1.1 200")
             assert found[0] <= sent_us + WAIT_MS * 1000
 
-    run(go)
+    run(scenario)
 
 
 def test_the_time_unread_on_an_open_connection_counts_as_the_clients_time() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             found, clock = deadlines(w.dispatcher.core), w.dispatcher.clock
             with connected(w) as client:
@@ -99,11 +99,11 @@
                 await until(lambda: len(found) == 2)
             assert found[1] <= sent_us + WAIT_MS * 1000
 
-    run(go)
+    run(scenario)
 
 
 def test_idle_time_before_a_request_does_not_count() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             found, clock = deadlines(w.dispatcher.core), w.dispatcher.clock
             await asyncio.sleep(2 * STALL_S)
@@ -114,11 +114,11 @@
                 assert (await answer(client)).startswith(b"HTTP/1.1 200")
             assert found[0] >= sent_us + WAIT_MS * 1000 - ANSWER_MARGIN_US - STALL_S * 1_000_000
 
-    run(go)
+    run(scenario)
 
 
 def test_the_time_unread_of_a_json_rpc_call_counts_as_the_clients_time() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with test_toolcalls.world() as w:
             service: Any = w.service
             found, clock = deadlines(service.core), service.core.clock
@@ -139,7 +139,7 @@
                 client.close()
             assert found[0] <= sent_us + WAIT_MS * 1000
 
-    run(go)
+    run(scenario)
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -177,7 +177,7 @@
 
 
 def test_connections_with_unread_bytes_are_not_displaced_and_the_oldest_goes_first() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         held, made = ClientConnections(), []
         for n in range(6):
             wire: Any = StubConnection(unread=n == 0)
@@ -194,11 +194,11 @@
         )
         assert len(held) == 2 and held.count(Stage.OPEN, Stage.LEAVING) == 1
 
-    asyncio.run(go())
+    asyncio.run(scenario())
 
 
 def test_a_request_that_arrives_as_its_connection_times_out_is_answered() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             opened = w.dispatcher.front.connections
             with connected(w) as client:
@@ -209,13 +209,13 @@
                 connection.wait_timeout.expire()  # before the event loop has had a turn to read it
                 assert (await answer(client)).startswith(b"HTTP/1.1 200")
 
-    run(go)
+    run(scenario)
 
 
 def test_an_internal_error_still_answers_the_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
 
             def fails(*_: object) -> None:
@@ -226,13 +226,13 @@
                 client.sendall(chat_request("a1"))
                 assert (await answer(client)).startswith(b"HTTP/1.1 500")
 
-    run(go)
+    run(scenario)
 
 
 def test_a_crowd_of_connections_does_not_keep_requests_from_their_answers() -> None:
     """Connections without a request, or with half of one, hold every slot; each request still ends."""
 
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             w.dispatcher.front.max_connections = 8
             crowd = []
@@ -247,11 +247,11 @@
             for _, writer in crowd:
                 writer.close()
 
-    run(go)
+    run(scenario)
 
 
 def test_a_connection_reports_unread_bytes() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         ours, theirs = socket.socketpair()
         ours.setblocking(False)
         wire = await HttpConnection.from_socket(ours, front.h11.SERVER)
@@ -265,4 +265,4 @@
         wire.abort()
         theirs.close()
 
-    asyncio.run(go())
+    asyncio.run(scenario())
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -23,7 +23,7 @@
 
 
 def test_small_writes_are_not_delayed_by_the_kernel_on_either_side() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             reader, writer = await w.send(chat_request("a1"))
             await reader.readuntil(b"\r\n0\r\n\r\n")
@@ -45,4 +45,4 @@
                 adopted.abort()
             inherited.close()
 
-    run_async(go)
+    run_async(scenario)
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -75,7 +75,7 @@
 
 @pytest.mark.parametrize("at", ["r0", "w0"])
 def test_nothing_is_sent_for_a_client_that_left_during_the_connect(at: str) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             up, go_on = hold_connects(w, at)
             client = raw_client(w, chat_request("a1"))
@@ -91,11 +91,11 @@
             if at == "w0":
                 await until(lambda: w.readers[0].leases or w.writers[0].leases)
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_nothing_is_sent_for_clients_that_send_and_disconnect_at_once() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             # connections are reused, so no connect gives the event loop time
             assert b" 200 " in await w.request("warm")
@@ -109,11 +109,11 @@
             )
             assert len(w.readers[0].heads) == len(w.writers[0].heads) == 2
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_nothing_is_sent_for_a_client_that_left_while_queued() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             core = w.dispatcher.core
             core.router._begin = lambda request: False  # type: ignore[method-assign]
@@ -126,11 +126,11 @@
             await until(lambda: not core.registry.by_number)
             assert not w.readers[0].heads and not w.readers[0].connections
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_nothing_is_sent_for_a_json_rpc_client_that_left_during_the_connect() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with test_toolcalls.world() as w:
             core = w.service.core  # type: ignore[attr-defined]
             up, go_on = asyncio.Event(), asyncio.Event()
@@ -155,7 +155,7 @@
             await until(lambda: core.metrics.received and not core.registry.by_number)
             assert not any(reader.count("read") for reader in w.readers)
 
-    run_async(go)
+    run_async(scenario)
 
 
 # Closing
@@ -170,7 +170,7 @@
 
 
 def test_a_request_that_crosses_the_close_of_its_idle_connection_is_not_forwarded() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             client = await idle_client(w)
             w.dispatcher.front.close_idle()
@@ -181,11 +181,11 @@
             assert len(w.readers[0].heads) == 1
             client.close()
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_a_request_that_has_arrived_when_its_idle_connection_is_closed_is_answered() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             client = await idle_client(w)
             client.setblocking(True)
@@ -196,11 +196,11 @@
             assert answer.startswith(b"HTTP/1.1 200") and b"connection: close" in answer.lower()
             client.close()
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_a_request_that_arrived_as_the_previous_answer_ended_is_answered_at_shutdown() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         hold, draining, go_on = asyncio.Event(), asyncio.Event(), asyncio.Event()
         async with running_cluster(
             [Replica(PREFILLED)], [Replica(hold_last_chunk(hold), STREAM)]
@@ -224,13 +224,13 @@
             assert b"HTTP/1.1 200" in await received(client)
             client.close()
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_unread_bytes_do_not_discard_the_end_of_an_answer() -> None:
     """A close with unread bytes resets the connection and discards data in transit to the client."""
 
-    async def go() -> None:
+    async def scenario() -> None:
         big = b'data: {"x":"%b"}\n\n' % (b"y" * 4000)
         stream = (
             HEAD
@@ -262,14 +262,14 @@
             assert (await received(client)).endswith(b"0\r\n\r\n")
             client.close()
 
-    run_async(go)
+    run_async(scenario)
 
 
 # Shutdown
 
 
 def test_connections_queued_when_the_listener_closes_are_answered() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             clients = [raw_client(w, chat_request(f"a{n}")) for n in range(30)]
             w.dispatcher.front.closing = True
@@ -280,11 +280,11 @@
                 assert answer.startswith(b"HTTP/1.1 200") and b"connection: close" in answer.lower()
                 client.close()
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_partial_requests_at_shutdown_are_answered_once_complete_and_refused_if_late() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             text = chat_request("a1", text=b'{"k": "%b"}' % (b"v" * 400))
             halves = [(raw_client(w, text[:cut]), text[cut:]) for cut in (9, len(text) - 100)]
@@ -303,13 +303,13 @@
             for client, _ in halves:
                 client.close()
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_repeated_signals_change_nothing_and_a_signal_before_ready_ends_the_process(
     tmp_path: Path,
 ) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         hold = asyncio.Event()
         d, reader, writer = Discovery(), Replica(PREFILLED), Replica(hold_last_chunk(hold))
         for part in (d, reader, writer):
@@ -355,11 +355,11 @@
         for part in (d, reader, writer):
             await part.stop()
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_a_shutdown_with_hanging_servers_ends_and_answers_every_request() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async def hangs(self: Replica, reader: Any, writer: Any, _: bytes) -> None:
             await reader.read()
 
@@ -375,11 +375,11 @@
                 client.close()
             assert len(w.readers[0].heads) == 3 and not w.dispatcher.front.connections
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_the_json_rpc_front_answers_queued_connections_as_it_closes() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with test_toolcalls.world(test_toolcalls.st.send_text("x")) as w:
             service = w.service  # type: ignore[attr-defined]
             idle_client = await w.client()
@@ -405,4 +405,4 @@
             await idle_client.stop()
             await stopping
 
-    run_async(go)
+    run_async(scenario)
--- a/tests/test_crossings_list.py
+++ b/tests/test_crossings_list.py
@@ -93,20 +93,20 @@
 def test_a_watch_without_complete_lines_is_reopened_whatever_bytes_come(
     script: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         monkeypatch.setattr(endpoint_watcher, "WATCH_SILENCE_TIMEOUT_MS", 60.0)
         async with running_cluster(
             [Replica(PREFILLED)], [Replica(STREAM)], discovery=Scripted(script)
         ) as w:
             await until(lambda: len(w.discovery.requested_targets) >= 4)
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_a_call_has_a_time_limit_whatever_bytes_come(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         monkeypatch.setattr(poll_schedule, "RESPONSE_TIMEOUT_MS", 40.0)
         monkeypatch.setattr(poll_schedule, "MAX_RESPONSE_TIMEOUT_MS", 40.0)
 
@@ -124,11 +124,11 @@
         ) as w:
             await until(lambda: len(w.discovery.requested_targets) >= 3)
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_a_change_cut_mid_line_is_resent_by_the_next_watch_and_applied_once() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         d = Scripted()
         entry = d.entry("r9", "r", "127.0.0.1:9", "active")
         whole = change(42, entry)
@@ -147,12 +147,12 @@
             )
             assert not any("from=42" in target for target in d.requested_targets)
 
-    run_async(go)
+    run_async(scenario)
 
 
 @pytest.mark.parametrize("indent", [None, 2])
 def test_a_change_between_the_whole_list_and_the_watch_is_not_missed(indent: int | None) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         d = Scripted()
 
         async def start_with_change(
@@ -172,7 +172,7 @@
             ) and w.dispatcher.core.endpoints.accepts_new_work("r1")
             assert len(d.requested_targets) == 2, "one call for the list and one watch"
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_objects_are_split_in_any_layout_and_incomplete_ones_are_errors() -> None:
@@ -193,7 +193,7 @@
 
 
 def test_late_messages_of_an_old_address_do_not_replace_the_new_list_but_drains_apply() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster(
             [Replica(PREFILLED), Replica(PREFILLED)], [Replica(STREAM)]
         ) as w:
@@ -219,11 +219,11 @@
             assert len(w.dispatcher.core.endpoints.by_id) == 3 and actor.seq == 7
             await new.stop()
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_an_address_change_while_a_list_is_partly_read_discards_it() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         half, ready = Discovery(), asyncio.Event()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -246,13 +246,13 @@
             assert set(w.dispatcher.core.endpoints.by_id) == before
         await half.stop()
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_a_complete_list_applies_even_if_its_version_is_lower() -> None:
     """A discovery that has lost its state answers with its whole list."""
 
-    async def go() -> None:
+    async def scenario() -> None:
         d = Scripted()
 
         async def send_complete_list(
@@ -274,11 +274,11 @@
                 "w0",
             } and not w.dispatcher.core.endpoints.accepts_new_work("r1")
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_a_drain_between_the_selection_and_the_first_byte_stops_the_send() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster(
             [Replica(PREFILLED), Replica(PREFILLED)], [Replica(STREAM)]
         ) as w:
@@ -301,11 +301,11 @@
                 "nothing is sent after the drain was announced"
             )
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_a_saved_list_alone_does_not_make_ready_where_lists_are_pushed() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         known = {"seq": 41, "whole": True, "hosts": [Discovery().entry("r0", "r", "127.0.0.1:9")]}
 
         async def stay_silent_once_released(
@@ -329,7 +329,7 @@
             assert w.dispatcher.endpoint_watcher.ready and b" 200 " in await health(w.port)
         await watching
 
-    run_async(go)
+    run_async(scenario)
 
 
 async def health(port: int) -> bytes:
@@ -347,7 +347,7 @@
     discovery comes back.
     """
 
-    async def go() -> None:
+    async def scenario() -> None:
         d, reader, writer = Discovery(), Replica(PREFILLED), Replica(STREAM)
         for part in (d, reader, writer):
             await part.start()
@@ -386,4 +386,4 @@
         for part in (d, reader, writer):
             await part.stop()
 
-    run_async(go)
+    run_async(scenario)
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -70,7 +70,7 @@
 def test_a_deduplication_window_that_ends_during_the_connect_stops_the_send(
     traffic_class: str, status: bytes, sends: int
 ) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster(
             [Replica(PREFILLED)],
             [Replica(break_connection()), Replica(break_connection())],
@@ -97,11 +97,11 @@
             assert answer.split()[1] == status, "refused only where no server can run it twice"
             assert sum(len(x.heads) for x in w.writers) == sends
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_a_repeat_within_its_window_is_sent() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         wide = tuple(replace(c, deduplication_window_us=60 * S) for c in KEYED.classes)
         many = replace(KEYED, classes=wide)
         async with running_cluster(
@@ -112,7 +112,7 @@
             assert b"HTTP/1.1 200" in await w.request("a1", "all")
             assert sum(len(x.heads) for x in w.writers) == 3
 
-    run_async(go)
+    run_async(scenario)
 
 
 @pytest.mark.parametrize(
@@ -159,7 +159,7 @@
 ) -> None:
     monkeypatch.setattr(net_replica, "REUSE_DELAY_US", 60 * S)
 
-    async def go() -> None:
+    async def scenario() -> None:
         wrong = b'data: {"wrong":1}\n\n'
         late = HEAD + b"%x\r\n%b\r\n0\r\n\r\n" % (len(wrong), wrong)
 
@@ -189,13 +189,13 @@
             w.dispatcher.replicas.sweep()
             await until(lambda: len(actor.idle) == 1)
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_a_connection_is_reused_after_the_reuse_delay(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(net_replica, "REUSE_DELAY_US", 1_000)
 
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             now_us, actor = w.dispatcher.clock.now_us, w.dispatcher.replicas.actors["w0"]
             for n in range(3):
@@ -203,13 +203,13 @@
                 await until(lambda: all(now_us() >= idle.reusable_us for idle in actor.idle))
             assert w.writers[0].connections == 1
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_a_connect_that_succeeds_as_its_time_limit_expires_sends_nothing_and_leaks_no_descriptor() -> (
     None
 ):
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             loop = asyncio.get_running_loop()
             actor, connected = w.dispatcher.replicas.actors["r0"], loop.sock_connect
@@ -235,14 +235,14 @@
             await until(lambda: w.readers[0].eof == 1)
             assert not w.readers[0].heads
 
-    run_async(go)
+    run_async(scenario)
 
 
 # State releases
 
 
 def test_state_is_released_even_if_no_server_can_be_asked_at_first() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             replicas, asked = w.dispatcher.replicas, asyncio.Event()
             most, replicas.budget.limit = replicas.budget.limit, 0
@@ -266,12 +266,12 @@
             await request.release_task
             assert replicas.budget.open <= 2
 
-    run_async(go)
+    run_async(scenario)
 
 
 @pytest.mark.parametrize("front", ["http", "json-rpc"])
 def test_state_is_released_by_the_last_of_many_servers_if_the_others_are_silent(front: str) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster(
             [Replica(PREFILLED)], [Replica(never_answer) for _ in range(8)]
         ) as w:
@@ -303,7 +303,7 @@
             replicas.release(request, False)
             await until(lambda: done)
 
-    run_async(go if front == "http" else rpc)
+    run_async(scenario if front == "http" else rpc)
 
 
 def test_a_release_has_one_time_limit_from_the_end_of_the_last_attempt() -> None:
@@ -312,7 +312,7 @@
     Time that connects have used up counts.
     """
 
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(PREFILLED)], [Replica(never_answer)]) as w:
             for part in (*w.readers, *w.writers):
                 part.answers_deletes = False
@@ -327,7 +327,7 @@
                 took_us = core.clock.now_us() - began_us
                 assert took_us >= expected_us, "it retries until the end of its time limit"
 
-    run_async(go)
+    run_async(scenario)
 
 
 # Answers and streams
@@ -359,7 +359,7 @@
 def test_an_endless_answer_is_given_up_in_time_and_a_non_idempotent_request_is_not_repeated(
     text: tuple[bytes, bytes], traffic_class: str
 ) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(PREFILLED)], [Replica(endless(*text))]) as w:
             answer = await w.request("a1", traffic_class, ms=700)
             assert answer.split()[1] in (b"502", b"503", b"504")
@@ -367,11 +367,11 @@
             assert len(w.writers[0].heads) == 1 or traffic_class == "light"
             await until(lambda: not w.dispatcher.core.registry.by_number)
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_each_event_is_forwarded_as_it_arrives_in_any_segmentation_beside_a_slow_client() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         steps: asyncio.Queue[bytes] = asyncio.Queue()
 
         async def paced(
@@ -410,11 +410,11 @@
             writer.close()
             slow.close()
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_state_of_a_prefill_that_ends_as_its_client_leaves_is_released() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         hold = asyncio.Event()
 
         async def late(self: Replica, reader: Any, writer: asyncio.StreamWriter, _: bytes) -> None:
@@ -433,7 +433,7 @@
             await until(lambda: not w.dispatcher.core.registry.by_number)
             assert not w.writers[0].heads
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_an_attempt_tells_the_time_left_at_its_first_byte_and_not_at_its_selection() -> None:
@@ -442,7 +442,7 @@
     The time of a connect, or of the release before a send, was not subtracted from the value.
     """
 
-    async def go() -> None:
+    async def scenario() -> None:
         reader, waited_us, attempts = Replica(PREFILLED), 200_000, list[Attempt]()
         async with running_cluster([reader], [Replica(STREAM)]) as w:
             actor = w.dispatcher.replicas.actors["r0"]
@@ -462,4 +462,4 @@
         assert timeout_ms is not None and attempts[0].timeout_us > 2 * waited_us
         assert 1 < int(timeout_ms[1]) <= (attempts[0].timeout_us - waited_us) // 1000
 
-    run_async(go)
+    run_async(scenario)
--- a/tests/test_desired.py
+++ b/tests/test_desired.py
@@ -244,7 +244,7 @@
 def test_disconnected_region_keeps_its_state_and_both_regions_converge_afterwards(
     tmp_path: Path,
 ) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with ConfigurationTrial(tmp_path) as t:
             await t.set_values("north-c0", a=1, b=1)
             await t.wait_until_in_force(t.host_names, has(a=1, b=1))
@@ -269,13 +269,13 @@
             assert [conflict["key"] for conflict in states[0]["conflicts"]] == ["a"]
             assert t.breaches() == []
 
-    run(go)
+    run(scenario)
 
 
 def test_nodes_that_were_killed_suspended_or_restored_from_an_older_disk_catch_up(
     tmp_path: Path,
 ) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with ConfigurationTrial(tmp_path) as t:
             await t.set_values("north-c0", a=1)
             await t.wait_until_in_force(t.host_names, has(a=1))
@@ -300,11 +300,11 @@
             await t.wait_until_in_force(t.host_names, has(a=2, b=2, c=3))
             assert t.breaches() == []
 
-    run(go)
+    run(scenario)
 
 
 def test_node_with_a_damaged_state_file_exits_and_leaves_the_file_unchanged(tmp_path: Path) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with ConfigurationTrial(tmp_path, hosts=1) as t:
             await t.set_values("north-c0", a=1)
             await t.wait_until_in_force(t.host_names, has(a=1))
@@ -317,11 +317,11 @@
             assert t.state_file("north-h0").read_text() == truncated
             assert "state.json: page" in (tmp_path / "north-h0.log").read_text()
 
-    run(go)
+    run(scenario)
 
 
 def test_operator_commands_set_and_show_values(tmp_path: Path) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with ConfigurationTrial(tmp_path, hosts=1) as t:
             cli, key = CliRunner(), ["--key", str(tmp_path / "key")]
             at = {name: ["--at", f"127.0.0.1:{member.port}"] for name, member in t.members.items()}
@@ -351,7 +351,7 @@
             )
             assert result.exit_code == 2
 
-    run(go)
+    run(scenario)
 
 
 def test_host_node_applies_the_state_to_its_dispatchers_and_catches_up_after_a_restart(
@@ -359,7 +359,7 @@
 ) -> None:
     """The host's node writes its dispatchers' files and has its agent reload them."""
 
-    async def go() -> None:
+    async def scenario() -> None:
         async with ConfigurationTrial(tmp_path, hosts=0) as t, running_discovery() as discovery:
             await t.set_values("north-c0", **{OBJECTIVE_KEY: 1_300_000})
             agent = await t.start_agent("north-a0", discovery.address, 2)
@@ -387,7 +387,7 @@
             )
             assert "no row named 'nobody'" in (tmp_path / f"{host}.log").read_text()
 
-    run(go)
+    run(scenario)
 
 
 def test_changes_far_larger_than_a_page_arrive_whole() -> None:
--- a/tests/test_faults_calls.py
+++ b/tests/test_faults_calls.py
@@ -58,7 +58,7 @@
 def test_connections_in_the_accept_queue_at_shutdown_are_answered_despite_accept_errors(
     tmp_path: Path,
 ) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         for error in (errno.ECONNABORTED, errno.EPROTO, errno.EHOSTUNREACH):
             async with faulty_dispatcher(tmp_path) as s:
                 s.faults.force(ForcedFault(SystemCall.ACCEPT, error, per_thousand=500))
@@ -66,13 +66,13 @@
                 answers = await asyncio.gather(*(s.request(f"a{n}") for n in range(CLIENTS)))
                 assert all(a.startswith(b"HTTP/1.1") for a in answers), (error, answers.count(b""))
 
-    run_async(go())
+    run_async(scenario())
 
 
 def test_shutdown_waits_for_descriptors_while_clients_are_in_the_accept_queue(
     tmp_path: Path,
 ) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with faulty_dispatcher(tmp_path) as s:
             s.faults.force(ForcedFault(SystemCall.ACCEPT, errno.ENFILE))
             s.process.child.terminate()
@@ -85,22 +85,22 @@
             answers = await asyncio.gather(*requests)
             assert all(a.startswith(b"HTTP/1.1") for a in answers), answers.count(b"")
 
-    run_async(go())
+    run_async(scenario())
 
 
 def test_a_dispatcher_survives_accept_errors_of_its_stream_receiver(
     tmp_path: Path,
 ) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         faults = (ForcedFault(SystemCall.ACCEPT, errno.ENFILE, times=3),)
         async with faulty_dispatcher(tmp_path, *faults, environment={"TMPDIR": str(tmp_path)}) as s:
             assert (await s.request("a1")).startswith(b"HTTP/1.1 200")
 
-    run_async(go())
+    run_async(scenario())
 
 
 def test_connects_that_fail_briefly_lose_no_request(tmp_path: Path) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         for call, error in (
             (SystemCall.CONNECT, errno.ENETUNREACH),
             (SystemCall.CONNECT, errno.EADDRNOTAVAIL),
@@ -120,11 +120,11 @@
                     s.process.lines[-6:],
                 )
 
-    run_async(go())
+    run_async(scenario())
 
 
 def test_short_transfers_and_interrupted_waits_do_not_affect_answers(tmp_path: Path) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         short = [
             ForcedFault(call, -1, per_thousand=300)
             for call in (SystemCall.RECEIVE, SystemCall.SEND)
@@ -136,13 +136,13 @@
                 answer = await s.request(f"a{number}")
                 assert answer.startswith(b"HTTP/1.1 200") and answer.endswith(b"0\r\n\r\n")
 
-    run_async(go())
+    run_async(scenario())
 
 
 def test_a_log_that_cannot_be_written_loses_no_request(tmp_path: Path) -> None:
     """The log is a file on a disk that is full, has I/O errors and takes short writes for a while."""
 
-    async def go() -> None:
+    async def scenario() -> None:
         log_file, port = tmp_path / "log", free_port()
         listen = f"127.0.0.1:{port}"
         async with servers_and_config(
@@ -179,4 +179,4 @@
             )
             assert b"Traceback" not in log_file.read_bytes()
 
-    run_async(go())
+    run_async(scenario())
--- a/tests/test_faults_disk.py
+++ b/tests/test_faults_disk.py
@@ -36,7 +36,7 @@
 def test_an_instance_that_exits_while_the_disk_is_full_is_restarted_once_there_is_room(
     tmp_path: Path,
 ) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         fleet = await StandinFleet(1, 1).start()
         restart = "first_s = 0.05\nmost_s = 0.2\ngrace_s = 5.0\npoll_s = 0.2\n"
         site = Site(tmp_path, fleet, (Host("h1", "derby", ("d1",)),), restart=restart)
@@ -61,7 +61,7 @@
             await site.stop()
             await fleet.stop()
 
-    run_async(go())
+    run_async(scenario())
 
 
 class FaultyNode:
@@ -106,7 +106,7 @@
 def test_a_node_survives_a_full_disk_and_neither_keeps_nor_passes_on_rejected_changes(
     tmp_path: Path,
 ) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         make_key(tmp_path / "key")
         top = await FaultyNode(tmp_path, "top", "control").start()
         below = await FaultyNode(tmp_path, "below", "relay", (top.port,)).start()
@@ -132,4 +132,4 @@
             "the state must have been saved by now"
         )
 
-    run_async(go())
+    run_async(scenario())
--- a/tests/test_faults_held.py
+++ b/tests/test_faults_held.py
@@ -33,7 +33,7 @@
 
 
 def test_prefill_state_is_released_in_time_while_a_request_is_not_delivered(tmp_path: Path) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         reader, writer = Replica(PREFILLED), NonReadingReplica(PREFILLED)
         slow = {**WIRE_SETTINGS["grades"][0], "promiseUs": 4_000_000}  # type: ignore[index]
         settings = {**WIRE_SETTINGS, "grades": [slow]}
@@ -50,4 +50,4 @@
                 assert time.monotonic() - prefilled_s <= MAX_HELD_S
             assert await process.terminate() == 0
 
-    run_async(go())
+    run_async(scenario())
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -143,7 +143,7 @@
 def test_rollout_changes_all_instances_under_traffic_and_each_request_gets_one_answer(
     tmp_path: Path,
 ) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_site(tmp_path) as t:
             before = await t.views()
             async with t.traffic():
@@ -183,13 +183,13 @@
                 )
             assert set(t.answer_counts) <= {"served", "refused"}
 
-    run(go)
+    run(scenario)
 
 
 def test_suspended_instance_and_invalid_file_are_reported_and_not_counted_as_done(
     tmp_path: Path,
 ) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_site(
             tmp_path, limits=LIMITS.replace("abort_after = 1", "abort_after = 2")
         ) as t:
@@ -225,13 +225,13 @@
             )
             await t.assert_counts(report, done=6)
 
-    run(go)
+    run(scenario)
 
 
 def test_drain_reports_open_requests_waits_for_them_and_aborts_them_only_by_force(
     tmp_path: Path,
 ) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_site(tmp_path, hosts=1) as t:
             one, two = t.fleet.members
             with pytest.raises(CommandRejectedError, match="exceeds the fleet's limits"):
@@ -278,13 +278,13 @@
             assert (await stream).outcome == "broken"
             assert two.name not in report.tally.outcomes() and not breaches(t.trace)
 
-    run(go)
+    run(scenario)
 
 
 def test_agent_killed_during_a_restart_adopts_running_instances_and_starts_none_twice(
     tmp_path: Path,
 ) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_site(tmp_path, hosts=1) as t:
             host, (one, two) = t.host("h1"), t.fleet.members
             assert host.process is not None
@@ -325,13 +325,13 @@
                 await asyncio.sleep(0.05)
             assert not breaches(t.trace)
 
-    run(go)
+    run(scenario)
 
 
 def test_rollout_whose_process_was_killed_resumes_and_restarts_each_instance_once(
     tmp_path: Path,
 ) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_site(tmp_path, limits=SLOW_LIMITS) as t:
             for name in t.site.ports:
                 t.site.write_instance_config(name, {"sockets": 700})
@@ -379,13 +379,13 @@
             with pytest.raises(CommandRejectedError, match="has ended"):
                 await t.controller.resume_rollout("")
 
-    run(go)
+    run(scenario)
 
 
 def test_rollout_reports_a_reverted_instance_and_sends_no_orders_after_an_abort(
     tmp_path: Path,
 ) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_site(tmp_path, limits=SLOW_LIMITS) as t:
             for name in t.site.ports:
                 t.site.write_instance_config(name, {"sockets": 600})
@@ -412,13 +412,13 @@
             assert "seen enough" in str(report.to_dict())
             assert t.controller.rollout_status(id)[0].state == "aborted"
 
-    run(go)
+    run(scenario)
 
 
 def test_silent_agent_delays_a_command_by_one_deadline_and_its_instances_are_unknown(
     tmp_path: Path,
 ) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_site(tmp_path) as t:
             process = t.host("h2").process
             assert process is not None
@@ -442,13 +442,13 @@
                 await t.controller.order("reload", t.fleet.members, 10.0, {}), done=6
             )
 
-    run(go)
+    run(scenario)
 
 
 def test_agent_rejects_calls_without_its_key_and_invalid_calls_change_nothing(
     tmp_path: Path,
 ) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_site(tmp_path, hosts=1) as t:
             port = t.host("h1").port
             key = read_key(t.site.folder / "fleet.key")
@@ -501,13 +501,13 @@
                 "an operation id is valid for one order only"
             )
 
-    run(go)
+    run(scenario)
 
 
 def test_process_is_identified_by_its_start_time_and_a_reused_pid_is_not_adopted(
     tmp_path: Path,
 ) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         command = (sys.executable, "-c", "import time; time.sleep(600)")
         launched = Process.launch(command, os.environ, None)
         assert Process.adopt(replace(launched.identity, ticks=launched.identity.ticks + 1)) is None
@@ -518,7 +518,7 @@
         assert await adopted.wait() is None and await launched.wait() == -9
         assert identify(launched.pid) is None and Process.adopt(launched.identity) is None
 
-    run(go)
+    run(scenario)
 
 
 def test_damaged_or_locked_state_is_rejected_and_left_unchanged(tmp_path: Path) -> None:
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -462,7 +462,7 @@
     That happened next to eight busy processes.
     """
 
-    async def go() -> None:
+    async def scenario() -> None:
         trace, states = Trace(), PrefillStates()
         for role, ends in (("read", b"}"), ("write", b"0\r\n\r\n")):
             replica = StandinReplica(f"{role}r", role, trace, states, Speed(0.0, 0.0, 0.0))
@@ -480,4 +480,4 @@
             len(trace.events_of(EventKind.RECEIVED)) == len(trace.events_of(EventKind.CLOSED)) == 2
         )
 
-    asyncio.run(asyncio.wait_for(go(), 20))
+    asyncio.run(asyncio.wait_for(scenario(), 20))
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -46,7 +46,8 @@
 SOUND = [
     *effect(10, 20, 1, "a"), *effect(21, 30, 2, "b"), *effect(22, 24, 2, "b"), *effect(40, None, 3, "c"),
     *grant(1, 5, 1, "a"), *grant(2, 20, 2, "b"), *grant(3, None, 0, "x"), *grant(21, 35, 4, "c"),
-    *held_lease(5, 19, 1, "a"), *held_lease(20, 34, 2, "b"), *held_lease(35, None, 4, "c"), *held_lease(50, 60, 5, "d"),
+    *held_lease(5, 19, 1, "a"), *held_lease(20, 34, 2, "b"),
+    *held_lease(35, None, 4, "c"), *held_lease(50, 60, 5, "d"),
 ]  # fmt: skip
 PLANTED_FAULTS = {
     "effects apart": [*effect(10, 25, 1, "a"), *effect(20, 30, 2, "b")],
--- a/tests/test_listen.py
+++ b/tests/test_listen.py
@@ -7,7 +7,7 @@
 
 
 def test_a_cancelled_accept_loses_no_connection_and_a_shared_socket_stays_open() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         listener = Listener.at("127.0.0.1", 0, 8)
         shared = Listener(socket.socket(fileno=listener.sock.dup().detach()))
         accepting = asyncio.create_task(listener.accept())
@@ -24,11 +24,11 @@
         writer.close()
         shared.close()
 
-    asyncio.run(asyncio.wait_for(go(), 10))
+    asyncio.run(asyncio.wait_for(scenario(), 10))
 
 
 def test_closing_a_listener_keeps_the_watch_of_a_socket_that_reuses_its_descriptor() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         listener = Listener.at("127.0.0.1", 0, 8)
         descriptor = listener.sock.fileno()
         accepting = asyncio.create_task(listener.accept())
@@ -46,4 +46,4 @@
         reused.close()
         two.close()
 
-    asyncio.run(asyncio.wait_for(go(), 10))
+    asyncio.run(asyncio.wait_for(scenario(), 10))
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -61,7 +61,7 @@
 
 
 def test_requests_and_events_are_forwarded_unchanged() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             answer = await w.request("abc1")
             assert answer.startswith(b"HTTP/1.1 200") and answer.endswith(b"0\r\n\r\n")
@@ -71,25 +71,25 @@
                 assert head.startswith(b"POST /v1/chat/completions?x=1 HTTP/1.1\r\n")
                 assert b"x-request-id: abc1\r\n" in head.lower()
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_connections_are_reused(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(net_replica, "REUSE_DELAY_US", 0)
 
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             for i in range(3):
                 assert b"200" in await w.request(f"a{i}")
             assert w.readers[0].connections == w.writers[0].connections == 1
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_a_break_on_a_reused_connection_is_a_reset_and_non_idempotent_requests_are_not_repeated() -> (
     None
 ):
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster(
             [Replica(PREFILLED)],
             [Replica(STREAM, break_connection()), Replica(STREAM, break_connection())],
@@ -101,7 +101,7 @@
             assert lost and sent == 8, "each was sent once"
             await until(lambda: w.readers[0].leases)
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_non_idempotent_requests_use_new_connections_while_reused_ones_break(
@@ -109,7 +109,7 @@
 ) -> None:
     monkeypatch.setattr(net_replica, "REUSE_DELAY_US", 0)
 
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster(
             [Replica(PREFILLED)], [Replica(STREAM, break_connection(), STREAM)]
         ) as w:
@@ -134,12 +134,12 @@
                 < net_replica.MAX_BREAK_RATE / 4
             )
 
-    run_async(go)
+    run_async(scenario)
 
 
 @pytest.mark.parametrize("end", [b"", b"0\r\n", b"5\r\nhel"])
 def test_a_broken_stream_ends_without_a_last_chunk(end: bytes) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster(
             [Replica(PREFILLED)], [Replica(break_connection(HEAD + CHUNKS + end))]
         ) as w:
@@ -147,11 +147,11 @@
             assert not answer.endswith(b"0\r\n\r\n")
             assert len(w.writers[0].heads) == 1, "nothing is sent again"
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_503_means_overload_only_with_the_not_processed_header() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster(
             [Replica(PREFILLED)], [Replica(status_response(503)), Replica(status_response(503))]
         ) as w:
@@ -165,13 +165,13 @@
             assert sum(len(x.heads) for x in w.writers) > 1
             await until(lambda: any(x.leases for x in (*w.readers, *w.writers)))
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_an_attempt_cancelled_during_its_last_write_may_have_run() -> None:
     """The transport is a stub: a real one is in this state for less than one turn of the loop."""
 
-    async def go(left: int) -> list[AttemptStatus]:
+    async def scenario(left: int) -> list[AttemptStatus]:
         async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             ends: list[AttemptStatus] = []
             w.dispatcher.core.outcomes.attempt_ended = lambda _, status, *__: ends.append(status)  # type: ignore[method-assign]
@@ -197,49 +197,51 @@
             return ends
 
     async def run_both_cases() -> None:
-        assert await go(9) == [AttemptStatus.NOT_SENT] and await go(0) == [AttemptStatus.CANCELLED]
+        assert await scenario(9) == [AttemptStatus.NOT_SENT] and await scenario(0) == [
+            AttemptStatus.CANCELLED
+        ]
 
     run_async(run_both_cases)
 
 
 def test_a_400_from_a_replica_does_not_count_as_its_failure() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(status_response(400))], [Replica(STREAM)]) as w:
             for i in range(4):
                 assert b"HTTP/1.1 502" in await w.request(f"a{i}")
             assert len(w.readers[0].heads) == 4, "one attempt each"
             assert not w.dispatcher.core.router.servers["r0"].failure_rate
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_a_410_proves_that_the_request_did_not_run() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         gone = status_response(410, "X-Not-Processed: 1")
         async with running_cluster([Replica(PREFILLED)], [Replica(gone, STREAM)]) as w:
             assert b"HTTP/1.1 502" not in await w.request("a1", "once")
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_a_replica_that_is_down_is_unreachable_and_another_serves() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(PREFILLED)], [Replica(STREAM), Replica(STREAM)]) as w:
             await w.writers[0].stop()
             assert b"HTTP/1.1 200" in await w.request("a1", "once")
             assert b"HTTP/1.1 200" in await w.request("a2", "once")
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_a_silent_replica_is_given_up_at_the_deadline_and_its_state_released() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(never_answer)], [Replica(STREAM)]) as w:
             answer = await w.request("a1", ms=300)
             assert b"HTTP/1.1 503" in answer or b"HTTP/1.1 504" in answer
             await until(lambda: w.readers[0].eof and w.readers[0].leases == ["/kv/leases/a1"])
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_releases_are_requested_from_the_replicas_of_a_lost_zone_concurrently(
@@ -253,7 +255,7 @@
     # requests one after the other would not end
     monkeypatch.setattr(net_replica, "LEASE_RELEASE_TIMEOUT_US", 60_000_000)
 
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster(
             [Replica(PREFILLED)],
             [Replica(never_answer), Replica(never_answer), Replica(never_answer)],
@@ -269,13 +271,13 @@
             assert request.release_task is not None
             await request.release_task
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_a_send_waits_for_a_release_in_progress() -> None:
     """Otherwise the release would remove the state of the prefill that follows it."""
 
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             let_go = asyncio.Event()
             core, client = w.dispatcher.core, StubClient()
@@ -299,22 +301,22 @@
             await until(lambda: attempt.ended)
             assert len(w.readers[0].heads) == 1 and attempt.status is AttemptStatus.PREFILLED
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_a_client_disconnect_is_detected() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(never_answer)], [Replica(STREAM)]) as w:
             _, writer = await w.send(chat_request("a1"))
             await until(lambda: w.readers[0].heads)
             writer.close()
             await until(lambda: w.readers[0].eof and not w.dispatcher.core.registry.by_number)
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_a_drain_is_applied_and_a_lost_watch_resumes_from_its_version() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster(
             [Replica(PREFILLED), Replica(PREFILLED)], [Replica(STREAM)]
         ) as w:
@@ -331,11 +333,11 @@
             await d.start()
             await until(lambda: d.requested_targets[-1].endswith("from=43"))
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_a_saved_list_is_resumed_by_a_watch_and_confirmed_by_an_empty_line() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         replicas = [Replica(PREFILLED), Replica(STREAM)]
         for replica in replicas:
             await replica.start()
@@ -355,13 +357,13 @@
         for replica in replicas:
             await replica.stop()
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_a_slow_discovery_gets_more_time_at_each_retry(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         monkeypatch.setattr(poll_schedule, "RESPONSE_TIMEOUT_MS", 20.0)
         monkeypatch.setattr(poll_schedule, "BACKOFF_MS", 1)
         slow = Discovery()
@@ -377,13 +379,13 @@
         await slow.stop()
         dispatcher.front.close()
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_a_new_discovery_address_is_called_at_once_during_a_retry_delay(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         paused = asyncio.Event()
 
         def one_hour(pace: poll_schedule.PollSchedule, lasted_ms: float) -> float:
@@ -401,11 +403,11 @@
             await until(lambda: w.dispatcher.endpoint_watcher.seq == 7)
             await new.stop()
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_a_new_discovery_address_applies_during_a_request_with_its_lower_versions() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         hold = asyncio.Event()
         async with running_cluster([Replica(PREFILLED)], [Replica(hold_last_chunk(hold))]) as w:
             old, new, d = w.discovery, Discovery(), w.dispatcher
@@ -432,11 +434,11 @@
             writer.close()
             await new.stop()
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_a_removed_replica_is_forgotten_once_its_connections_are_closed() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster(
             [Replica(PREFILLED), Replica(PREFILLED)], [Replica(STREAM)]
         ) as w:
@@ -452,7 +454,7 @@
             for i in range(8):
                 assert b"200" in await w.request(f"b{i}")
 
-    run_async(go)
+    run_async(scenario)
 
 
 BAD = [
@@ -490,7 +492,7 @@
 
 @pytest.mark.parametrize(("text", "code"), BAD, ids=range(len(BAD)))
 def test_bad_input_gets_its_status(text: bytes, code: int) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             # the dispatcher does not wait for a body announced as too large
             reader, writer = await w.send(text)
@@ -501,11 +503,11 @@
             writer.close()
             assert b"200" in await w.request("fine")
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_bytes_after_an_open_request_end_it_with_an_error() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(never_answer)], [Replica(STREAM)]) as w:
             reader, writer = await w.send(chat_request("a1"))
             await until(lambda: w.readers[0].heads)
@@ -514,7 +516,7 @@
             await until(lambda: w.readers[0].eof and not w.dispatcher.core.registry.by_number)
             writer.close()
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_a_request_that_arrives_with_the_end_of_an_answer_is_served(
@@ -529,17 +531,17 @@
 
     monkeypatch.setattr(HttpClient, "complete", together)
 
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             reader, writer = await w.send(chat_request("a1"))
             assert (await reader.read()).count(b"HTTP/1.1 200") == 2
             writer.close()
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_an_id_is_in_use_until_its_last_attempt_has_ended() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(never_answer)], [Replica(STREAM)]) as w:
             _, writer = await w.send(chat_request("a1"))
             await until(lambda: w.readers[0].heads)
@@ -547,7 +549,7 @@
             assert len(w.readers[0].heads) == 1
             writer.close()
 
-    run_async(go)
+    run_async(scenario)
 
 
 @pytest.mark.parametrize(("end", "code"), [(0, b""), (60, b"408"), (-1, b"408")])
@@ -556,17 +558,17 @@
 ) -> None:
     monkeypatch.setattr(front, "REQUEST_TIMEOUT_US", 50_000)
 
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             reader, writer = await w.send(chat_request("a1")[:end])
             assert (await reader.read())[9:12] == code
             writer.close()
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_silent_connections_are_displaced_and_open_requests_are_not() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster(
             [Replica(PREFILLED), Replica(PREFILLED)], [Replica(never_answer)]
         ) as w:
@@ -583,13 +585,13 @@
             for _, sink in (*silent, *held, (third, writer)):
                 sink.close()
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_incomplete_requests_do_not_displace_one_written_slowly(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         monkeypatch.setattr(
             connections,
             "DISPLACEMENT_ORDER",
@@ -620,7 +622,7 @@
                 other.close()
             await asyncio.gather(*ended, return_exceptions=True)
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_error_responses_are_delayed_and_their_log_lines_limited() -> None:
@@ -663,7 +665,7 @@
 ) -> None:
     monkeypatch.setattr(response_reader, "PART_TIMEOUT_US", 100_000)
 
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster(
             [Replica(PREFILLED)], [Replica(respond_with(text), STREAM)]
         ) as w:
@@ -677,7 +679,7 @@
             assert b"HTTP/1.1 502" in await w.request("a1", "once")
             assert len(w.writers[0].heads) == 1, "a non-idempotent request is not sent again"
 
-    run_async(go)
+    run_async(scenario)
 
 
 @pytest.mark.parametrize("text", [b"zz\r\n", HUGE_CHUNK, b"ffff\r\ndata", b"5\r\n" + CHUNKS])
@@ -686,7 +688,7 @@
 ) -> None:
     monkeypatch.setattr(response_reader, "PART_TIMEOUT_US", 100_000)
 
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster(
             [Replica(PREFILLED)], [Replica(respond_with(HEAD + CHUNKS + text))]
         ) as w:
@@ -694,7 +696,7 @@
             assert EVENTS[0] in answer and not answer.endswith(b"0\r\n\r\n")
             assert len(w.writers[0].heads) == 1
 
-    run_async(go)
+    run_async(scenario)
 
 
 @pytest.mark.parametrize(
@@ -711,7 +713,7 @@
     # without the delay, only the checks of the connection itself are tested
     monkeypatch.setattr(net_replica, "REUSE_DELAY_US", 0)
 
-    async def go() -> None:
+    async def scenario() -> None:
         good = text + CHUNKS + b"0\r\n\r\n"
         async with running_cluster(
             [Replica(PREFILLED)],
@@ -722,7 +724,7 @@
                 assert answer.startswith(b"HTTP/1.1 200") and answer.count(EVENTS[1]) == 1
             assert w.writers[0].connections == 2, "not reused after a second response"
 
-    run_async(go)
+    run_async(scenario)
 
 
 @pytest.mark.parametrize("begun", [b"", CHUNKS])
@@ -732,7 +734,7 @@
     for name in ("FIRST_EVENT_TIMEOUT_US", "STREAM_STALL_TIMEOUT_US"):
         monkeypatch.setattr(net_replica, name, 100_000)
 
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster(
             [Replica(PREFILLED)], [Replica(respond_with(HEAD + begun), STREAM)]
         ) as w:
@@ -740,13 +742,13 @@
             assert answer.endswith(b"0\r\n\r\n") != bool(begun)
             assert len(w.writers[0].heads) == (1 if begun else 2)
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_a_reset_connect_is_retried_once(monkeypatch: pytest.MonkeyPatch) -> None:
     tried: list[OSError] = []
 
-    async def go(kind: type[OSError], most: int) -> None:
+    async def scenario(kind: type[OSError], most: int) -> None:
         async def broken(*_: Any, **__: Any) -> None:
             tried.append(kind())
             raise tried[-1]
@@ -757,8 +759,8 @@
         assert len(tried) == most
         tried.clear()
 
-    run_async(lambda: go(ConnectionResetError, 2))
-    run_async(lambda: go(ConnectionRefusedError, 1))
+    run_async(lambda: scenario(ConnectionResetError, 2))
+    run_async(lambda: scenario(ConnectionRefusedError, 1))
 
 
 def test_a_lack_of_descriptors_is_a_local_shortage(
@@ -767,7 +769,7 @@
     async def none_left(*_: Any, **__: Any) -> None:
         raise OSError(errno.EMFILE, "too many open files")
 
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)]) as w:
             monkeypatch.setattr(asyncio, "open_connection", none_left)
             with structlog.testing.capture_logs() as lines:
@@ -782,11 +784,11 @@
                 not server.failure_rate for server in core.router.servers.values()
             )
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_idle_connections_are_closed_for_new_ones_and_a_shortage_is_no_server_failure() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(PREFILLED)], [Replica(STREAM), Replica(STREAM)]) as w:
             budget, core = w.dispatcher.replicas.budget, w.dispatcher.core
             budget.limit = 1
@@ -803,11 +805,11 @@
                 not server.failure_rate for server in core.router.servers.values()
             )
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_sigterm_finishes_open_requests_and_closes_idle_clients() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         hold = asyncio.Event()
         async with running_cluster([Replica(PREFILLED)], [Replica(hold_last_chunk(hold))]) as w:
             # the writers are kept, because an unreferenced one closes its connection
@@ -826,4 +828,4 @@
             writer.close()
             other.close()
 
-    run_async(go)
+    run_async(scenario)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -61,7 +61,7 @@
 
 
 def test_every_request_and_attempt_is_counted_once_and_bad_requests_are_not_counted() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster(
             [Replica(PREFILLED)], [Replica(STREAM, SERVER_FULL)], control=CONTROL
         ) as w:
@@ -81,7 +81,7 @@
             sent = sum(len(replica.heads) for replica in (*w.readers, *w.writers))
             assert now["svc.upstream_requests"] == sent
 
-    run_async(go)
+    run_async(scenario)
 
 
 @pytest.mark.parametrize(
@@ -105,12 +105,12 @@
     ],
 )
 def test_calls_get_their_status(text: bytes, code: int) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)], control=CONTROL) as w:
             assert int((await call(w, text)).split()[1]) == code
             assert not w.dispatcher.core.endpoints.excluded
 
-    run_async(go)
+    run_async(scenario)
 
 
 @settings(derandomize=True, max_examples=25, deadline=None)
@@ -120,20 +120,20 @@
 ) -> None:
     marks = sorted({0, len(READY), *places})
 
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)], control=CONTROL) as w:
             parts = [READY[a:b] for a, b in pairwise(marks)]
             assert (await call(w, *parts)).startswith(b"HTTP/1.1 200")
             answer = await call(w, noise, end=True)
             assert not answer or answer.split()[1].startswith(b"4")
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_silent_and_incomplete_calls_time_out_and_do_not_block_others(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)], control=CONTROL) as w:
             assert w.dispatcher.control is not None
             port = w.dispatcher.control.port
@@ -150,11 +150,11 @@
             for _, writer in silent:
                 writer.close()
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_not_ready_before_the_complete_list_nor_while_stopping() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)], control=CONTROL) as w:
             watcher = w.dispatcher.endpoint_watcher
             # No discovery listens there, so the watcher cannot become ready by itself.
@@ -168,11 +168,11 @@
             w.dispatcher.front.closing = True
             assert (await call(w, READY)).startswith(b"HTTP/1.1 503")
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_an_excluded_replica_gets_no_requests_until_it_is_included_and_then_soon() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         readers = [Replica(PREFILLED), Replica(PREFILLED)]
         async with running_cluster(readers, [Replica(STREAM)], control=CONTROL) as w:
             await w.request("a0")
@@ -205,11 +205,11 @@
                 assert b" 200 " in await w.request(f"c{i}")
             assert len(out.heads) > seen and out.connections > opened
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_a_send_that_waits_for_its_connection_is_not_sent_after_the_exclusion() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         reader = Replica(PREFILLED)
         async with running_cluster([reader], [Replica(STREAM)], control=CONTROL) as w:
             actor = w.dispatcher.replicas.actors["r0"]
@@ -229,7 +229,7 @@
             assert b" 503 " in await asked
             assert not reader.heads
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_the_router_avoids_excluded_servers_and_readmits_them_cold() -> None:
@@ -293,7 +293,7 @@
 
 
 def test_a_request_in_progress_counts_as_pending() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)], control=CONTROL) as w:
             w.readers[0].answers = [hold := HeldPrefill()]
             reader, writer = await w.send(chat_request("a1", close=True))
@@ -304,7 +304,7 @@
             assert (await metrics(w))["svc.pending"] == 0
             writer.close()
 
-    run_async(go)
+    run_async(scenario)
 
 
 class HeldPrefill:
@@ -322,7 +322,7 @@
 def test_shutdown_rejects_late_requests_and_answers_the_others(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         hold = HeldPrefill()
         passed = socket.create_server(("127.0.0.1", 0))
         monkeypatch.setattr(front, "REJECT_NEW_DELAY_US", 0)
@@ -349,11 +349,11 @@
             for writer in (stays, late):
                 writer.close()
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_a_lower_limit_closes_idle_connections_to_replicas() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         hold = asyncio.Event()
         async with running_cluster([Replica(PREFILLED)], [Replica(hold_last_chunk(hold))]) as w:
             asked = [asyncio.create_task(w.request(f"a{i}")) for i in range(20)]
@@ -366,7 +366,7 @@
             w.dispatcher._apply_descriptor_limit(20)
             assert budget.open <= budget.limit == w.dispatcher.front.max_connections == 8
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_a_cold_server_without_answers_is_not_estimated_as_the_fastest() -> None:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -109,7 +109,7 @@
 def test_an_upgrade_hands_over_new_clients_and_keeps_excluded_replicas_excluded(
     tmp_path: Path,
 ) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         discovery, reader, writer = Discovery(), Replica(PREFILLED), Replica(STREAM)
         spare = Replica(PREFILLED)
         for part in (discovery, reader, writer, spare):
@@ -161,13 +161,13 @@
         for part in (discovery, reader, writer, spare):
             await part.stop()
 
-    asyncio.run(asyncio.wait_for(go(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
 def test_an_open_stream_and_its_connections_migrate_to_the_new_process(
     tmp_path: Path,
 ) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         hold = asyncio.Event()
         discovery, reader, writer = (
             Discovery(),
@@ -210,7 +210,7 @@
         for part in (discovery, reader, writer):
             await part.stop()
 
-    asyncio.run(asyncio.wait_for(go(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
 def test_an_address_in_use_ends_the_start_with_one_log_line(tmp_path: Path) -> None:
@@ -242,7 +242,7 @@
 
 
 def test_serve_from_start_to_sigterm(tmp_path: Path) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         discovery, reader, writer, path = await small_site(tmp_path)
         process, ports = await start_program(path)
         assert process.stdout is not None
@@ -268,7 +268,7 @@
         for part in (discovery, moved, reader, writer):
             await part.stop()
 
-    asyncio.run(asyncio.wait_for(go(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
 GRADE = {
--- a/tests/test_sources.py
+++ b/tests/test_sources.py
@@ -423,7 +423,7 @@
 
 
 def test_files_are_applied_completely_however_they_are_changed(tmp_path: Path) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with watched_folder(tmp_path, None) as w:
             await w.refuses(1)  # the folder is missing: no reader and no writer
             assert not w.source.ready
@@ -463,22 +463,22 @@
             await asyncio.sleep(0.3)
             assert w.source.view.number == version and w.source.status()["notified"]
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_polling_finds_a_change_whose_notification_is_lost(tmp_path: Path) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with watched_folder(tmp_path) as w:
             w.source.watcher.changed.set = lambda: None  # type: ignore[method-assign]
             await w.wait_for_servers("r1", "r2", "w1", "w2")
             w.write(GOOD + row("r3", port=5))
             await w.wait_for_servers("r1", "r2", "r3", "w1", "w2")
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_a_start_with_invalid_files_serves_from_the_snapshot_and_logs_it(tmp_path: Path) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with watched_folder(tmp_path) as w:
             await w.wait_for_servers("r1", "r2", "w1", "w2")
             w.write(GOOD + row("r3", port=5))
@@ -504,13 +504,13 @@
                 "a damaged snapshot is not partly read"
             )
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_both_processes_of_an_upgrade_number_the_same_view_alike(
     tmp_path: Path,
 ) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with watched_folder(tmp_path) as old:
             await old.wait_for_servers("r1", "r2", "w1", "w2")
             old.write(GOOD + row("r3", port=5))
@@ -528,7 +528,7 @@
             # The thread of the cancelled source may still be saving; it finishes the file.
             await until(lambda: not list(tmp_path.glob("*.new")))
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_files_over_discovery_set_weights_and_drains_but_add_no_server() -> None:
@@ -565,7 +565,7 @@
     attempt has the number of the view that routed it.
     """
 
-    async def go() -> None:
+    async def scenario() -> None:
         fleet = await StandinFleet(
             4, 4, speed=Speed(read_s=0.002, first_s=0.002, token_s=0.0001)
         ).start()
@@ -664,11 +664,11 @@
         assert served["served"] > 20 and not served["broken"], served
         assert not breaches(fleet.trace), breaches(fleet.trace)[:5]
 
-    run_async(go)
+    run_async(scenario)
 
 
 def test_the_second_front_follows_watched_files(tmp_path: Path) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         store, tools, reader = (
             await RespStore().start(),
             await ToolServer().start(),
@@ -761,7 +761,7 @@
         with pytest.raises(ConfigError, match="no discovery"):
             ToolcallService(service.load(tmp_path / "t.toml"))
 
-    run_async(go)
+    run_async(scenario)
 
 
 # The command line
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -63,7 +63,7 @@
 
 
 def test_serve_starts_no_program_and_needs_no_unix_socket(tmp_path: Path) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         discovery, reader, writer, path = await small_site(tmp_path)
         process = await asyncio.to_thread(start_guarded, path, tmp_path, GUARD, "serve")
         assert process.stdout is not None
@@ -82,7 +82,7 @@
         for part in (discovery, reader, writer):
             await part.stop()
 
-    asyncio.run(asyncio.wait_for(go(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
 def test_the_guard_detects_the_start_of_a_program(tmp_path: Path) -> None:
--- a/tests/test_state_behind_silent_send.py
+++ b/tests/test_state_behind_silent_send.py
@@ -78,7 +78,7 @@
 
 
 def test_state_is_released_while_a_send_was_acknowledged_and_not_processed(tmp_path: Path) -> None:
-    async def go(case: SilentServers) -> None:
+    async def scenario(case: SilentServers) -> None:
         readers, writers = (
             [Replica(PREFILLED), Replica(PREFILLED)],
             [case.writers(), case.writers()],
@@ -101,14 +101,14 @@
             assert await process.terminate() == 0
 
     for case in CASES:
-        run_async(go(case))
+        run_async(scenario(case))
 
 
 @pytest.mark.parametrize("idempotency", CLASSES)
 def test_a_send_that_was_processed_is_not_given_up_nor_repeated(
     tmp_path: Path, idempotency: str
 ) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         reader, writers = Replica(PREFILLED), [Replica(slow), Replica(slow)]
         async with servers_and_config(
             tmp_path, [reader], writers, settings=settings(idempotency)
@@ -121,11 +121,11 @@
             assert not process.events("attempt")
             assert await process.terminate() == 0
 
-    run_async(go())
+    run_async(scenario())
 
 
 def test_state_is_released_at_the_json_rpc_front_as_well() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with calls.world(st.read_until_closed) as w:
             client = await w.client()
             client.generate(1)
@@ -135,7 +135,7 @@
             assert time.monotonic() - sent_s <= MAX_RELEASE_S
             assert w.writes == 1 and not client.responses, "the send may still be processed"
 
-    calls.run(go)
+    calls.run(scenario)
 
 
 def test_a_slow_stream_at_the_json_rpc_front_is_served_by_one_attempt() -> None:
@@ -144,11 +144,11 @@
     ) -> None:
         await asyncio.sleep(SLOW_S)
 
-    async def go() -> None:
+    async def scenario() -> None:
         async with calls.world(late, st.send_text("Booked.")) as w:
             client = await w.client()
             client.generate(1)
             assert (await client.response(1))["result"]["finish"] == "stop"
             assert w.writes == 1 and client.texts == ["Booked."]
 
-    calls.run(go)
+    calls.run(scenario)
--- a/tests/test_stream_backlog.py
+++ b/tests/test_stream_backlog.py
@@ -41,7 +41,7 @@
 
 
 def test_others_are_answered_while_a_backlog_of_events_is_forwarded(tmp_path: Path) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         faults = fault_control(tmp_path)
         async with servers_and_config(
             tmp_path, [Replica(PREFILLED)], [Replica(respond_with(BACKLOG))]
@@ -64,7 +64,7 @@
                 assert took_s <= MAX_OTHER_S
             assert await process.terminate() == 0
 
-    run_async(go())
+    run_async(scenario())
 
 
 def test_a_backlog_of_texts_at_the_json_rpc_front_does_not_starve_other_tasks() -> None:
@@ -74,7 +74,7 @@
         for _ in range(BACKLOG_EVENTS):
             st.send_message(writer, method="text", params={"text": "x"})
 
-    async def go() -> None:
+    async def scenario() -> None:
         async with calls.world(send_backlog) as w:
             forward, turns, busy = RpcClient.forward, 0, True
 
@@ -99,11 +99,11 @@
             assert len(client.texts) == BACKLOG_EVENTS
             assert turns > BACKLOG_EVENTS // 10
 
-    calls.run(go)
+    calls.run(scenario)
 
 
 def test_a_turn_ends_once_its_steps_have_used_its_time() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         clock = ManualClock()
         turn = LoopTurn(clock)
         others = asyncio.Event()
@@ -115,4 +115,4 @@
             assert others.is_set() is yields, step
             others.clear()
 
-    asyncio.run(go())
+    asyncio.run(scenario())
--- a/tests/test_stream_migration.py
+++ b/tests/test_stream_migration.py
@@ -41,7 +41,7 @@
 def test_only_valid_offers_are_accepted_and_a_withdrawn_offer_changes_nothing(
     tmp_path: Path,
 ) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)], folder=tmp_path) as w:
             path = w.dispatcher.process_registry.migration_socket()
             assert path is not None
@@ -68,12 +68,12 @@
             one.close()
             two.close()
 
-    run_async(go)
+    run_async(scenario)
 
 
 @pytest.mark.parametrize("answer", [b"", b"0"])
 def test_a_stream_whose_offer_is_rejected_is_still_served(tmp_path: Path, answer: bytes) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         hold, asked = asyncio.Event(), asyncio.Event()
         listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         with stream_migration.short_socket_path(tmp_path / "x.heir") as short:
@@ -107,7 +107,7 @@
             rejecting.cancel()
             listener.close()
 
-    run_async(go)
+    run_async(scenario)
 
 
 async def reader_after(*parts: bytes) -> ResponseReader:
@@ -191,7 +191,7 @@
 def test_a_stream_whose_replica_broke_during_the_migration_is_aborted(
     tmp_path: Path,
 ) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with running_cluster([Replica(PREFILLED)], [Replica(STREAM)], folder=tmp_path) as w:
             path = w.dispatcher.process_registry.migration_socket()
             assert path is not None
@@ -222,4 +222,4 @@
             )
             client.close()
 
-    run_async(go)
+    run_async(scenario)
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -25,7 +25,7 @@
 
 
 def test_a_tool_that_resumes_after_losing_its_lease_changes_nothing(tmp_path: Path) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with process_trial(tmp_path) as t:
             await t.start("a")
             await until(lambda: t.find_lines("begin"), 60)
@@ -51,7 +51,7 @@
             )
             t.check_history()
 
-    run(go)
+    run(scenario)
 
 
 @pytest.mark.parametrize("fault", ["cut", "killed", "store paused", "store empty", "store older"])
@@ -73,7 +73,7 @@
             case "store older":
                 await t.store.restart(older)
 
-    async def go() -> None:
+    async def scenario() -> None:
         async with process_trial(tmp_path) as t:
             older = t.store.snapshot()
             await t.start("a")
@@ -86,7 +86,7 @@
             assert code == 0 and report["counts"]["done"] == 4, (report, err)
             t.check_history()
 
-    run(go)
+    run(scenario)
 
 
 def test_an_agent_refuses_changes_of_a_tool_whose_lease_has_expired_unnoticed(
@@ -100,7 +100,7 @@
         first_proofs.setdefault(agent.hall, proof_for(self, agent))
         return first_proofs[agent.hall]
 
-    async def go() -> None:
+    async def scenario() -> None:
         monkeypatch.setattr(RolloutLeases, "proof_for", first_proof_for)
         monkeypatch.setattr("onyxpass.fleet.runner.RolloutRunner.abort", lambda self, reason: None)
         async with process_trial(tmp_path) as t:
@@ -121,7 +121,7 @@
             agents = [line for line in t.history_lines() if line.source.startswith("agent-")]
             assert not history.breaches(agents, ["effects apart", "tokens grow"])
 
-    run(go)
+    run(scenario)
 
 
 def test_a_seed_always_draws_the_same_schedule_and_many_seeds_draw_every_kind_of_fault() -> None:
@@ -136,7 +136,7 @@
     `make bench-schedules` runs more seeds.
     """
 
-    async def go() -> None:
+    async def scenario() -> None:
         try:
             await run_schedule(tmp_path, seed)
         except AssertionError as problem:
@@ -144,4 +144,4 @@
                 "\n".join([str(problem), *(s.describe() for s in draw_schedule(seed))])
             ) from problem
 
-    run(go)
+    run(scenario)
--- a/tests/test_toolcalls.py
+++ b/tests/test_toolcalls.py
@@ -85,7 +85,7 @@
 
 
 def test_text_and_a_call_in_one_stream() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with world(
             st.send_text("Looking. "), st.call_tool("c1"), st.send_text("Booked.")
         ) as w:
@@ -103,13 +103,13 @@
             assert w.store.ttl["onyxpass:call:r1:c1"] == 86400
             assert len([r for r in client.responses if r.get("id") == 1]) == 1
 
-    run(go)
+    run(scenario)
 
 
 def test_a_call_before_any_text_commits_the_attempt() -> None:
     """The writer is lost after its call was sent and before the result arrived."""
 
-    async def go() -> None:
+    async def scenario() -> None:
         async with world(st.call_tool("c1", wait=False), st.abort_on_event) as w:
             w.tool_server.release.clear()
             client = await w.client()
@@ -128,14 +128,14 @@
             assert [r.get("id") for r in client.responses] == [1]
             await st.until(lambda: not w.service.core.registry.by_number)
 
-    run(go)
+    run(scenario)
 
 
 @pytest.mark.parametrize("ending", ["close", "cancel"])
 def test_a_client_that_disconnects_or_cancels_withdraws_its_open_call(ending: str) -> None:
     """The client closes its connection or cancels the request while the call has no result yet."""
 
-    async def go() -> None:
+    async def scenario() -> None:
         async with world(
             st.send_text("Wait. "), st.call_tool("c1", wait=False), st.read_until_closed
         ) as w:
@@ -166,22 +166,22 @@
             assert w.writes == 1
             w.check_calls(1)
 
-    run(go)
+    run(scenario)
 
 
 def test_a_text_may_be_cut_anywhere_even_within_a_surrogate_pair() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         parts = ["\ud83d", "\ude00", "\u0000\n\u2028"]
         async with world(*map(st.send_text, parts)) as w:
             client = await w.client()
             client.generate(1)
             assert "result" in await client.response(1) and client.texts == parts
 
-    run(go)
+    run(scenario)
 
 
 def test_a_repeated_request_id_gets_the_recorded_tool_result() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with world(st.call_tool("c1"), st.send_text("ok")) as w:
             client = await w.client()
             for id in (1, 2):
@@ -191,11 +191,11 @@
             assert [r["result"] for x in w.writers for r in x.results] == [{"booked": 1}] * 2
             w.check_calls(1)
 
-    run(go)
+    run(scenario)
 
 
 def test_a_retry_after_a_lost_writer_does_not_repeat_the_call() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with world(st.call_tool("c1", wait=False), st.abort_on_event) as w:
             w.tool_server.release.clear()
             client = await w.client()
@@ -212,11 +212,11 @@
             assert response["error"]["code"] == rpc.ALREADY_CLAIMED
             w.check_calls(1)
 
-    run(go)
+    run(scenario)
 
 
 def test_a_failed_read_is_retried_and_the_tool_call_is_made_once() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with world(st.call_tool("c1"), st.send_text("ok")) as w:
             for reader in w.readers:
                 reader.prefill_replies = [
@@ -228,11 +228,11 @@
             assert sum(r.count("read") for r in w.readers) >= 2
             w.check_calls(1)
 
-    run(go)
+    run(scenario)
 
 
 def test_a_non_idempotent_request_that_may_have_run_is_not_sent_again() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with world(st.send_line(b"%%")) as w:
             client = await w.client()
             client.generate(1)
@@ -240,12 +240,12 @@
             assert w.writes == 1
             await st.until(lambda: any(r.released for r in w.readers))
 
-    run(go)
+    run(scenario)
 
 
 @pytest.mark.parametrize("outage", ["stopped", "silent"])
 def test_no_tool_call_is_made_while_the_store_is_unavailable(outage: str) -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with world(st.call_tool("c1"), st.send_text("sorry")) as w:
             if outage == "stopped":
                 await w.store.stop()
@@ -258,11 +258,11 @@
             assert answer["result"]["calls"][0]["state"] == "not made" and client.texts == ["sorry"]
             w.check_calls(0)
 
-    run(go)
+    run(scenario)
 
 
 def test_calls_to_a_slow_invalid_or_stopped_tool_server_report_their_state() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with world(st.call_tool("c1"), st.send_text("."), timeout_ms=200) as w:
             client = await w.client()
             w.tool_server.release.clear()  # slow
@@ -283,11 +283,11 @@
             )
             w.check_calls(2)
 
-    run(go)
+    run(scenario)
 
 
 def test_a_restarted_tool_server_is_reconnected() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with world(st.call_tool("c1")) as w:
             client = await w.client()
             for id in ("a", "b", "c"):
@@ -298,11 +298,11 @@
             assert w.tool_server.connections == 3
             w.check_calls(3)
 
-    run(go)
+    run(scenario)
 
 
 def test_a_writer_that_ends_before_its_call_has_a_result_leaves_the_outcome_unknown() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with world(st.call_tool("c1", wait=False)) as w:
             w.tool_server.release.clear()
             client = await w.client()
@@ -319,11 +319,11 @@
                 w.check_calls(0)
             assert w.writes == 1
 
-    run(go)
+    run(scenario)
 
 
 def test_tool_errors_and_duplicate_call_ids_are_reported_to_the_writer() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with world(
             st.call_tool("c1"), st.call_tool("c1"), st.call_tool("c2", "no_such")
         ) as w:
@@ -339,11 +339,11 @@
             assert results[2]["error"] == {"code": -32602, "message": "no such tool"}
             w.check_calls(2)
 
-    run(go)
+    run(scenario)
 
 
 def test_a_rejection_carries_a_retry_delay_and_a_silent_writer_ends_at_the_deadline() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with world(st.send_text("x")) as w:
             for reader in w.readers:
                 reader.prefill_replies = [
@@ -361,7 +361,7 @@
             assert (await client.response(2))["error"]["code"] == rpc.DEADLINE_EXCEEDED
             assert w.writes == 1
 
-    run(go)
+    run(scenario)
 
 
 def test_each_invalid_message_has_its_error_code() -> None:
@@ -383,7 +383,7 @@
         ),
     ]
 
-    async def go() -> None:
+    async def scenario() -> None:
         async with world(st.read_until_closed) as w:
             client = await w.client()
             for line, code, id in cases:
@@ -408,11 +408,11 @@
             assert client.responses[-1]["error"]["code"] == rpc.INVALID_REQUEST
             await st.until(lambda: not w.service.core.registry.by_number)
 
-    run(go)
+    run(scenario)
 
 
 def test_a_reload_applies_the_servers_and_an_invalid_file_changes_nothing() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with world(st.send_text("a")) as w:
             late = await st.DecodeServer(st.send_text("b")).start()
             raw = w.config()
@@ -427,11 +427,11 @@
             assert "result" in await client.response(2) and client.texts == ["a", "b"]
             await late.stop()
 
-    run(go)
+    run(scenario)
 
 
 def test_a_request_that_a_reader_rejects_as_invalid_fails_without_retry_or_penalty() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with world(st.send_text("a")) as w:
             for reader in w.readers:
                 reader.prefill_replies += [
@@ -444,11 +444,11 @@
             assert sum(reader.count("read") for reader in w.readers) == 4
             assert not any(server.failure_rate for server in w.service.core.router.servers.values())  # type: ignore[attr-defined]
 
-    run(go)
+    run(scenario)
 
 
 def test_idle_connections_are_closed_for_new_ones_but_not_those_with_open_requests() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with world(st.call_tool("c1", wait=False), st.read_until_closed) as w:
             w.service.front.max_connections = 2  # type: ignore[attr-defined]
             silent = [await w.client() for _ in range(4)]
@@ -461,11 +461,11 @@
             assert (await late.response(None))["error"]["code"] == rpc.REFUSED
             assert not any(client.closed for client in held)
 
-    run(go)
+    run(scenario)
 
 
 def test_a_graceful_stop_finishes_open_requests() -> None:
-    async def go() -> None:
+    async def scenario() -> None:
         async with world(st.send_text("a"), st.call_tool("c1"), st.send_text("b")) as w:
             w.tool_server.release.clear()
             client = await w.client()
@@ -479,4 +479,4 @@
             await stopping
             assert client.texts == ["a", "b"]
 
-    run(go)
+    run(scenario)
