--- a/onyxpass/agent/api.py
+++ b/onyxpass/agent/api.py
@@ -155,7 +155,7 @@
     async def _get_instance(self, instance: Instance) -> Reply:
         view = await self._instance_view(instance)
         exits = self._agent.state_store.instances.latest_exits(instance.name)
-        return _json_reply(200, {**view, "exits": [found.to_dict() for found in exits]})
+        return _json_reply(200, {**view, "exits": [record.to_dict() for record in exits]})
 
     async def _get_operation(self, operation_id: str, query: dict[str, str]) -> Reply:
         timeout_s = query_number(query, "wait_ms", MAX_WAIT_MS) / 1000
--- a/onyxpass/agent/config.py
+++ b/onyxpass/agent/config.py
@@ -34,7 +34,7 @@
     most_s: Seconds = 15.0  # the longest backoff
     steady_s: Seconds = 30.0  # a run of this length resets the backoff to first_s
     grace_s: Seconds = 20.0  # from SIGTERM to SIGKILL
-    start_s: Seconds = 5.0  # failed checks do not count this soon after a start
+    start_s: Seconds = 5.0  # time after a start in which failed checks do not count
     poll_s: Seconds = 1.0  # interval of instance checks and of updates from and to the store
 
 
--- a/onyxpass/agent/lifecycle.py
+++ b/onyxpass/agent/lifecycle.py
@@ -66,7 +66,7 @@
     initial_backoff_s: float = 0.2
     max_backoff_s: float = 15.0
     stable_after_s: float = 30.0  # a run of this length resets the backoff
-    startup_grace_s: float = 5.0  # failed checks do not count this soon after a start
+    startup_grace_s: float = 5.0  # time after a start in which failed checks do not count
 
     def backoff_s(self, failures: int) -> float:
         """Return the backoff, which doubles with each consecutive failure up to the maximum."""
--- a/onyxpass/agent/operation_steps.py
+++ b/onyxpass/agent/operation_steps.py
@@ -70,7 +70,7 @@
         _successful_body(
             await self._instance.request("POST", "/reload", {"generation": generation})
         )
-        # Read back, instead of trusting the answer to the reload.
+        # The answer to the reload is no proof that the instance runs on the new file.
         config = (await self._status())["config"]
         if config["digest"] == digest:
             return {"digest": digest, "generation": config["generation"], "restarted": False}
--- a/onyxpass/agent/operations.py
+++ b/onyxpass/agent/operations.py
@@ -18,7 +18,7 @@
 from onyxpass.config.platform_file import ConfigError
 from onyxpass.net.http_client import RequestNotSentError, ResponseLostError
 
-MAX_END_EVENTS = 500  # operations whose end can be waited for
+MAX_END_EVENTS = 500  # number of latest operations whose end can be waited for
 TIMEOUT_MARGIN_S = 30.0  # past the operation's deadline, which each step observes itself
 log = structlog.get_logger("operations")
 
--- a/onyxpass/agent/supervisor.py
+++ b/onyxpass/agent/supervisor.py
@@ -2,7 +2,7 @@
 
 ``Agent`` owns the state store, the instances' actors and its own polling task. If Redis is
 configured, the agent publishes its instances there for tools on other hosts, and reads the desired
-states that operators have set. The agent runs its instances without it as well.
+states that operators have set. The agent runs its instances without Redis as well.
 """
 
 import asyncio
--- a/onyxpass/desired/node.py
+++ b/onyxpass/desired/node.py
@@ -78,7 +78,9 @@
         self.applied = self._load_applied()
         self.origin = f"{config.name}.{time.time_ns() // 1_000_000}"  # unique to each start
         self.key = read_key(config.key)
-        self.changed = asyncio.Event()
+        self.changed = asyncio.Event()  # set at the next change of the state, and then replaced
+        # A node other than a control node applies nothing before it has merged the last page of an
+        # upstream's state.
         self.caught_up = config.role == "control"
 
     def _load_applied(self) -> AppliedState:
@@ -177,7 +179,7 @@
             self.replace_state(state)
             self.log_state("merged")
         if not page.more and not self.caught_up:
-            self.replace_state(self.state)
+            self.replace_state(self.state)  # wakes ``apply_forever``
             self.caught_up = True
 
     # Applying the state
@@ -207,7 +209,7 @@
         if not covers(state.seen, self.applied.seen):
             log.warning("older_configuration_ignored", node=self.config.name)
             return False
-        desired = AppliedState(state.digest(), dict(state.seen))
+        applied = AppliedState(state.digest(), dict(state.seen))
         try:
             files = [
                 (instance, render_config(json.loads(instance.base.read_text()), state.values()))
@@ -224,45 +226,45 @@
             log.error("configuration_not_applied", why=str(error))
             return False
         if not all(
-            [await self._reload(instance, desired.digest) for instance in self.config.instances]
+            [await self._reload(instance, applied.digest) for instance in self.config.instances]
         ):
             return False
-        if not self._save_applied(desired):
+        if not self._save_applied(applied):
             return False
         log.info(
             "configuration_in_force",
             node=self.config.name,
             at_ns=time.monotonic_ns(),
-            digest=desired.digest,
-            seen=desired.seen,
+            digest=applied.digest,
+            seen=applied.seen,
         )
         return True
 
-    def _save_applied(self, desired: AppliedState) -> bool:
+    def _save_applied(self, applied: AppliedState) -> bool:
         """Record what is applied; return whether that succeeded.
 
         After a failure the state is applied once more, which is harmless.
         """
-        record = {"digest": desired.digest, "seen": desired.seen}
+        record = {"digest": applied.digest, "seen": applied.seen}
         try:
             state_file.write_json(self.config.folder / "in-force.json", record)
         except OSError as error:
             log.error("state_not_saved", why=str(error))
             return False
-        self.applied = desired
+        self.applied = applied
         return True
 
     async def _reload(self, instance: InstanceFiles, digest: str) -> bool:
         assert self.config.agent is not None
-        agent, operation = tcp_opener(self.config.agent), f"desired.{digest}.{time.monotonic_ns()}"
+        opener, operation = tcp_opener(self.config.agent), f"desired.{digest}.{time.monotonic_ns()}"
         path = f"/v1/instances/{instance.name}/reload"
         poll_path = f"/v1/operations/{operation}?wait_ms={round(RELOAD_TIMEOUT_S * 1000)}"
         try:
-            accepted = await call_api(agent, "POST", path, {"operation": operation}, key=self.key)
+            accepted = await call_api(opener, "POST", path, {"operation": operation}, key=self.key)
             if accepted.status != 202:
                 raise ResponseLostError(accepted.reason)
             ended = await call_api(
-                agent, "GET", poll_path, key=self.key, timeout_s=RELOAD_TIMEOUT_S + ANSWER_MARGIN_S
+                opener, "GET", poll_path, key=self.key, timeout_s=RELOAD_TIMEOUT_S + ANSWER_MARGIN_S
             )
         except (RequestNotSentError, ResponseLostError) as error:
             log.warning("instance_not_reloaded", instance=instance.name, why=str(error))
--- a/onyxpass/desired/state.py
+++ b/onyxpass/desired/state.py
@@ -262,16 +262,20 @@
         match row:
             case [str(key), value, version, replaces]:
                 check_value(key, value)
-                found = parse_version(version, key)
+                parsed_version = parse_version(version, key)
                 if key in keys:
                     raise StateError(key, "occurs twice")
-                if found.number > seen.get(found.origin, 0):
+                if parsed_version.number > seen.get(parsed_version.origin, 0):
                     raise StateError(
-                        key, f"version {found.number} is not covered by the page's seen numbers"
+                        key,
+                        f"version {parsed_version.number} is not covered by the page's seen numbers",
                     )
                 keys.add(key)
                 yield VersionedEntry(
-                    key, value, found, None if replaces is None else parse_version(replaces, key)
+                    key,
+                    value,
+                    parsed_version,
+                    None if replaces is None else parse_version(replaces, key),
                 )
             case _:
                 raise StateError("entries", "a row is not an entry")
--- a/onyxpass/desired/upstream_selection.py
+++ b/onyxpass/desired/upstream_selection.py
@@ -31,13 +31,13 @@
     rng: random.Random
     current: int = 0
     failures: int = field(default=0, init=False)  # consecutive ones, over all upstreams
-    _preferred_left_s: float = field(
+    _preferred_switch_s: float = field(
         default=0.0, init=False
     )  # time of the last switch from or to the preferred upstream
 
     def next_pull(self, now_s: float) -> ScheduledPull:
-        if self.current and now_s - self._preferred_left_s >= PREFERRED_RETRY_S:
-            self.current, self._preferred_left_s = 0, now_s
+        if self.current and now_s - self._preferred_switch_s >= PREFERRED_RETRY_S:
+            self.current, self._preferred_switch_s = 0, now_s
         if self.failures < self.upstream_count:
             return ScheduledPull(self.current, 0.0)
         rounds = self.failures // self.upstream_count
@@ -51,5 +51,5 @@
         """Switch to the next upstream after a missing or invalid answer."""
         self.failures += 1
         if self.current == 0:
-            self._preferred_left_s = now_s
+            self._preferred_switch_s = now_s
         self.current = (self.current + 1) % max(1, self.upstream_count)
--- a/onyxpass/fleet/agent_client.py
+++ b/onyxpass/fleet/agent_client.py
@@ -82,9 +82,9 @@
         self.peak_connections = max(self.peak_connections, self._open)
         try:
             timeout_s = max(MIN_TIMEOUT_S, deadline_s - loop.time())
-            address = tcp_opener(agent.address)
+            opener = tcp_opener(agent.address)
             key = self._keys[agent.key]
-            return await call_api(address, method, target, message, key=key, timeout_s=timeout_s)
+            return await call_api(opener, method, target, message, key=key, timeout_s=timeout_s)
         finally:
             self._open -= 1
             self._slots.release()
--- a/onyxpass/fleet/order_exchange.py
+++ b/onyxpass/fleet/order_exchange.py
@@ -62,8 +62,8 @@
 class OrderExchange:
     """The state of one exchange. Times are seconds of a monotonic clock.
 
-    ``deadline_s`` is the order's own, counted from its start. ``known`` means that the agent has
-    the operation on record; ``failures`` counts failed calls in a row.
+    ``deadline_s`` is the time limit of the order, counted from ``start_s``. ``known`` means that
+    the agent has the operation on record; ``failures`` counts failed calls in a row.
     """
 
     start_s: float
@@ -75,7 +75,7 @@
     _back_off: bool = False
 
     def next(self, now_s: float) -> ExchangeStep:
-        """Return what to do now."""
+        """Return the next step: a call, a wait, or the end of the exchange."""
         late_s = LATE_END_S if self.known else 0.0
         remaining_s = self.start_s + self.deadline_s + late_s - now_s
         if remaining_s <= 0:
@@ -113,7 +113,7 @@
             return None
         if status == 409 and body.get(
             "stale"
-        ):  # an operation that was admitted would be reported instead
+        ):  # an agent that had admitted the operation would report it instead
             return failed(f"refused: {reason}")
         is_busy = status == 409 and ("operation" in body or body.get("under_way"))
         if is_busy:  # another operation is in progress; the order is sent again later
--- a/onyxpass/fleet/planner.py
+++ b/onyxpass/fleet/planner.py
@@ -261,17 +261,17 @@
             total_capacity[instance.hall] = (
                 total_capacity.get(instance.hall, 0.0) + instance.capacity
             )
-        found = {}
+        reasons = {}
         for name in sorted(self.waiting):
             instance, hall, _ = self._locate(name)
             if (
                 instance.serving
                 and total_capacity[hall.name] - instance.capacity < hall.keep - CAPACITY_TOLERANCE
             ):
-                found[name] = (
+                reasons[name] = (
                     f"hall {hall.name} must keep {hall.keep:g} of {total_capacity[hall.name]:g}"
                 )
-        return found
+        return reasons
 
 
 @dataclass(frozen=True, slots=True)
@@ -320,8 +320,10 @@
             by_hall.setdefault(instance.hall, []).append(instance)
             by_host[instance.host] = by_host.get(instance.host, 0) + 1
     minimum = math.ceil(len(wanted) / limits.out)
-    for hall, found in by_hall.items():
+    for hall, hall_instances in by_hall.items():
         spare = total_capacity[hall] - limits.keep.get(hall, 0.0) + CAPACITY_TOLERANCE
-        at_once = min(limits.out_hall, int(spare / min(instance.capacity for instance in found)))
-        minimum = max(minimum, math.ceil(len(found) / at_once) if at_once else 0)
+        at_once = min(
+            limits.out_hall, int(spare / min(instance.capacity for instance in hall_instances))
+        )
+        minimum = max(minimum, math.ceil(len(hall_instances) / at_once) if at_once else 0)
     return max([minimum, *(math.ceil(n / limits.out_host) for n in by_host.values())])
--- a/onyxpass/fleet/selector.py
+++ b/onyxpass/fleet/selector.py
@@ -30,10 +30,10 @@
 
     def matches(self, member: Member) -> bool:
         if self.key.startswith("label."):
-            found = dict(member.labels).get(self.key.removeprefix("label."))
+            actual = dict(member.labels).get(self.key.removeprefix("label."))
         else:
-            found = {"hall": member.hall, "host": member.host, "name": member.name}[self.key]
-        is_match = found is not None and any(fnmatchcase(found, value) for value in self.values)
+            actual = {"hall": member.hall, "host": member.host, "name": member.name}[self.key]
+        is_match = actual is not None and any(fnmatchcase(actual, value) for value in self.values)
         return is_match is not self.negated
 
 
@@ -41,9 +41,9 @@
     """Parse a selector; SelectorError names the column of a fault, counted from 1."""
     terms, column = [], 1
     for part in text.split(","):
-        if (found := TERM.match(part)) is None:
+        if (match := TERM.match(part)) is None:
             raise SelectorError(f"column {column}: {part.strip()!r} is not KEY=VALUE")
-        key, operator, value = found.groups()
+        key, operator, value = match.groups()
         if key not in KEYS and not (key.startswith("label.") and len(key) > len("label.")):
             raise SelectorError(
                 f"column {column}: no key {key!r}{suggestion(key, (*KEYS, 'label.'))}"
@@ -67,15 +67,15 @@
     wanted = list(names)
     known = [member.name for member in members]
     for name in wanted:
-        if not any(fnmatchcase(found, name) for found in known):
+        if not any(fnmatchcase(known_name, name) for known_name in known):
             raise SelectorError(f"no instance {name!r}{suggestion(name, known)}")
     terms = parse(where) if where.strip() else ()
-    found = tuple(
+    selected = tuple(
         member
         for member in members
         if (not wanted or any(fnmatchcase(member.name, name) for name in wanted))
         and all(term.matches(member) for term in terms)
     )
-    if not found:
+    if not selected:
         raise SelectorError("no instance is selected")
-    return found
+    return selected
--- a/onyxpass/leases/holder.py
+++ b/onyxpass/leases/holder.py
@@ -121,8 +121,8 @@
     def name(self) -> str:
         """The holder's name in the store.
 
-        It is new with each acquisition. Prevents a late message of a previous acquisition from
-        being taken for one of the present acquisition.
+        It is new with each acquisition, so that a late message of a previous acquisition is not
+        taken for one of the present acquisition.
         """
         return f"{self.name_prefix}.{self.acquisitions}"
 
@@ -143,7 +143,7 @@
         return self._send(self._acquire_request(), now_ms)
 
     def release(self, now_ms: int) -> list[HolderAction]:
-        """Release the lease, or stop waiting. No effect under it may be in progress any more."""
+        """Release the lease, or stop waiting. No effect under it may still be in progress."""
         if self.state in (HolderState.IDLE, HolderState.RELEASING):
             return []
         actions: list[HolderAction] = []
--- a/onyxpass/leases/model_steps.py
+++ b/onyxpass/leases/model_steps.py
@@ -201,7 +201,7 @@
 
 def _give_up(state: ModelState, message: RequestInFlight | ReplyInFlight) -> None:
     """Report to the requester that no reply comes, unless the requester was killed meanwhile."""
-    index = message[0]
+    index = message[0]  # of the holder that sent the request, or that the reply is for
     holder = state.holders[index]
     if holder.name_prefix == message.name_prefix:
         state.send_requests(index, holder.on_no_reply(message.number, state.now_ms))
--- a/onyxpass/leases/transitions.py
+++ b/onyxpass/leases/transitions.py
@@ -158,7 +158,10 @@
 
 
 def _enqueue(record: LeaseRecord, request: AcquireRequest, now_ms: int) -> LeaseRecord:
-    """Drop expired places, and add or renew the requester's if it waits and there is room."""
+    """Drop expired places, and renew the requester's place or add one if there is room.
+
+    A request with ``queue_ttl_ms`` 0 takes no place, and gives up the one it had.
+    """
     live = [waiter for waiter in record.waiters if now_ms < waiter.expires_at_ms]
     others = [waiter for waiter in live if waiter.holder != request.holder]
     place = Waiter(request.holder, now_ms + request.queue_ttl_ms)
