--- a/onyxpass/agent/operation_steps.py
+++ b/onyxpass/agent/operation_steps.py
@@ -196,8 +196,8 @@
     async def _drain_if_requested(self) -> Detail:
         """Drain the instance if it runs and the options ask for it.
 
-        If the drain fails, the operation fails unless it is forced. The instance is undrained then,
-        except if it does not answer.
+        If the drain fails, a forced operation continues. Any other operation fails, and the
+        instance is undrained unless it did not answer.
         """
         is_running = self._instance.lifecycle.state is InstanceState.RUNNING
         if not self._options.drain or not is_running:
--- a/onyxpass/fleet/leases.py
+++ b/onyxpass/fleet/leases.py
@@ -56,7 +56,7 @@
         """Acquire the lease of each member's hall, within ``timeout_s`` each.
 
         Raises ``RolloutLockedError`` if one can't be acquired, and releases the others. Leases are
-        acquired in order of name, so that two rollouts never wait for each other.
+        acquired in order of name, which prevents a deadlock of two rollouts.
         """
         for hall in sorted({member.hall for member in members}):
             client = self._clients[hall] = self._client(hall)
