--- a/onyxpass/core/dispatcher.py
+++ b/onyxpass/core/dispatcher.py
@@ -181,7 +181,10 @@
                 self._remove_finished(request)
 
     def recover(self, message: contract.Event) -> None:
-        """Fail the request of an event on which the router failed; repeat a timer event."""
+        """Repeat a timer event on which the router failed, or fail the request of another event.
+
+        Only the request of an arrival or outcome is failed, and only with nothing in flight.
+        """
         if isinstance(message, contract.TimerFired):
             self.wheel.after(TIMER_RETRY_US, lambda: self.tell(message))
         if not isinstance(message, contract.Arrival | contract.AttemptOutcome):
--- a/onyxpass/core/final_answers.py
+++ b/onyxpass/core/final_answers.py
@@ -25,11 +25,12 @@
         self._context = context
 
     def reject(self, request: Request, retry_after_us: int, shutting_down: bool) -> None:
-        """Reject a request if it cannot have run; fail it otherwise.
+        """Reject a request if a retry by the client is harmless; fail it otherwise.
 
-        A rejection tells the client that a retry is harmless, which is wrong if an attempt may have
-        run or may still run. This includes attempts at prefill servers: an interruption there does
-        not prove that nothing has run.
+        A retry of an idempotent request is harmless. A retry of another request is not if an
+        attempt may still run, or if one may have run and not every server discards duplicates. This
+        includes attempts at prefill servers: an interruption there does not prove that nothing has
+        run.
         """
         if self._may_run(request):
             self.fail(request, "it may have run")
--- a/onyxpass/core/outcomes.py
+++ b/onyxpass/core/outcomes.py
@@ -151,7 +151,10 @@
     def _log_end(
         self, attempt: Attempt, status: AttemptStatus, reason: str, reserved_for_us: int
     ) -> None:
-        """Log an attempt's end; ``reserved_for_us``: how long state was reserved by then."""
+        """Log the end of an attempt, except of a successful prefill.
+
+        ``reserved_for_us``: how long state had been reserved when the attempt ended.
+        """
         if status is AttemptStatus.PREFILLED:
             return
         request = attempt.request
--- a/onyxpass/core/release.py
+++ b/onyxpass/core/release.py
@@ -1,7 +1,7 @@
 """Releases the state that servers have reserved for a request.
 
 Failed connects, unanswered calls and silent connections of a release share one time budget, which
-starts at ``Request.reserved_since_us``.
+starts at ``Request.reserved_since_us`` and lasts at least ``MIN_BUDGET_US`` from the first call on.
 """
 
 import asyncio
--- a/onyxpass/core/requests.py
+++ b/onyxpass/core/requests.py
@@ -107,7 +107,10 @@
         """Start an attempt."""
 
     def stop(self, attempt: Attempt) -> None:
-        """Close the attempt's connection, then report its end as CANCELLED."""
+        """Close the attempt's connection, then report its end as CANCELLED.
+
+        An attempt that had not begun ends as NOT_SENT.
+        """
 
     def release(self, request: Request, prefill_interrupted: bool) -> None:
         """Release the request's reserved state, except state that an attempt at a server waits for.
--- a/onyxpass/core/timer_wheel.py
+++ b/onyxpass/core/timer_wheel.py
@@ -72,7 +72,9 @@
 
 
 class TimerWheel:
-    """Owns all pending timers. Due timers fire in the order of their ticks.
+    """Owns all pending timers.
+
+    Due timers fire in the order of their ticks, except after a stall longer than a revolution.
 
     The wheel sleeps until the next tick that has a timer, so that an idle process uses next to no
     CPU time: with hundreds of processes on a machine, empty ticks were most of their cost.
--- a/onyxpass/scheduling/attempt_timeouts.py
+++ b/onyxpass/scheduling/attempt_timeouts.py
@@ -1,8 +1,9 @@
 """Attempt timeouts: how long an attempt may take, and when it is cancelled as lost.
 
-An attempt is cancelled once its server counts as silent or its connection as lost. Cancellations
-spend a budget that requests earn, since a prefill that is restarted elsewhere lengthens a queue;
-only cancelling a prefill on a lost connection is free. Each router owns one ``AttemptTimeouts``.
+An attempt past its silence deadline is cancelled if its server has answered nothing since the send,
+or if its connection counts as lost. Cancellations spend a budget that requests earn, since a
+prefill that is restarted elsewhere lengthens a queue; only cancelling a prefill on a lost
+connection is free. Each router owns one ``AttemptTimeouts``.
 """
 
 from onyxpass.scheduling.contract import Idempotency, Role
@@ -24,7 +25,7 @@
 CANCELLATIONS_PER_REQUEST_MANY_ROUTERS = 0.2
 MAX_CANCELLATION_CREDIT = 2.0
 OVERTAKEN_LIMIT_UNLOADED = 1  # applies where answers come quickly, so that there is no queue
-TIMEOUT_SHARE = 0.8  # share of the remaining time that one attempt may take
+TIMEOUT_SHARE = 0.8  # of the remaining time, for an attempt before the last two
 ANSWER_MARGIN_TICKS = 2  # before the deadline, reserved for sending the answer
 
 
--- a/onyxpass/scheduling/contract/events.py
+++ b/onyxpass/scheduling/contract/events.py
@@ -159,7 +159,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """New settings for later requests; names, kinds and idempotency must be unchanged."""
+    """New settings; names, kinds and idempotency in them must be unchanged.
+
+    Requests in progress keep the traffic class that they arrived with.
+    """
 
     settings: Settings
 
--- a/onyxpass/scheduling/outlier_detection.py
+++ b/onyxpass/scheduling/outlier_detection.py
@@ -24,7 +24,7 @@
 MAX_EJECTION_DOUBLINGS = 5
 EJECTION_LEVEL_STEP = 2  # added by an ejection; a success subtracts one
 SLOW_MULTIPLE = 3.0  # of the median of its peers, above which a server is an outlier
-MIN_SAMPLES = 3  # successes before a server's mean time is used
+MIN_SAMPLES = 3  # successes before outlier detection uses a server's mean time
 # Number of later sends answered first that shows a lost connection rather than a queue.
 OVERTAKEN_LIMIT = 3
 MANY_ROUTERS = 16  # from this number on, a router's own sends say little about a queue
@@ -64,7 +64,7 @@
 
 
 def median(values: Sequence[float]) -> float:
-    """Return the median, without importing ``statistics``: that costs 1.5 MB and start time."""
+    """Return the median; importing ``statistics`` for it would cost 1.5 MB and start time."""
     ordered = sorted(values)
     half = len(ordered) // 2
     return (ordered[half] + ordered[~half]) / 2
--- a/onyxpass/scheduling/prefill_selection.py
+++ b/onyxpass/scheduling/prefill_selection.py
@@ -34,7 +34,7 @@
 
 
 class PrefillSelector:
-    """Selects by prefix affinity, unless the queue at the match is too long for the objective."""
+    """Selects by prefix affinity, unless the match is far busier than others or would be late."""
 
     def __init__(
         self,
@@ -73,6 +73,7 @@
         matched, cached_tokens = self._affinity.match(request, ranked, now_us)
         target = divert_if_overloaded(matched, ready)
         if request.attempts:
+            # Only a request without attempts may wait, so a retry is sent even if it may be late.
             return target
         tokens = request.arrival.prompt_tokens
         unloaded = self._baselines.unloaded_us_per_token
--- a/onyxpass/scheduling/prefix_affinity.py
+++ b/onyxpass/scheduling/prefix_affinity.py
@@ -41,7 +41,7 @@
         self.recent_prefixes.append(shared_key(arrival))
 
     def store(self, request: RequestState, server: ServerState, now_us: int) -> None:
-        """Record that the server has prefilled the request's prompt, and drop expired entries."""
+        """Record that the server has prefilled the prompt; drop expired and surplus entries."""
         for key, tokens in request.prefix_keys.items():
             self.entries[key] = (server, now_us, tokens)
             self.entries.move_to_end(key)
@@ -57,8 +57,10 @@
     ) -> tuple[ServerState, int]:
         """Return the server with the longest known prefix and the tokens it likely has cached.
 
-        If no prefix is known, this is the request's owner, with 0 tokens. ``ranked`` are the
-        eligible servers in the order of rendezvous hashing.
+        If a shared prefix is the longest known one and that server is one of its owners, the
+        request's owner is returned instead, since the owners share the prefix. If no prefix is
+        known, this is the request's owner, with 0 tokens. ``ranked`` are the eligible servers in
+        the order of rendezvous hashing.
         """
         owners = ranked[: self._owner_count(request.arrival, len(ranked))]
         owner = rank_by_rendezvous(request.arrival.session, owners)[0]
--- a/onyxpass/scheduling/request_state.py
+++ b/onyxpass/scheduling/request_state.py
@@ -65,7 +65,7 @@
         # Later sends of the same kind to its server that were answered first
         self.overtaken_count = 0
         self.state_holder: ServerState | None = None  # the prefill server that holds its state
-        self.state_confirmed_us = 0  # when an attempt last showed that the holder has it
+        self.state_confirmed_us = 0  # when an attempt last ended that had reached its server
         self.attempted_servers: set[str] = set()
         # The first attempt that may have run: its endpoint and when it was sent.
         self.first_possible_run: tuple[contract.Endpoint, int] | None = None
--- a/onyxpass/scheduling/retry_policy.py
+++ b/onyxpass/scheduling/retry_policy.py
@@ -8,12 +8,13 @@
 
 # Limit on all attempts of a request whose prefill attempt ended with a sign of a queue.
 MAX_ATTEMPTS_WHEN_QUEUED = 2
-# Share of the time for which a server keeps a state, after which it is offered to no further
-# decode server.
+# Share of the time for which a server keeps a state, after which the state is offered to no
+# further decode server.
 STATE_DIAL_SHARE = 0.6
 MIN_RETRY_TICKS = 4  # before the deadline; a later retry is of no use
 WAIT_OBJECTIVE_SHARE = 0.35  # of the latency objective, for which a request may wait for capacity
-TIMER_INTERVAL_US = 50_000  # between checks of waiting requests and ejected servers
+# Between checks of waiting requests, overdue attempts, ejected servers and endpoint polling.
+TIMER_INTERVAL_US = 50_000
 MIN_WAIT_INTERVALS = 3  # before the deadline, at which a request stops waiting
 
 
@@ -38,7 +39,7 @@
         return now_us < end_us and request.attempts < max_attempts
 
     def may_wait(self, request: RequestState, now_us: int) -> bool:
-        """Return whether a request that can't be sent now may wait for the next tick."""
+        """Return whether a request that can't be sent now may wait for the next timer event."""
         last_us = min(
             request.arrived_us + WAIT_OBJECTIVE_SHARE * request.latency_objective_us,
             request.arrival.deadline_us - MIN_WAIT_INTERVALS * TIMER_INTERVAL_US,
--- a/onyxpass/scheduling/router.py
+++ b/onyxpass/scheduling/router.py
@@ -1,7 +1,8 @@
 """The router: takes timestamped events and returns actions, without I/O.
 
-It passes each event to the modules that make the decisions and makes none itself. A router owns all
-its state: the requests that wait or have an attempt in flight, and the state of its components.
+It passes each event to the modules that decide, and combines their decisions into actions. A router
+owns all its state: the requests that wait or have an attempt in flight, and the state of its
+components.
 """
 
 from collections.abc import Callable
@@ -74,7 +75,7 @@
         return self.pool.servers
 
     def avoided(self, now_us: int) -> set[str]:
-        """Return the ids of the servers that get no work now, as they are excluded or ejected."""
+        """Return the ids of the servers that get no work now: excluded, ejected or in a trial."""
         return self.pool.avoided(now_us)
 
     def handle(self, now_us: int, event: contract.Event) -> list[contract.Action]:
@@ -221,7 +222,7 @@
         self.retries.update_state_holder(request, server, event, self._now_us)
         holder = request.state_holder
         if not holder:
-            # Releases the state that an unreachable prefill server may still hold.
+            # Releases a state that was given up or that an interrupted prefill may have left.
             self._actions.append(contract.ReleaseState(event.id))
         request.record_possible_run(server, event.status)
         sent = False
@@ -236,7 +237,7 @@
         self._end(request)
 
     def _end(self, request: RequestState) -> None:
-        """Remove the request, cancel its attempt in flight and release its state."""
+        """Remove the request, cancel its attempt in flight if allowed, and release its state."""
         id_ = request.arrival.id
         self.requests.pop(id_, None)
         if request.server and self.pool.settings.cancellation_allowed:
--- a/onyxpass/scheduling/server_pool.py
+++ b/onyxpass/scheduling/server_pool.py
@@ -18,7 +18,8 @@
 
     def __init__(self, settings: contract.Settings) -> None:
         self.settings = settings
-        # Fixed at the start: settings that change later do not change which rules apply.
+        # Fixed at the start: later settings do not change which of the rules that read it apply.
+        # Code that reads ``settings.routers`` itself follows later settings.
         self.many_routers = settings.routers >= MANY_ROUTERS
         self.servers: dict[str, ServerState] = {}
         self.available: dict[Role, list[ServerState]] = {role: [] for role in Role}  # by id
@@ -103,8 +104,8 @@
                 self._peak_capacity[role] = (max(1.0, capacity), expires_us)
 
     def _update_rendezvous_weights(self) -> None:
-        # Prevents mixed servers from answering more than decode servers do, since they answer all
-        # that they prefill.
+        # Prevents mixed servers from answering more than decode servers do, since mixed servers
+        # answer all that they prefill.
         prefill = self.available[Role.PREFILL]
         decode = self.available[Role.DECODE]
         for server in (*prefill, *self.available[Role.MIXED]):
@@ -119,7 +120,8 @@
         available = [server for role in roles for server in self.available[role]]
         healthy = [server for server in available if server.is_healthy(now_us)]
         if 2 * len(healthy) < len(available):
-            # Most look unhealthy: the cause is likely shared, so all that answer are used.
+            # Most look unhealthy: the cause is likely shared, so all that answer are used, or all
+            # servers if none answers.
             healthy = [
                 server
                 for server in available
@@ -129,7 +131,7 @@
         return healthy
 
     def avoided(self, now_us: int) -> set[str]:
-        """Return the ids of the servers that get no work now, as they are excluded or ejected."""
+        """Return the ids of the servers that get no work now: excluded, ejected or in a trial."""
         used = {server.id for server in self.healthy(now_us, Role.PREFILL, Role.MIXED)}
         used |= {server.id for server in self.healthy(now_us, Role.DECODE, Role.MIXED)}
         available = {server.id for servers in self.available.values() for server in servers}
--- a/onyxpass/scheduling/server_state.py
+++ b/onyxpass/scheduling/server_state.py
@@ -50,7 +50,7 @@
         self.role = kind.role if kind else Role.MIXED
         self.memory_tokens = (kind.memory_tokens if kind else 0) or DEFAULT_MEMORY_TOKENS
         self.rendezvous_weight = 1.0
-        # By request sent to decode, until it ends: send time and tokens.
+        # By request sent to a decode or mixed server, until its attempt ends: send time and tokens.
         self.streams: dict[int, tuple[int, int]] = {}
         self.overloaded_at_us: dict[str, int] = {}  # by traffic class: when it was last rejected
         self.memory_utilization = 0.0  # as last reported
--- a/onyxpass/scheduling/slow_start.py
+++ b/onyxpass/scheduling/slow_start.py
@@ -4,10 +4,11 @@
 budget is the overload multiple of the settings, times the server's present share of its capacity,
 times the calls that a warm server of its kind answers in a window, plus a margin for chance.
 Routers cannot count their calls together, so each keeps to its own quota of the budget. Where the
-quota is less than one call, half of the budget is spent by sampling: each router sends as many
-calls as that half allows on average, chosen by a hash of the session, so that all routers send the
-same sessions to the server. For the other half the routers take turns: each window belongs to a few
-of them, so that no burst exceeds it.
+quota is less than one call, sampling alone limits the calls as long as the sampled calls are
+expected to fit into half of the budget and a warm server may get the others; otherwise the routers
+take turns on the other half. Each window belongs to a few of them, so that no burst exceeds the
+budget. What whole quotas leave of a larger budget is shared by turns as well. Prefills are sampled
+by a hash of the session, so that all routers send the same sessions to the server.
 
 Each router owns one ``SlowStart``; the module does no I/O.
 """
@@ -24,7 +25,7 @@
 MIN_RATE_AGE_US = 1_000_000  # time over which a rate is measured before it is used
 FEW_CALLS = 30  # in a window, below which the budget has a larger margin for chance
 BURST_MULTIPLE = 2  # of the average requests in a window, above which the latest count is used
-SAMPLED_SHARE = 0.5  # of a budget of less than one call per router, spent by sampling
+SAMPLED_SHARE = 0.5  # of a budget of less than one call per router, for sampling alone
 # From this number of routers on, sampled sends even out while no rate is known.
 SAMPLING_ONLY_MIN_ROUTERS = 16
 
@@ -72,7 +73,7 @@
 
 
 class SlowStart:
-    """Limits one router's sends to servers in slow start, by the rates that warm servers answer."""
+    """Limits one router's sends to servers in slow start by the answer rates of warm servers."""
 
     def __init__(self, settings: contract.Settings) -> None:
         self.settings = settings
@@ -150,9 +151,9 @@
         0 means that the server gets no call now, 1 that the probability is unchanged, more that it
         is this router's turn. ``factor`` is the server's slow start factor, ``probability`` the
         probability that any call is sampled for it, and ``others_warm`` tells whether a warm server
-        may get the calls instead. Where routers take turns, the router whose turn it is samples
-        more often by the number of turns, so that the server gets on average as many calls as by
-        sampling alone.
+        may get the calls instead. Where routers take turns without a quota, the router whose turn
+        it is samples more often by the number of turns, so that the server gets on average as many
+        calls as by sampling alone.
         """
         if factor >= 1:
             return 1.0
