--- a/onyxpass/core/answer_value.py
+++ b/onyxpass/core/answer_value.py
@@ -40,9 +40,10 @@
 ) -> Assessment:
     """Assess an answer against the objectives of its class.
 
-    ``first_us``: time from the request's last byte to its first token. ``token_us``: result of
-    ``mean_token_us``. The latency objective grows by ``latency_objective_us_per_1k_tokens`` for
-    each 1,000 tokens of the prompt, and the deadline by twice that.
+    ``first_us``: time from the request's acceptance, after its last byte was read, to the first
+    event of its answer. ``token_us``: result of ``mean_token_us``. The latency objective grows by
+    ``latency_objective_us_per_1k_tokens`` for each 1,000 tokens of the prompt, and the deadline by
+    twice that.
     """
     growth_us = traffic_class.latency_objective_us_per_1k_tokens * prompt_tokens // 1000
     latency_objective_us = traffic_class.latency_objective_us + growth_us
--- a/onyxpass/core/context.py
+++ b/onyxpass/core/context.py
@@ -49,8 +49,8 @@
     def stop_attempt(self, attempt: Attempt, status: AttemptStatus) -> None:
         """Have the fleet close an attempt, which then ends with ``status``.
 
-        An attempt that had not begun ends as NOT_SENT instead. The end is reported only after the
-        close, so that a retry cannot overtake the close.
+        An attempt of which certainly nothing was sent ends as NOT_SENT instead. The end is reported
+        only after the close, so that a retry cannot overtake the close.
         """
         if not attempt.ended and attempt.stop_status is None and self.fleet is not None:
             attempt.stop_status = status
--- a/onyxpass/core/fleet.py
+++ b/onyxpass/core/fleet.py
@@ -134,7 +134,7 @@
             actor.tell(StartAttempt(attempt))
 
     def stop(self, attempt: Attempt) -> None:
-        """Close an attempt, which then ends as CANCELLED, or as NOT_SENT if it had not begun."""
+        """Close an attempt, which then ends as CANCELLED, or as NOT_SENT if nothing was sent."""
         if actor := self.actors.get(attempt.server):
             actor.tell(StopAttempt(attempt))
 
--- a/onyxpass/core/requests.py
+++ b/onyxpass/core/requests.py
@@ -109,7 +109,7 @@
     def stop(self, attempt: Attempt) -> None:
         """Close the attempt's connection, then report its end as CANCELLED.
 
-        An attempt that had not begun ends as NOT_SENT.
+        An attempt of which certainly nothing was sent ends as NOT_SENT.
         """
 
     def release(self, request: Request, prefill_interrupted: bool) -> None:
