--- a/onyxpass/cli.py
+++ b/onyxpass/cli.py
@@ -31,7 +31,7 @@
 
 
 def main() -> None:
-    """Run the command line; the operators' groups are imported only for commands that need them."""
+    """Run the command line; lightweight commands do not import the operators' groups."""
     if (sys.argv[1:2] or [""])[0] not in LIGHTWEIGHT_COMMANDS:
         from onyxpass.desired.cli import desired_app
         from onyxpass.fleet.cli import fleet_app
--- a/onyxpass/hot_restart/process_files.py
+++ b/onyxpass/hot_restart/process_files.py
@@ -22,7 +22,7 @@
     """Return a name that sorts after those of all processes that have a file in the folder.
 
     A number, unlike the time, keeps the start order after a step of the wall clock: with names made
-    of the time, the old process took itself for the successor of the new one.
+    of the time, the old process could count itself as the successor of the new one.
     """
     matches = [PROCESS_FILE.match(path.name) for path in folder.glob("*.process")]
     number = 1 + max((int(match[1]) for match in matches if match), default=0)
--- a/onyxpass/net/bad_request_limiter.py
+++ b/onyxpass/net/bad_request_limiter.py
@@ -1,4 +1,4 @@
-"""Limits the rate of 4xx responses and of the log lines about them."""
+"""Delays error responses to bad requests and limits the rate of the log lines about them."""
 
 import structlog
 
@@ -11,7 +11,7 @@
 
 
 class BadRequestLimiter:
-    """Bounds the work and the log lines that clients with bad requests can cause."""
+    """Slows down clients with bad requests and bounds the log lines that they can cause."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
--- a/onyxpass/net/connection_budget.py
+++ b/onyxpass/net/connection_budget.py
@@ -5,7 +5,7 @@
 
 from onyxpass.net.http import HttpConnection
 
-# of the moving average of broken reuses: the weight of the latest reuse, and the half-life
+# moving average of broken reuses: weight of the latest reuse, and half-life
 BREAK_RATE_WEIGHT, BREAK_RATE_HALF_LIFE_US = 0.05, 20_000_000
 
 
@@ -28,7 +28,7 @@
     make_room: Callable[[], bool] = lambda: False
 
     def shrink(self) -> None:
-        """Close idle connections until the number of open ones is within a lowered limit."""
+        """Close idle connections until the open ones are within the limit or none is idle."""
         while self.open > self.limit and self.make_room():
             pass
 
--- a/onyxpass/net/connections.py
+++ b/onyxpass/net/connections.py
@@ -23,7 +23,7 @@
     LEAVING = "leaving"  # no further request is read; the connection is being closed
 
 
-MAX_EXAMINED = 16  # candidates examined in one search for a connection without unread bytes
+MAX_EXAMINED = 16  # candidates per stage that are checked for unread bytes
 MIN_AGE_US = 150_000  # a request may still be in transit this long after the stage began
 # Stages whose connections may be closed for a new one, the least valuable first, and the minimum
 # time in the stage.
@@ -65,7 +65,7 @@
 
         A request that is never completed stops after few reads, while one that is written slowly
         keeps adding reads. Sorting by the number of reads protects slow but genuine requests from
-        displacement by a crowd of incomplete ones; among equals the oldest goes first.
+        displacement by many incomplete ones; among equals the oldest goes first.
         """
         reading = self.stage is Stage.READING and self.wire is not None
         return (
@@ -76,8 +76,8 @@
 class ClientConnections:
     """All open client connections, by the task that serves each, and by stage in order of entry.
 
-    The index by stage avoids a scan of all connections for each new one: with all slots taken by a
-    crowd, that scan was most of the cost of a connection that sends nothing.
+    The index by stage avoids a scan of all connections for each new one: with all slots taken,
+    that scan was most of the cost of a connection that sends nothing.
     """
 
     def __init__(self) -> None:
--- a/onyxpass/net/control.py
+++ b/onyxpass/net/control.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP endpoint: one call per connection, answered within a second under any load."""
+"""The operators' HTTP endpoint: one call per connection, on slots apart from the clients'."""
 
 from collections.abc import Awaitable, Callable
 from urllib.parse import parse_qs
@@ -64,7 +64,7 @@
         hosts = parameters.get("host", [])
         if len(hosts) != 1 or not hosts[0]:
             return 400, b"one host is to be named: ?host=ID\n"
-        # Prevents an exclusion that can't be undone because its replica has left the list.
+        # An excluded replica that has left the list can still be included again.
         if (
             hosts[0] not in self.core.endpoints.by_id
             and hosts[0] not in self.core.endpoints.excluded
--- a/onyxpass/net/front.py
+++ b/onyxpass/net/front.py
@@ -33,24 +33,24 @@
 
 # from the connection, or from the first byte of a later request, to the last byte of a request
 REQUEST_TIMEOUT_US = 2_500_000
-# minimum of that after the accept, however long the connection was queued
+# minimum time from the accept to the last byte of a request, however long it was queued
 MIN_REQUEST_TIMEOUT_US = 1_000_000
 IDLE_TIMEOUT_US = 8_000_000  # maximum time between two requests on a connection
 FLUSH_TIMEOUT_US = 2_000_000  # for a client to receive the rest of a response
 # connections over the limit, accepted from the queue before the listener closes
 MAX_EXTRA_ACCEPTS = 16
 BACKLOG = 512  # connections that the kernel queues while all slots are taken
-# connections accepted in one turn of the event loop, so that open requests get theirs in between
+# connections accepted in one turn of the event loop, so that open requests are served in between
 ACCEPTS_PER_TURN = 16
-DELIVERY_GRACE_US = 1_000_000  # after a response was written, until it has certainly arrived
+DELIVERY_GRACE_US = 1_000_000  # after a response was written, until it is assumed delivered
 CAPACITY_POLL_US = 20_000  # between two checks for a free slot
-# at shutdown, of retries to accept the queued connections while accept fails
+# maximum time, at shutdown, of retries to accept the queued connections while accept fails
 FINAL_ACCEPT_TIMEOUT_US = 1_500_000
 # new connections arrive for up to 0.4 s after SIGTERM, if the socket is not inherited
 ACCEPT_AFTER_SIGTERM_US = 450_000
 # after SIGTERM; a request that arrives later may not be finished in time and is rejected
 REJECT_NEW_DELAY_US = 650_000
-# All requests are answered by SIGTERM plus the longest deadline, up to this maximum, plus the margin.
+# All requests are answered by SIGTERM plus the longest deadline, up to a maximum, plus a margin.
 SHUTDOWN_MARGIN_US, MAX_SHUTDOWN_DEADLINE_US = 450_000, 3_000_000
 log = structlog.get_logger("front")
 
@@ -135,14 +135,14 @@
         return self.listener.port
 
     def close(self) -> None:
-        """Stop listening; the kernel resets queued connections that nobody has accepted."""
+        """Stop listening; the kernel resets the queued connections of a socket that is not shared."""
         if self.accepting is not None:
             self.accepting.cancel()
         if self.listener is not None and not self.listener.closed:
             self.listener.close()
 
     async def finish_accepting(self) -> None:
-        """Accept the connections that the kernel has queued, and stop listening.
+        """Accept the queued connections, up to ``MAX_EXTRA_ACCEPTS`` over the limit; stop listening.
 
         Prevents a reset of connections that arrived just before the shutdown, even if accept fails
         for a moment. With a shared socket the queue is left to the other process.
@@ -215,8 +215,9 @@
     def _make_room(self) -> bool:
         """Close the connection that can best be displaced; False if there is none.
 
-        Prevents silent, slow and idle clients from holding every descriptor. A connection with a
-        request in transit or being served is never displaced: the new connection waits instead.
+        Prevents silent, slow and idle clients from holding every descriptor. A request
+        being served is never displaced, nor are unread bytes of a client that may still be served:
+        the new connection waits instead.
         """
         if (found := self.connections.take_displaceable(self.clock.now_us())) is None:
             return False
@@ -258,7 +259,7 @@
         except (HttpError, OSError) as error:
             connection.close_reason = CloseReason.CONNECTION_BROKE
             log.debug("connection_ended", why=str(error))
-        # at program exit; asyncio's own callback would print a traceback
+        # at displacement or program exit; asyncio's own callback would print a traceback
         except asyncio.CancelledError:
             if connection.close_reason is CloseReason.AFTER_ANSWER:
                 connection.close_reason = CloseReason.SHUTTING_DOWN
@@ -286,8 +287,8 @@
         self._enter_stage(connection, Stage.LEAVING)
         try:
             # If nothing is in transit to the client, its further bytes must stay unread: a request
-            # that is read and not answered is lost, while one that meets a closed connection is
-            # sent again.
+            # that is read and not answered is lost, while the client can send one again that
+            # meets a closed connection.
             if not silent and not wire.writer.is_closing():
                 async with self.wheel.timeout(FLUSH_TIMEOUT_US):
                     await wire.flush()
@@ -477,8 +478,8 @@
     async def _read_past_request(self, wire: HttpConnection) -> bytes:
         """Wait while a request is open; return the bytes received, empty if the client has closed.
 
-        A connection has one open request at a time, so bytes after it end it: its length was wrong,
-        or the client floods the connection.
+        A connection has one open request at a time. Bytes received before its answer end it,
+        because its length was wrong or the client floods the connection.
         """
         try:
             return await wire.reader.read(READ_BYTES)
@@ -486,7 +487,10 @@
             return b""
 
     async def stop(self) -> None:
-        """Accept no new connections; return once all requests are answered."""
+        """Accept connections for a grace period; return once all requests are answered.
+
+        With a shared socket there is no grace period. All connections are closed on return.
+        """
         began_us, self.closing = self.clock.now_us(), True
         longest_us = min(
             MAX_SHUTDOWN_DEADLINE_US,
--- a/onyxpass/net/http.py
+++ b/onyxpass/net/http.py
@@ -123,7 +123,7 @@
 
     @property
     def pending(self) -> bool:
-        """Whether received bytes form no complete event yet, or belong to none."""
+        """Whether h11 holds received bytes that are not part of a returned event."""
         return bool(self.h11.trailing_data[0])
 
     def write(self, *events: h11.Event) -> None:
--- a/onyxpass/net/http_server.py
+++ b/onyxpass/net/http_server.py
@@ -1,6 +1,6 @@
 """Server for short HTTP/1.1 API calls: one call per connection, limited in size, time and number.
 
-Its connections have slots of their own, which a crowd at the clients' address can't take.
+Its connections have slots of their own, which connections at the clients' address can't take.
 """
 
 import asyncio
--- a/onyxpass/net/listen.py
+++ b/onyxpass/net/listen.py
@@ -171,7 +171,7 @@
     def close(self) -> None:
         """Close this process's descriptor.
 
-        ``shutdown`` would end the socket for the other process too.
+        ``shutdown`` would end the socket for every process that shares it.
         """
         self._unwatch()
         self.sock.close()
--- a/onyxpass/net/poll_schedule.py
+++ b/onyxpass/net/poll_schedule.py
@@ -14,10 +14,10 @@
 import random
 from dataclasses import dataclass, field
 
-# after the start of a silence; changes missed meanwhile then count as known
+# time from the start of a watch's silence until the changes missed during it count as known
 MISSED_CHANGES_DEADLINE_MS = 6_000.0
 HEARTBEAT_INTERVAL_MS = 2_000.0  # maximum time between two lines of a healthy watch
-# since the last complete line, until a watch counts as broken
+# time since the last complete line after which a watch counts as broken
 WATCH_SILENCE_TIMEOUT_MS = HEARTBEAT_INTERVAL_MS + 400
 CONNECT_TIMEOUT_MS = 500.0  # to establish a connection
 # first and largest upper bound of the random delay before a retry at an agent
@@ -39,7 +39,8 @@
 # serve all kept a queue full of abandoned calls, and in the model with 200 dispatchers all but the
 # first 12 were never served.
 MAX_FIRST_RETRY_MS = MISSED_CHANGES_DEADLINE_MS - WATCH_SILENCE_TIMEOUT_MS - 600
-# of the retry delay after consecutive failures: with more, the list would get too old
+# maximum doublings of the retry delay after consecutive failures: with more, the list would get
+# too old
 MAX_DOUBLINGS = 1
 
 
@@ -67,7 +68,10 @@
 
     @property
     def round_ms(self) -> float:
-        """Time in which a shared discovery can answer every dispatcher once; 0 with an agent."""
+        """Time over which calls to a shared discovery are spread; 0 with an agent.
+
+        It suffices to answer every dispatcher once, unless ``first_call_within_ms`` is too short.
+        """
         return (
             min(FIRST_CALL_SHARE * self.first_call_within_ms, self.routers * SHARED_CALL_MS)
             if self.shared
--- a/onyxpass/net/replica.py
+++ b/onyxpass/net/replica.py
@@ -39,7 +39,7 @@
 # after a stream, until its connection may be reused: an unsolicited second response may come late
 REUSE_DELAY_US = 50_000
 HEALTH_CHECK_TIMEOUT_US = 250_000
-FIRST_EVENT_TIMEOUT_US = 2_000_000  # from the response head of a stream to its first event
+FIRST_EVENT_TIMEOUT_US = 2_000_000  # maximum silence before a stream's first event
 # a stream without bytes for this long has stalled: healthy ones pause for 0.2 s
 STREAM_STALL_TIMEOUT_US = 4_600_000
 CLIENT_WRITE_TIMEOUT_US = 30_000_000  # maximum time for which a client may accept no forwarded data
@@ -47,7 +47,7 @@
 REUSED_BREAK_WINDOW_US = 250_000
 # break rates of reused connections above which requests use new connections
 MAX_BREAK_RATE_NON_IDEMPOTENT, MAX_BREAK_RATE = 0.005, 0.06
-CANCEL_SETTLE_US = 25_000  # until a prefill cancelled just now has ended at the replica
+CANCEL_SETTLE_US = 25_000  # until a cancelled prefill is assumed to have ended
 LEASE_RELEASE_TIMEOUT_US = 100_000  # of one release request
 RETRYABLE_STATUSES = (408, 425, 429)  # 4xx responses that do not mean that the request is invalid
 log = structlog.get_logger("net")
@@ -337,8 +337,8 @@
         try:
             return await answer
         except HttpError as error:
-            # Invalid bytes, or an end within the response, prove that the request has run; silence
-            # proves nothing.
+            # Any HttpError after the first byte of the response, a stall included, counts as proof
+            # that the request has run; silence before that byte proves nothing.
             if incoming.begun:
                 raise CorruptResponseError(str(error)) from error
             raise
--- a/onyxpass/net/response_reader.py
+++ b/onyxpass/net/response_reader.py
@@ -1,6 +1,7 @@
 """Parses responses of replicas into heads, complete chunks and complete events.
 
-Invalid data raises ``HttpError`` and is never forwarded.
+Invalid framing, or an invalid first event, raises ``HttpError`` and is not forwarded. Later events
+are not validated.
 """
 
 import json
@@ -22,7 +23,7 @@
 
 
 class CorruptResponseError(HttpError):
-    """A response that became invalid after it had begun.
+    """A response that became invalid or stalled after it had begun.
 
     Its request has run, and the state that the request used is gone.
     """
@@ -33,7 +34,7 @@
 
 
 class ResponseReader:
-    """Reads one response: returns its heads, its body in complete chunks, and its end."""
+    """Reads one response: its heads, its body (by complete chunks if chunked), and its end."""
 
     def __init__(self, wire: HttpConnection, wheel: TimerWheel) -> None:
         self.wire, self.wheel = wire, wheel
--- a/onyxpass/net/stream_migration.py
+++ b/onyxpass/net/stream_migration.py
@@ -31,7 +31,7 @@
 from onyxpass.scheduling import contract
 
 VERSION = 2  # version of the message; unknown ones are rejected
-# times were on the sender's own clock, which other processes need not share
+# message version whose times are on the sender's own clock, which other processes may not share
 LOCAL_CLOCK_VERSION = 1
 MAX_MESSAGE_BYTES = 64 * 1024
 MAX_CONCURRENT_OFFERS = 4
@@ -142,7 +142,10 @@
 
 
 def is_quiescent(wire: HttpConnection) -> bool:
-    """Return whether all bytes read were used and all bytes written have left."""
+    """Return whether an open connection has no unused input and no output still to be written.
+
+    Output counts as written once the kernel has accepted it.
+    """
     reader = wire.reader
     ended = reader.at_eof() or reader.exception() is not None
     return not (ended or bool(getattr(reader, "_buffer", b"")) or wire.pending) and wire.written
@@ -286,7 +289,7 @@
 
 
 def restore_http_state(wire: HttpConnection, client_wire: HttpConnection, keep_alive: bool) -> None:
-    """Bring two new h11 state machines to the state of the old process's: within a chunked body."""
+    """Bring two new h11 state machines to the state within a chunked body."""
     wire.h11.send(h11.Request(method=b"GET", target=b"/", headers=[(b"host", b"x")]))
     wire.h11.send(h11.EndOfMessage())
     wire.h11.receive_data(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
