--- a/onyxpass/hot_restart/descriptor_limits.py
+++ b/onyxpass/hot_restart/descriptor_limits.py
@@ -1,8 +1,8 @@
 """Splits one limit of descriptors among the processes of a dispatcher. Holds no state.
 
 An older process yields the descriptors that it does not hold, but keeps half of the total until it
-stops; a younger one uses what the older
-ones have published as yielded. So two processes never hold much more than one alone may.
+stops. A younger one uses what the older ones have published as yielded, and at least the total
+divided by ``MIN_SHARE_DIVISOR``. So two processes never hold much more than one alone may.
 """
 
 from collections.abc import Sequence
--- a/onyxpass/hot_restart/process_registry.py
+++ b/onyxpass/hot_restart/process_registry.py
@@ -1,9 +1,9 @@
 """This process's view of all processes of its dispatcher, through a folder in ``$TMPDIR``.
 
 ``ProcessRegistry`` owns the view of the other processes, this process's file, its copy of the
-exclusions and its descriptor limit, and refreshes them 20 times a second, or once a second
-while it is alone and the folder is unchanged. Without a folder no other process is visible, and all
-state is in memory.
+exclusions and its descriptor limit, and refreshes them 20 times a second, or once a second while it
+is alone and the folder is unchanged. Without a folder no other process is visible, and all state is
+in memory.
 """
 
 import hashlib
--- a/onyxpass/invariants/__init__.py
+++ b/onyxpass/invariants/__init__.py
@@ -1,8 +1,8 @@
 """Run-time checks of the invariants of a dispatcher and of an agent, without I/O.
 
 The checks make no decisions of their own. Code that is about to send, answer, close or start asks
-first; a step that would violate an invariant is refused and counted. Each violation shows a defect
-in the code that led to the check.
+first; a step that would violate an invariant is counted and, except a close, refused. Each
+violation shows a defect in the code that led to the check.
 """
 
 from onyxpass.invariants.rules import InvariantChecker
--- a/onyxpass/net/control.py
+++ b/onyxpass/net/control.py
@@ -1,4 +1,7 @@
-"""The operators' HTTP endpoint: one call per connection, on slots apart from the clients'."""
+"""The operators' HTTP endpoint: one call per connection, on slots of its own.
+
+Calls are served also while the client connections are at their limit.
+"""
 
 from collections.abc import Awaitable, Callable
 from urllib.parse import parse_qs
@@ -64,7 +67,7 @@
         hosts = parameters.get("host", [])
         if len(hosts) != 1 or not hosts[0]:
             return 400, b"one host is to be named: ?host=ID\n"
-        # An excluded replica that has left the list can still be included again.
+        # Accepts an excluded replica that has left the list, so that its exclusion can be undone.
         if (
             hosts[0] not in self.core.endpoints.by_id
             and hosts[0] not in self.core.endpoints.excluded
--- a/onyxpass/net/dialer.py
+++ b/onyxpass/net/dialer.py
@@ -18,7 +18,8 @@
         errno.ECONNABORTED,
     )
 )
-# Errors that may be as short-lived as a local shortage, but that concern the route to one server if they persist.
+# Errors that may be as short-lived as a local shortage, but that concern the route to one server if
+# they persist.
 UNREACHABLE_ERRNOS = frozenset((errno.ENETUNREACH, errno.EHOSTUNREACH, errno.EACCES, errno.EPERM))
 # delay before each retry after a local shortage or an unreachable route; most are short
 RETRY_DELAYS_S = (0.002, 0.005, 0.015)
--- a/onyxpass/net/front.py
+++ b/onyxpass/net/front.py
@@ -50,7 +50,8 @@
 ACCEPT_AFTER_SIGTERM_US = 450_000
 # after SIGTERM; a request that arrives later may not be finished in time and is rejected
 REJECT_NEW_DELAY_US = 650_000
-# All requests are answered by SIGTERM plus the longest deadline, up to a maximum, plus a margin.
+# After SIGTERM plus the longest deadline, up to a maximum, plus a margin, each request whose stream
+# has not begun is failed.
 SHUTDOWN_MARGIN_US, MAX_SHUTDOWN_DEADLINE_US = 450_000, 3_000_000
 log = structlog.get_logger("front")
 
@@ -135,14 +136,14 @@
         return self.listener.port
 
     def close(self) -> None:
-        """Stop listening; the kernel resets the queued connections of a socket that is not shared."""
+        """Stop listening; the kernel resets connections queued at a socket that is not shared."""
         if self.accepting is not None:
             self.accepting.cancel()
         if self.listener is not None and not self.listener.closed:
             self.listener.close()
 
     async def finish_accepting(self) -> None:
-        """Accept the queued connections, up to ``MAX_EXTRA_ACCEPTS`` over the limit; stop listening.
+        """Accept queued connections up to ``MAX_EXTRA_ACCEPTS`` over the limit; stop listening.
 
         Prevents a reset of connections that arrived just before the shutdown, even if accept fails
         for a moment. With a shared socket the queue is left to the other process.
@@ -215,9 +216,9 @@
     def _make_room(self) -> bool:
         """Close the connection that can best be displaced; False if there is none.
 
-        Prevents silent, slow and idle clients from holding every descriptor. A request
-        being served is never displaced, nor are unread bytes of a client that may still be served:
-        the new connection waits instead.
+        Prevents silent, slow and idle clients from holding every descriptor. A connection
+        whose request is being served is never displaced, nor, unless it is already being closed,
+        one with unread bytes of a connected client: the new connection waits instead.
         """
         if (found := self.connections.take_displaceable(self.clock.now_us())) is None:
             return False
--- a/onyxpass/serve.py
+++ b/onyxpass/serve.py
@@ -101,7 +101,10 @@
         return self.file_source is not None and self.file_source.sources.sole_source
 
     def has_complete_list(self) -> bool:
-        """Whether the source in use has a complete list of servers."""
+        """Whether the source in use is ready.
+
+        It then has a complete list of servers, or, with a shared discovery, a saved list.
+        """
         source: MembershipSource = (
             self.file_source
             if self.file_source is not None and self.watches_files_only
@@ -110,7 +113,7 @@
         return source.ready
 
     def ready(self) -> bool:
-        """Whether the list is complete and the front accepts clients."""
+        """Whether the source in use is ready and the front accepts clients, without a drain."""
         accepting = self.front.accepting
         return (
             self.has_complete_list()
