--- a/onyxpass/admin/running_configuration.py
+++ b/onyxpass/admin/running_configuration.py
@@ -70,7 +70,7 @@
 def is_reloadable_setting(key: str) -> bool:
     """Whether a reload can apply a new value of this key to new requests.
 
-    ``repeat`` is not reloadable: a booking in progress must never begin to count as safe to repeat.
+    ``repeat`` is not reloadable: a request in progress must never begin to count as safe to repeat.
     """
     section, _, name = key.partition(".")
     if section == "settings":
--- a/onyxpass/agent/api.py
+++ b/onyxpass/agent/api.py
@@ -7,7 +7,7 @@
 | ``GET /v1/instances/NAME`` | one instance, with its latest exits |
 | ``POST /v1/instances/NAME/KIND`` | begins an operation under the caller's id: 202; 409 if busy |
 | ``GET /v1/operations/ID?wait_ms=N`` | the operation, once it has ended or N ms have passed |
-| ``GET /v1/events?since=N`` | the events after number N |
+| ``GET /v1/events?since=N`` | the events after number N, oldest first, at most 500 |
 | ``POST /v1/hold``, ``POST /v1/release`` | acquires or releases the agent's rollout lock |
 
 An operation or a hold may carry a lease: ``{"lease": {"name": N, "token": T, "holder": H}}``. It is
@@ -77,7 +77,8 @@
         self._admission = LeaseAdmission(agent.state_store, agent.config.name)
         self._locks = RolloutLockManager()
         if (saved := agent.state_store.locks.rollout_lock()) is not None:
-            # The full TTL starts again: monotonic times are not stored, as they end with the agent.
+            # The full TTL starts again: the time of expiry is not stored, because monotonic times
+            # are not valid after a restart of the host.
             self._locks.acquire(saved.rollout, saved.holder, saved.ttl_s, time.monotonic())
 
     def listen(self) -> Listener:
--- a/onyxpass/agent/folder_lock.py
+++ b/onyxpass/agent/folder_lock.py
@@ -1,4 +1,4 @@
-"""An exclusive lock on a state folder, so that two agents never manage the same instances.
+"""An exclusive lock on a state folder, so that two agents never use the same state.
 
 The kernel releases the lock when the process that holds it ends, also after SIGKILL.
 """
--- a/onyxpass/agent/instance.py
+++ b/onyxpass/agent/instance.py
@@ -169,7 +169,7 @@
         task.add_done_callback(self._tasks.discard)
 
     def _start_or_adopt(self, now_s: float) -> list[Action]:
-        """Adopt the process of an earlier agent if it still runs, or else start the instance.
+        """Adopt the process of an earlier agent if it still runs, or else start a wanted instance.
 
         Prevents a second process of the instance.
         """
--- a/onyxpass/agent/instance_records.py
+++ b/onyxpass/agent/instance_records.py
@@ -14,10 +14,11 @@
 
 @dataclass(slots=True)
 class InstanceRecord:
-    """The stored state of one instance; its actor owns the record and saves each change.
+    """The stored state of one instance, owned by the instance's actor.
 
-    ``digest`` is that of the configuration of ``generation``. ``launch`` is the id of the last
-    launch, which is also in the environment of its process; empty once that process has ended.
+    ``digest`` is that of the configuration of ``generation``; operations set and save both.
+    ``launch`` is the id of the last launch, which is also in the environment of its process; empty
+    once that process has ended.
     """
 
     name: str
--- a/onyxpass/agent/lifecycle.py
+++ b/onyxpass/agent/lifecycle.py
@@ -9,7 +9,7 @@
 | starting | the process is being created | ``launched``, ``exited``, ``set_wanted`` |
 | running | the process runs | ``exited``, ``set_wanted``, ``restart``, ``checked`` |
 | stopping | the process is being terminated | ``exited`` |
-| waiting | backoff before the next launch | ``backoff_elapsed``, ``set_wanted``, ``restart`` |
+| waiting | backoff before a launch | ``backoff_elapsed``, ``start``, ``set_wanted``, ``restart`` |
 | stopped | not wanted, and no process runs | ``set_wanted``, ``restart``, ``start`` |
 """
 
@@ -17,7 +17,7 @@
 from enum import Enum
 
 MAX_FAILED_CHECKS = 3  # consecutive failed checks after which an instance counts as hung
-MAX_BACKOFF_DOUBLINGS = 20  # prevents an overflow; the maximum backoff is reached far earlier
+MAX_BACKOFF_DOUBLINGS = 20  # prevents an overflow; the default maximum is reached far earlier
 
 
 class InstanceState(Enum):
@@ -81,7 +81,7 @@
     policy: RestartPolicy
     state: InstanceState = InstanceState.NEW
     wanted: bool = True
-    state_since_s: float = 0.0  # when the state was entered
+    state_since_s: float = 0.0  # when the state was entered, or an adopted process started
     restarts: int = 0  # automatic ones, without those that an operator requested
     consecutive_failures: int = 0
     failed_checks: int = 0  # consecutive ones
--- a/onyxpass/agent/lock_records.py
+++ b/onyxpass/agent/lock_records.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutLockRecord:
-    """A rollout lock as it was granted to its holder; ``ttl_s`` counts from the grant."""
+    """A rollout lock as it was granted to its holder; ``ttl_s`` is its full duration."""
 
     rollout: str
     holder: str
--- a/onyxpass/agent/operation_options.py
+++ b/onyxpass/agent/operation_options.py
@@ -19,10 +19,11 @@
 class OperationOptions:
     """The options of one operation. Times are seconds.
 
-    ``drain``: drain the instance before a restart or a stop. ``force``: continue even if it can't
-    be drained. ``allow_restart``: a reload may restart the instance if that is needed.
-    ``expected_digest``: the digest of the file that the caller has seen; a file that has changed
-    since is rejected. Empty accepts any file.
+    ``drain``: drain the instance before a restart or a stop. ``force``: abort requests that are
+    open at the deadline of a drain, and continue even if the drain fails. ``allow_restart``: a
+    reload may restart the instance if that is needed. ``expected_digest``: the digest of the
+    file that the caller has seen; a file that has changed since is rejected. Empty accepts any
+    file.
     """
 
     deadline_s: float = 60.0
--- a/onyxpass/agent/operation_steps.py
+++ b/onyxpass/agent/operation_steps.py
@@ -120,7 +120,7 @@
         return {"ready": status["ready"]}
 
     async def restart(self) -> Detail:
-        """Drain and restart the instance, and wait until it is ready on its file."""
+        """Drain the instance if requested, restart it, and wait until it is ready on its file."""
         digest = self._file_digest(reload=False)  # an invalid file fails before the drain
         end_s = time.monotonic() + self._options.deadline_s
         drained = await self._drain_if_requested()
@@ -158,7 +158,7 @@
         return ""
 
     async def stop(self) -> Detail:
-        """Drain the instance and stop it."""
+        """Drain the instance if requested, and stop it."""
         drained = await self._drain_if_requested()
         self._instance.tell(SetWanted(False))
         end_s = (
--- a/onyxpass/agent/operations.py
+++ b/onyxpass/agent/operations.py
@@ -19,7 +19,7 @@
 from onyxpass.net.http_client import RequestNotSentError, ResponseLostError
 
 MAX_END_EVENTS = 500  # number of latest operations whose end can be waited for
-TIMEOUT_MARGIN_S = 30.0  # past the operation's deadline, which each step observes itself
+TIMEOUT_MARGIN_S = 30.0  # past the operation's deadline; the operation then ends as unknown
 log = structlog.get_logger("operations")
 
 OperationCallback = Callable[[Operation], None]
--- a/onyxpass/agent/process.py
+++ b/onyxpass/agent/process.py
@@ -150,7 +150,7 @@
         if log.stat().st_size > max_bytes:
             older = log.with_suffix(".log.1")
             older.write_bytes(log.read_bytes()[-max_bytes:])
-            # The process has the log open for appending, so it continues at the new end.
+            # The process has the log open for appending, so its next write goes to the new end.
             os.truncate(log, 0)
     except FileNotFoundError:
         return
--- a/onyxpass/agent/state_database.py
+++ b/onyxpass/agent/state_database.py
@@ -1,9 +1,10 @@
 """The agent's SQLite file: its schema and versions, and the one connection to it.
 
 ``StateDatabase`` is the only owner of the connection and of the folder's lock. Each statement is
-durable once it returns (WAL with full sync). A write is of one of three kinds:
+durable once it returns (WAL with full sync). Most writes are of one of these kinds:
 
 - ``write_now``, before an action that must not happen unrecorded: raises if the write fails;
+- ``transaction``, like ``write_now``, for several statements that are executed together;
 - ``write_state``, after something has happened: written now, or once the disk accepts writes;
 - ``append_row``, for logs: like ``write_state``, with a bounded number of rows.
 
--- a/onyxpass/agent/state_store.py
+++ b/onyxpass/agent/state_store.py
@@ -24,7 +24,7 @@
     """The state of one agent, in ``folder``; None keeps it in memory, until the agent ends."""
 
     def __init__(self, folder: Path | None) -> None:
-        """Open the state; ``StateStoreError`` if it is unusable, in use or of another version."""
+        """Open the state; ``StateStoreError`` if unusable, in use or of an unknown version."""
         self._database = StateDatabase(folder)
         self.instances = InstanceRecords(self._database)
         self.operations = OperationRecords(self._database)
--- a/onyxpass/agent/supervisor.py
+++ b/onyxpass/agent/supervisor.py
@@ -113,7 +113,7 @@
 
     async def _sync_instance(self, store: "RedisStore", instance: Instance) -> None:
         wanted = await store.desired_running(instance.name)
-        # Prevents an old entry in the store from undoing a newer operation of the agent's API.
+        # Prevents an entry that was already read from undoing a newer operation of the agent's API.
         is_new = self._wanted_in_store.get(instance.name) != wanted
         self._wanted_in_store[instance.name] = wanted
         if is_new and wanted is not None and not self._stopping:
--- a/onyxpass/desired/node.py
+++ b/onyxpass/desired/node.py
@@ -93,7 +93,8 @@
     def replace_state(self, state: DesiredState) -> None:
         """Save a state, make it this node's, and wake all tasks that wait for a change.
 
-        Raises OSError if it can't be saved; the previous state then remains and nothing is sent.
+        Raises OSError if it can't be saved; the node then keeps its previous state and sends
+        nothing.
         """
         state_file.save(self.state_path, state)
         self.state = state
--- a/onyxpass/desired/state.py
+++ b/onyxpass/desired/state.py
@@ -150,8 +150,8 @@
     def page_since(self, seen: VersionVector, max_bytes: int = MAX_PAGE_BYTES) -> Page:
         """Return the first page of what a node that knows ``seen`` lacks.
 
-        The page has whole changes only. The JSON of its entries has at most ``max_bytes``,
-        unless it is a single change.
+        The page has whole changes only. The JSON of its entries may exceed ``max_bytes`` by part of
+        the last change, or by all of a single one.
         """
         missing = [
             entry
--- a/onyxpass/fleet/agent_client.py
+++ b/onyxpass/fleet/agent_client.py
@@ -90,7 +90,7 @@
             self._slots.release()
 
     async def release(self, agent: AgentRef, rollout: str) -> str:
-        """Release an agent from a rollout; return why that failed, else an empty text.
+        """Release an agent from a rollout; return why no answer came, else an empty text.
 
         An agent that was not reached is free once its lock expires.
         """
--- a/onyxpass/fleet/config.py
+++ b/onyxpass/fleet/config.py
@@ -76,7 +76,11 @@
     agents: list[AgentTable]
 
     def faults(self) -> Iterable[tuple[tuple[toml_config.PathPart, ...], str]]:
-        """Yield duplicate names, unknown halls, and halls that keep more than their capacity."""
+        """Yield each fault that involves several keys, with its location.
+
+        These are duplicate names, unknown halls, halls that keep more than their capacity, and a
+        lease that is longer than the maximum.
+        """
         if self.store is not None and self.store.lease_s > self.store.longest_s:
             yield (
                 ("store", "lease_s"),
--- a/onyxpass/fleet/outcome.py
+++ b/onyxpass/fleet/outcome.py
@@ -23,7 +23,7 @@
     DONE = 0  # every selected instance is done
     FAILED = 1  # at least one failed or was not tried
     BAD_INPUT = 2  # nothing was done
-    UNKNOWN = 3  # none failed, and at least one is unknown
+    UNKNOWN = 3  # at least one is unknown, and all others are done
     HELD = 4  # another rollout is in progress; nothing was done
 
 
@@ -82,7 +82,7 @@
         }
 
     def counts(self) -> dict[str, int]:
-        """Return the number of instances by the outcome's value, including those with none."""
+        """Return the number of instances by the outcome's value; 0 for an outcome that none has."""
         counts = {kind.value: 0 for kind in OutcomeKind}
         for outcome in self.outcomes().values():
             counts[outcome.kind.value] += 1
--- a/onyxpass/fleet/rollout.py
+++ b/onyxpass/fleet/rollout.py
@@ -2,7 +2,7 @@
 
 Its inputs are observations of instances and the outcomes of orders; its outputs are the actions to
 take next. The record of a rollout is no proof of an instance's state: a rollout that is resumed
-after its process was killed first observes every instance. Times are seconds of one monotonic
+after its process was killed first observes every instance to change. Times are seconds of one monotonic
 clock.
 """
 
@@ -64,10 +64,10 @@
 class RolloutStage(Enum):
     """The stages of a rollout, in this order; changing and pausing alternate."""
 
-    ASKING = "asking"  # all instances are observed before the first order
+    ASKING = "asking"  # instances to change are observed before the first order
     CHANGING = "changing"
     PAUSING = "pausing"
-    VERIFYING = "verifying"  # changed instances are observed once more
+    VERIFYING = "verifying"  # instances that are done are observed once more
     ENDED = "ended"
 
 
@@ -278,7 +278,7 @@
         return [WakeAfter(self.pace.pause_s)]
 
     def _finish(self) -> list[RolloutAction]:
-        """Settle the instances that were never ordered, and observe all changed ones once more."""
+        """Settle the instances that were never ordered, and observe those that are done once more."""
         if self.planner is not None:
             blocked = self.planner.blocked()
             for name in sorted(self.planner.waiting):
--- a/onyxpass/fleet/runner.py
+++ b/onyxpass/fleet/runner.py
@@ -129,8 +129,8 @@
     async def acquire_agents(self) -> None:
         """Lock all agents of the instances to change for this rollout.
 
-        Raises RolloutLockedError, and releases all of them, if another rollout holds one. An agent
-        that does not answer is ignored.
+        Raises RolloutLockedError, and releases all of them, if another rollout holds one or a lease
+        is lost or rejected. An agent that does not answer, or reports another error, is ignored.
         """
         agents = self._agents()
         answers = await asyncio.gather(*(self._acquire_agent(agent) for agent in agents))
@@ -146,7 +146,10 @@
         )
 
     async def _acquire_agent(self, agent: AgentRef) -> str:
-        """Lock an agent, or renew its lock; return why that was refused, else an empty text."""
+        """Lock an agent, or renew its lock; return why it is refused, else an empty text.
+
+        The text is also empty if the agent does not answer or reports another error than a conflict.
+        """
         body: dict[str, Any] = {
             "rollout": self.id,
             "holder": process_identity(),
--- a/onyxpass/leases/model_checker.py
+++ b/onyxpass/leases/model_checker.py
@@ -5,8 +5,8 @@
 
 - at most one holder may act (by the holders' own clocks, which are identical in the model);
 - no token is granted to two holders;
-- at the resource, effects of two tokens never overlap, and an admitted token is never lower than
-  the one before it, nor belongs to another holder.
+- at the resource, effects of two tokens never overlap, an admitted token is never lower than the
+  one before it, and two holders are never admitted in succession under the same token.
 """
 
 import random
--- a/onyxpass/leases/transitions.py
+++ b/onyxpass/leases/transitions.py
@@ -66,8 +66,8 @@
     """
     last_token = record.token if record is not None else 0
     closed = LeaseRecord(
-        # The store may have lost which tokens it granted. They increase by one with each grant, so
-        # the time in milliseconds is higher.
+        # The store may have lost which tokens it granted. With less than one
+        # grant per millisecond, the time in milliseconds is higher than all of them.
         token=max(last_token, now_ms),
         store_run_id=store_run_id,
         grants_open_at_ms=now_ms + max_ttl_ms,
--- a/onyxpass/sources/schema.py
+++ b/onyxpass/sources/schema.py
@@ -1,7 +1,7 @@
 """The models of watched files and of the sources file that names them, and their parser; no I/O.
 
-A watched file lists servers; several files are read as one list. Every fault is reported with its
-position and, where a key or a kind is misspelt, with a suggestion.
+A watched file lists servers; several files are read as one list. A fault is reported with its
+position if that is known and, where a key or a kind is misspelt, with a suggestion.
 """
 
 import ipaddress
@@ -86,7 +86,8 @@
     # "only": the only source; "over": weights and drains on top of discovery
     mode: Literal["only", "over"] = "only"
     settle_s: Annotated[float, Field(ge=0, le=60)] = 0.1  # how long files must be unchanged
-    leave_s: Annotated[float, Field(ge=0, le=600)] = 1.0  # the same if a server would be removed
+    # how long files must be unchanged, at least, if a server would be removed
+    leave_s: Annotated[float, Field(ge=0, le=600)] = 1.0
     # interval at which files are checked even without a notification
     poll_s: Annotated[float, Field(gt=0, le=600)] = 1.0
     ramp_s: Annotated[float, Field(ge=0, le=3600)] = 10.0  # duration of a weight change
--- a/onyxpass/sources/snapshot.py
+++ b/onyxpass/sources/snapshot.py
@@ -91,7 +91,7 @@
 
 
 def save(path: Path, view: MembershipView) -> None:
-    """Replace the snapshot durably; on OSError the previous one is kept."""
+    """Replace the snapshot durably; OSError if that fails (see ``atomic_file.replace``)."""
     atomic_file.replace(path, serialize(view))
 
 
--- a/onyxpass/sources/validation.py
+++ b/onyxpass/sources/validation.py
@@ -26,7 +26,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The files are invalid or break a guard; the view in force stays."""
+    """The files are invalid or break a guard; the view in force stays.
+
+    ``reasons`` are the faults of the files or, if there are none, the guards that are broken.
+    """
 
     reasons: tuple[str, ...]
 
--- a/onyxpass/sources/watcher.py
+++ b/onyxpass/sources/watcher.py
@@ -18,7 +18,8 @@
     """Return the files to read: in the order of ``paths``, those of a folder sorted by name.
 
     Files of a folder whose names begin with a dot, such as editors' temporary files, are left out.
-    A missing folder counts as empty; a missing file is returned, and reading it fails.
+    A path that is no folder is left out unless its suffix is ``.toml``; so a missing folder counts
+    as empty, and a missing file is returned and can't be read.
     """
     files: list[Path] = []
     for path in paths:
@@ -80,7 +81,10 @@
         self._polls = 0
 
     async def changes(self) -> AsyncIterator[None]:
-        """Yield whenever the files should be read: at first, after a change, and now and then."""
+        """Yield whenever the files should be read.
+
+        They are read at first, after a change, and at each ``POLLS_PER_FULL_READ``-th check.
+        """
         notified = True
         while True:
             current = await asyncio.to_thread(file_stamps, self.paths)
--- a/onyxpass/store/redis.py
+++ b/onyxpass/store/redis.py
@@ -41,7 +41,7 @@
 
 
 class RedisStore:
-    """The state that several processes share. Each method raises ``StoreUnavailableError``."""
+    """The state that several processes share. Commands raise ``StoreUnavailableError``."""
 
     def __init__(self, url: str, timeout_ms: int = DEFAULT_TIMEOUT_MS) -> None:
         self._redis = create_client(url, timeout_ms)
