--- a/onyxpass/agent/process.py
+++ b/onyxpass/agent/process.py
@@ -112,7 +112,7 @@
 
     @classmethod
     def adopt(cls, identity: ProcessIdentity) -> "Process | None":
-        """Adopt a running process; None if the process with this identity has ended."""
+        """Adopt a running process; None if it has ended or no pidfd of it can be opened."""
         try:
             pidfd = os.pidfd_open(identity.pid)
         except OSError:
--- a/onyxpass/desired/node.py
+++ b/onyxpass/desired/node.py
@@ -277,7 +277,7 @@
 
 
 class NodeServer(CallServer):
-    """Serves ``POST /v1/pull`` to nodes, and ``POST /v1/change`` and ``GET /v1/state`` to operators."""
+    """Serves ``POST /v1/pull`` to nodes, ``POST /v1/change`` and ``GET /v1/state`` to operators."""
 
     content_type = JSON
     max_calls = 512
--- a/onyxpass/desired/state.py
+++ b/onyxpass/desired/state.py
@@ -140,8 +140,8 @@
         if known.version == entry.version:
             return False
         older, newer = sorted((known, entry), key=lambda candidate: candidate.version)
-        # The newer change had seen the key only up to the version that it replaces. If there is none
-        # or it is lower than the older entry's version, the two changes are concurrent.
+        # The newer change had seen the key only up to the version that it replaces. If there is no
+        # such version, or a version lower than the older entry's, the changes are concurrent.
         if newer.replaces is None or newer.replaces < older.version:
             self.conflicts.add(Conflict(entry.key, newer.version, older.version))
         self.entries[entry.key] = newer
@@ -150,8 +150,8 @@
     def page_since(self, seen: VersionVector, max_bytes: int = MAX_PAGE_BYTES) -> Page:
         """Return the first page of what a node that knows ``seen`` lacks.
 
-        The page has whole changes only. The JSON of its entries may exceed ``max_bytes`` by part of
-        the last change, or by all of a single one.
+        The page has whole changes only. The JSON of its entries exceeds ``max_bytes`` only by
+        entries of the page's last change.
         """
         missing = [
             entry
--- a/onyxpass/desired/upstream_selection.py
+++ b/onyxpass/desired/upstream_selection.py
@@ -1,8 +1,8 @@
 """Selects the upstream that is polled next, and when, without I/O.
 
 A pull is a long poll: its upstream delays the answer until there is something new, so that a change
-is passed on at once and an idle node costs little. Upstreams are listed by preference: those of the
-node's zone first, then those of its region, then those of the other region.
+is passed on at once and an idle node makes few calls. Upstreams are listed by preference: those of
+the node's zone first, then those of its region, then those of the other region.
 """
 
 import random
--- a/onyxpass/fleet/controller.py
+++ b/onyxpass/fleet/controller.py
@@ -200,7 +200,7 @@
     ) -> tuple[
         Plan, dict[str, InstanceTarget], dict[str, InstanceOutcome], dict[str, InstanceView]
     ]:
-        """Return the waves if each change succeeds, the targets, the excluded members and all views.
+        """Return the waves if all changes succeed, the targets, the excluded members, all views.
 
         A member is excluded, with its outcome, if its agent reports no state of it or no digest of
         its file.
--- a/onyxpass/fleet/planner.py
+++ b/onyxpass/fleet/planner.py
@@ -1,7 +1,8 @@
 """Plans which instances may be out of service together, without I/O.
 
 The planner returns one wave at a time. The state of each instance after its change is passed back
-to it, so that each wave is planned from the present state. In each state, whatever the order of results:
+to it, so that each wave is planned from the present state. In each state, whatever the order of
+results:
 
 - at most ``out`` instances are out in all, ``out_hall`` of a hall, ``out_host`` of a host;
 - each hall has its ``keep`` of capacity in service.
--- a/onyxpass/fleet/rollout.py
+++ b/onyxpass/fleet/rollout.py
@@ -2,8 +2,8 @@
 
 Its inputs are observations of instances and the outcomes of orders; its outputs are the actions to
 take next. The record of a rollout is no proof of an instance's state: a rollout that is resumed
-after its process was killed first observes every instance to change. Times are seconds of one monotonic
-clock.
+after its process was killed first observes every instance to change. Times are seconds of one
+monotonic clock.
 """
 
 from collections.abc import Iterable, Mapping
@@ -213,7 +213,7 @@
         return failed(f"it runs on {observation.digest}")
 
     def _plan(self, now_s: float) -> list[RolloutAction]:
-        """Plan the changes once all instances are observed; those already on target need no order."""
+        """Plan the changes once all targets are observed; one that is reached needs no order."""
         to_change, instances = [], []
         for instance in self.instances:
             observation = self.last_observations.get(instance.name)
@@ -278,7 +278,7 @@
         return [WakeAfter(self.pace.pause_s)]
 
     def _finish(self) -> list[RolloutAction]:
-        """Settle the instances that were never ordered, and observe those that are done once more."""
+        """Settle the instances never ordered, and observe those that are done once more."""
         if self.planner is not None:
             blocked = self.planner.blocked()
             for name in sorted(self.planner.waiting):
--- a/onyxpass/fleet/runner.py
+++ b/onyxpass/fleet/runner.py
@@ -148,7 +148,7 @@
     async def _acquire_agent(self, agent: AgentRef) -> str:
         """Lock an agent, or renew its lock; return why it is refused, else an empty text.
 
-        The text is also empty if the agent does not answer or reports another error than a conflict.
+        The text is also empty if the agent does not answer or its error is not a conflict.
         """
         body: dict[str, Any] = {
             "rollout": self.id,
--- a/onyxpass/fleet/views.py
+++ b/onyxpass/fleet/views.py
@@ -91,7 +91,7 @@
 async def fetch_views(
     agent_client: AgentClient, members: Iterable[Member], within_s: float
 ) -> dict[str, InstanceView]:
-    """Fetch the views of all members at once, within ``within_s`` however many agents are silent."""
+    """Fetch all views at once, within ``within_s`` however many agents do not answer."""
     selected = list(members)
     agents = list({member.host: member.agent for member in selected}.values())
     answers = await asyncio.gather(
--- a/onyxpass/sources/debounce.py
+++ b/onyxpass/sources/debounce.py
@@ -2,8 +2,8 @@
 
 An editor writes a file in several steps, and a server moves from one file to another in two steps:
 the intermediate states must not be applied. Files are validated once they have been unchanged for
-``settle_s``, and also for ``leave_s`` if servers would be removed. Files that keep changing are validated
-after ``MAX_DELAY_FACTOR`` times that period, with the contents that they have then.
+``settle_s``, and also for ``leave_s`` if servers would be removed. Files that keep changing are
+validated after ``MAX_DELAY_FACTOR`` times that period, with the contents that they have then.
 """
 
 import hashlib
--- a/onyxpass/sources/membership.py
+++ b/onyxpass/sources/membership.py
@@ -231,7 +231,7 @@
         if save and (path := self.sources.snapshot) is not None:
             try:
                 await asyncio.to_thread(snapshot.save, path, view)
-            except OSError as problem:  # the view stays in force but is not there after a restart
+            except OSError as problem:  # the view stays in force; a restart may load an older one
                 log.error("snapshot_not_saved", path=str(path), why=str(problem))
 
     def _publish(
