--- a/onyxpass/agent/process.py
+++ b/onyxpass/agent/process.py
@@ -112,7 +112,7 @@
 
     @classmethod
     def adopt(cls, identity: ProcessIdentity) -> "Process | None":
-        """Adopt a running process; None if the process with this identity has ended."""
+        """Adopt a running process; None if it has ended or no pidfd of it can be opened."""
         try:
             pidfd = os.pidfd_open(identity.pid)
         except OSError:
@@ -150,7 +150,7 @@
         if log.stat().st_size > max_bytes:
             older = log.with_suffix(".log.1")
             older.write_bytes(log.read_bytes()[-max_bytes:])
-            # The process has the log open for appending, so it continues at the new end.
+            # The process has the log open for appending, so its next write goes to the new end.
             os.truncate(log, 0)
     except FileNotFoundError:
         return
--- a/onyxpass/desired/node.py
+++ b/onyxpass/desired/node.py
@@ -93,7 +93,8 @@
     def replace_state(self, state: DesiredState) -> None:
         """Save a state, make it this node's, and wake all tasks that wait for a change.
 
-        Raises OSError if it can't be saved; the previous state then remains and nothing is sent.
+        Raises OSError if it can't be saved; the node then keeps its previous state and sends
+        nothing.
         """
         state_file.save(self.state_path, state)
         self.state = state
@@ -276,7 +277,7 @@
 
 
 class NodeServer(CallServer):
-    """Serves ``POST /v1/pull`` to nodes, and ``POST /v1/change`` and ``GET /v1/state`` to operators."""
+    """Serves ``POST /v1/pull`` to nodes, ``POST /v1/change`` and ``GET /v1/state`` to operators."""
 
     content_type = JSON
     max_calls = 512
