--- a/onyxpass/emulator/servers.py
+++ b/onyxpass/emulator/servers.py
@@ -144,7 +144,7 @@
         self.queue, self.site, self.kind, self.endpoint = queue, site, kind, endpoint
         self.states, self.links = states, links
         self.up, self.overloaded = True, False
-        self.slowdown = 1.0  # factor on the duration of all work
+        self.slowdown = 1.0  # factor on the duration of prefills and decode steps
         self.started_us: int | None = None
         # Decaying sum of the work received while cold, in seconds at full speed.
         self.recent_work_s, self.work_updated_us = 0.0, 0
--- a/onyxpass/emulator/topology.py
+++ b/onyxpass/emulator/topology.py
@@ -96,7 +96,7 @@
     - hot: a share ``size`` of the new sessions begins with a new prefix, one per class;
     - cut, flap: ``hall`` is partitioned from the others, once or twice;
     - crash: ``server`` stops, and starts again after ``for_s`` if that is not zero;
-    - slow: all work of ``server`` takes ``size`` times as long.
+    - slow: prefills and decode steps of ``server`` take ``size`` times as long.
     """
 
     what: str
--- a/onyxpass/history_checkers/trace.py
+++ b/onyxpass/history_checkers/trace.py
@@ -21,7 +21,7 @@
     CLOSED = "closed"  # the attempt is over at the replica
     HELD = "held"  # the replica holds the request's prefill state
     RELEASED = "freed"  # the state was released, or a writer took it over
-    # the endpoint list, as sent to a dispatcher, says that a replica drains
+    # the endpoint list, as sent to the dispatchers, says that a replica drains or takes work again
     DRAIN_ANNOUNCED = "drain told"
 
 
@@ -33,8 +33,8 @@
     kind: EventKind
     request: str = ""
     server: str = ""
-    # of ANSWERED: the outcome, such as served, refused, failed or broken; of RECEIVED and RAN: the
-    # server's role; of DRAIN_ANNOUNCED: "up" if the server takes work again
+    # ANSWERED: the outcome, such as served, refused, failed or broken; RECEIVED and RAN: the
+    # server's role; DRAIN_ANNOUNCED: "up" if the server takes work again
     detail: str = ""
 
 
@@ -62,7 +62,8 @@
 
 
 MAX_ATTEMPTS = 4
-# for attempts after a drain was announced; for a held state after the request's last attempt
+# The time allowed for attempts after a drain was announced, and for a held state after the
+# request's last attempt.
 DRAIN_GRACE_S, MAX_HOLD_S = 1.0, 0.3
 
 
@@ -135,7 +136,7 @@
 
 
 def attempts_after_drain(trace: Trace, slack_s: float = 0.05) -> Iterable[str]:
-    """Yield attempts that a server received over 1 s after its drain was announced."""
+    """Yield attempts that a server received over 1 s and the slack after its drain announcement."""
     announced_s: dict[str, float] = {}
     for event in trace.events_of(EventKind.DRAIN_ANNOUNCED, EventKind.RECEIVED):
         # the server takes work again
--- a/onyxpass/soak/records.py
+++ b/onyxpass/soak/records.py
@@ -92,7 +92,7 @@
     discovery_faults: list[FaultInterval] = field(default_factory=list)
     stalled_clients: list[StalledClient] = field(default_factory=list)
     lag_s: float = 0.0  # the longest that this process itself was kept from running
-    # of the dispatcher processes: unexpected exits, bad log lines, invariant violations
+    # unexpected exits, bad log lines and invariant violations of the dispatcher processes
     problems: list[str] = field(default_factory=list)
     descheduled_s: float = 0.0  # the total time for which dispatchers were kept from running
 
--- a/onyxpass/testbed/process_trial.py
+++ b/onyxpass/testbed/process_trial.py
@@ -148,7 +148,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ScheduledFault:
-    """A fault of a kind that affects a target from ``start_s`` on, for ``duration_s``."""
+    """A fault of a kind that affects a target from ``start_s`` on.
+
+    It lasts ``duration_s`` unless it is momentary, such as a kill, a reset or a restarted store.
+    """
 
     start_s: float
     kind: str
@@ -159,7 +162,7 @@
         return f"{self.start_s:.2f} s: {self.kind} {self.target} for {self.duration_s:.2f} s"
 
 
-# The targets of each kind of fault: tools, or numbers of hosts.
+# The targets of each kind of fault: tools, numbers of hosts, or ``-`` for the only store.
 FAULT_TARGETS = {
     "tool stopped": "ab",
     "tool killed": "ab",
--- a/onyxpass/testbed/replicas.py
+++ b/onyxpass/testbed/replicas.py
@@ -60,7 +60,7 @@
         self.faults: list[ReplicaFault] = []
         self.served = 0
         self.open_attempts: set[str] = set()  # request ids
-        self.streams_may_continue = asyncio.Event()  # cleared: streams wait after their first event
+        self.streams_may_continue = asyncio.Event()  # cleared: streams wait after their next event
         self.streams_may_continue.set()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -81,7 +81,7 @@
             return
 
     async def _answer(self, connection: HttpConnection, head: h11.Request, text: bytes) -> bool:
-        """Handle one request; return False if the connection has ended."""
+        """Handle one request; return False if the connection has ended or must end."""
         path = bytes(head.target).partition(b"?")[0].decode("latin-1")
         if path.startswith("/kv/leases/") and head.method == b"DELETE":
             self._release_state(path.removeprefix("/kv/leases/"))
--- a/onyxpass/testbed/site.py
+++ b/onyxpass/testbed/site.py
@@ -19,7 +19,8 @@
 # The range of ports that the kernel gives to outgoing connections (ip(7)).
 OUTGOING_PORT_RANGE = Path("/proc/sys/net/ipv4/ip_local_port_range")
 FIRST_PORT = 12_000
-# The fewest ports below that range to draw from; if there are fewer, the kernel chooses a port.
+# The fewest ports between ``FIRST_PORT`` and the outgoing ports to draw from; if there are fewer,
+# the kernel chooses a port.
 MIN_PORT_COUNT = 1_000
 
 
@@ -55,8 +56,8 @@
     folder: Path
     fleet: StandinFleet
     hosts: tuple[Host, ...]
-    limits: str = ""  # TOML text of that table in the fleet's file
-    restart: str = ""  # TOML text of that table in the agents' files
+    limits: str = ""  # TOML text of the ``limits`` table in the fleet's file
+    restart: str = ""  # TOML text of the ``restart`` table in the agents' files
     ports: dict[str, int] = field(default_factory=dict)  # by instance
 
     @property
--- a/onyxpass/toolcalls/front.py
+++ b/onyxpass/toolcalls/front.py
@@ -25,7 +25,7 @@
 MAX_ID_CHARACTERS = 128
 # Time at shutdown in which the connections in the kernel's accept queue are accepted.
 ACCEPT_QUEUE_DELAY_US = 50_000
-# Turns of the event loop after that delay; some turns do not poll the sockets.
+# Turns of the event loop after ``ACCEPT_QUEUE_DELAY_US``; some turns do not poll the sockets.
 ACCEPT_TURNS = 8
 MAX_OPEN_REQUESTS = 256  # per connection
 log = structlog.get_logger("rpc")
@@ -82,7 +82,8 @@
     def send_incomplete(self, code: int, message: str) -> None:
         """Send the error of a stream that ended early.
 
-        If tool calls may have taken effect, the error names them as of unknown outcome instead.
+        If the outcome of tool calls is unknown, the error ``OUTCOME_UNKNOWN`` names them and replaces
+        ``code``; otherwise the error names all tool calls of the request.
         """
         if unknown := self.call_states(ToolCallState.SENT, ToolCallState.UNKNOWN):
             self.send_error(rpc.OUTCOME_UNKNOWN, "outcome unknown", calls=unknown, why=message)
--- a/onyxpass/toolcalls/replicas.py
+++ b/onyxpass/toolcalls/replicas.py
@@ -302,7 +302,8 @@
     def update_member(self, server: contract.Endpoint, address: Address, left: bool) -> None:
         """Apply what a membership source reports of a server.
 
-        The actor of a server that has left is removed once it has no work left.
+        The actor of a server that has left is removed at the first report, of any server, that finds
+        the actor without work.
         """
         if left:
             self.departed.add(server.id)
--- a/onyxpass/toolcalls/tool_call_relay.py
+++ b/onyxpass/toolcalls/tool_call_relay.py
@@ -343,7 +343,7 @@
     ) -> None:
         if previous is not None:
             await asyncio.wait([previous])
-        # The outcome of a call is retried, because a store outage may be short.
+        # The write is retried, because a store outage may be short.
         for wait_s in (0.1, 1.0, 5.0, 0.0):
             try:
                 await self.store.record_call(key, record, self.ttl_s)
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -307,9 +307,9 @@
 
 
 def test_a_release_has_one_time_limit_from_the_end_of_the_last_attempt() -> None:
-    """A release has one time limit, not one per request.
+    """A release retries until its one time limit, and time that connects have used up counts.
 
-    Time that connects have used up counts.
+    Only the least duration of the release is checked, not that it ends at the limit.
     """
 
     async def scenario() -> None:
@@ -439,7 +439,7 @@
 def test_an_attempt_tells_the_time_left_at_its_first_byte_and_not_at_its_selection() -> None:
     """Guards against telling a server more time than is left.
 
-    The time of a connect, or of the release before a send, was not subtracted from the value.
+    The connect of this test takes 200 ms, which must be subtracted from the time at the selection.
     """
 
     async def scenario() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Six real instances under three real agents in front of stand-in replicas, under faults."""
+"""Up to six real instances under three real agents in front of stand-in replicas, under faults."""
 
 import asyncio
 import json
