--- a/onyxpass/emulator/simulation.py
+++ b/onyxpass/emulator/simulation.py
@@ -74,8 +74,8 @@
     """Performs the actions of its policy; raises PolicyError on an invalid action.
 
     Invalid are an unknown kind of action, an unknown server, a fifth attempt, and a send while an
-    attempt is open, after the answer has begun or for a request that has ended. A second answer is
-    ignored, because a request is closed with its first one.
+    attempt is open, after the answer has begun or for a request that has ended. A second final
+    answer is ignored, because the first one has closed the request.
     """
 
     def __init__(self, simulation: "Simulation", ordinal: int, policy: Policy) -> None:
--- a/onyxpass/soak/checker.py
+++ b/onyxpass/soak/checker.py
@@ -14,7 +14,8 @@
 LATE_ANSWER_MARGIN_S = 0.5  # a late answer is worth nothing; one later than this counts as lost
 DISCONNECT_MARGIN_S = 0.1  # for attempts after a client's close
 ATTEMPT_TIMEOUT_MARGIN_S = 0.15
-# a dispatcher whose view of discovery was disturbed may learn of a drain this much later
+# The time allowed for attempts after a dispatcher has learned of a drain, and the time after which
+# even a dispatcher whose view of discovery was disturbed has learned of the drain.
 DRAIN_GRACE_S, MAX_NOTICE_DELAY_S = 1.0, 6.0
 # Disturbances of a dispatcher after which it may have to fetch the endpoint list again.
 WATCH_LOSING_CAUSES = (
@@ -130,7 +131,8 @@
 def excessive_attempt_timeouts(records: Records, slack_s: float) -> Iterator[str]:
     """Yield attempts that gave their replica more time than the client had left.
 
-    Attempts over a link that delays are excused, because they arrive later than a network delivers.
+    Attempts over a link that delays are excused, because they arrive later than a network delivers,
+    and so are attempts of a dispatcher that the machine did not run.
     """
     for attempt in records.attempt_timeouts:
         request = records.requests.get(attempt.request_id)
@@ -230,10 +232,10 @@
 def overlong_holds(records: Records, slack_s: float) -> Iterator[str]:
     """Yield requests whose held state was not used or released in time.
 
-    A dispatcher that was killed is excused. Where the link to the holder was disturbed, the answer
-    to the prefill may have been lost: for the dispatcher the attempt is then still open, however
-    long ago the server ended it. In that case, and where the machine did not run the dispatcher,
-    only state that is never released counts.
+    A dispatcher that was killed is excused. Where the holder was restarted or the link to it was
+    disturbed, the answer to the prefill may have been lost or late: for the dispatcher the attempt
+    is then still open, however long ago the server ended it. In that case, and where the machine
+    did not run the dispatcher, only state that is never released counts.
     """
     never_released = {
         request_id for request_id, released_s in _last_releases(records).items() if not released_s
--- a/onyxpass/soak/clients.py
+++ b/onyxpass/soak/clients.py
@@ -16,7 +16,8 @@
 from onyxpass.history_checkers.trace import EventKind
 from onyxpass.soak.records import ClientRequest, Records, StalledClient
 
-# for an error or a close to reach a client that stalls before its request is complete
+# The time within which an error or a close must reach a client that stalls before its request is
+# complete.
 STALLED_CLIENT_TIMEOUT_S = 3.0
 CLIENT_WAIT_S = 30.0  # the longest that a client waits for the end of an answer
 
@@ -60,7 +61,7 @@
         self.idle: list[PooledConnection] = []
 
     async def run_client(self, request_id: str, traffic_class: str, timeout_s: float) -> None:
-        """Run one client from its connection to the end of its request, and record the request.
+        """Run one client up to the end of its request or stall, and record either of them.
 
         The client's behavior is drawn at random.
         """
@@ -119,8 +120,8 @@
             await self._read_response(connection, request, behavior)
             if request.outcome == "broken" and kept and not request.status:
                 request.resent = True
-                # the dispatcher closed the idle connection while the request was on its way, so
-                # the request is sent once more on a new connection
+                # The dispatcher may have closed the idle connection while the request was on its
+                # way, so the request is sent once more on a new connection.
                 continue
             return
 
--- a/onyxpass/testbed/configuration.py
+++ b/onyxpass/testbed/configuration.py
@@ -195,7 +195,10 @@
             return None
 
     async def set_values(self, name: str, **values: Any) -> ApiResponse:
-        """Set values at a node, repeated until it answers; a node that answers has set them once."""
+        """Set values at a node, repeated until it answers.
+
+        If an answer is lost, the node orders the same values again, under a new version.
+        """
         while (answer := await self.call(name, "POST", "/v1/change", {"values": values})) is None:
             await asyncio.sleep(0.05)
         return answer
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -309,7 +309,8 @@
 def test_a_release_has_one_time_limit_from_the_end_of_the_last_attempt() -> None:
     """A release retries until its one time limit, and time that connects have used up counts.
 
-    Only the least duration of the release is checked, not that it ends at the limit.
+    After connects of 300 ms only the minimum time of a release is left. The test checks that the
+    release does not end earlier, not that it ends at the limit.
     """
 
     async def scenario() -> None:
