--- a/onyxpass/scheduling/candidates.py
+++ b/onyxpass/scheduling/candidates.py
@@ -67,7 +67,7 @@
         preferred for the requests that are sampled for it, so its share is taken from the prefill
         servers of its zone.
         """
-        # Sampling prevents all routers from sending to a server in slow start at the same time.
+        # Sampling prevents all routers from spending a saved-up allowance at the same time.
         factors = {server: server.slow_start_factor(now_us) for server in servers}
         capacity = sum(factors.values())
         if capacity >= len(servers):
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -440,7 +440,7 @@
 def test_an_attempt_tells_the_time_left_at_its_first_byte_and_not_at_its_selection() -> None:
     """Guards against telling a server more time than is left.
 
-    The connect of this test takes 200 ms, which must be subtracted from the time at the selection.
+    The time of a connect, or of the release before a send, was not subtracted from the value.
     """
 
     async def scenario() -> None:
